--- a/crates/sablehaven-agent/examples/agent_bench/agent_process.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/agent_process.rs
@@ -11,7 +11,7 @@
 };
 
 use clap::{ArgMatches, Command};
-use sablehaven_agent::{Config, Handle, routing::service_routers, start_with_policies};
+use sablehaven_agent::{Config, Handle, routing::service_router_factory, start_with_policies};
 use sablehaven_telemetry::Telemetry;
 use sablehaven_types::{
     BackendRecord, BackendState, IndexSnapshot, RoutingSettings, ServiceConfiguration,
@@ -78,7 +78,7 @@
     publish(&relay, &addresses, given(arguments, "replicas"));
     let telemetry = Telemetry::new("agent");
     let policies = match given(arguments, "baseline") {
-        0 => service_routers(),
+        0 => service_router_factory(),
         _ => baseline::factory(),
     };
     let config = config(&relay);
--- a/crates/sablehaven-agent/src/agent.rs
+++ b/crates/sablehaven-agent/src/agent.rs
@@ -19,7 +19,7 @@
 };
 
 /// Longest wait of a request for a plan that is being built; far more than a build takes.
-const PLAN_WAIT: Duration = Duration::from_secs(10);
+const MAX_PLAN_WAIT: Duration = Duration::from_secs(10);
 
 /// The shared part of one agent.
 pub struct Agent {
@@ -62,15 +62,15 @@
     /// agent has; a request that starts after that must not be served by an older plan, so it waits
     /// for the building of the new one, which takes milliseconds.
     pub async fn current_plan(&self) -> Arc<AgentPlan> {
-        let wanted = self.subscription.view().revision;
+        let required_revision = self.subscription.view().revision;
         let plan = self.plan();
-        if plan.revision >= wanted {
+        if plan.revision >= required_revision {
             return plan;
         }
-        let mut revision = self.plan_revision.subscribe();
-        let built = revision.wait_for(|revision| *revision >= wanted);
+        let mut plan_revision = self.plan_revision.subscribe();
+        let built = plan_revision.wait_for(|revision| *revision >= required_revision);
         // After the limit the older plan serves, and its answers say that they are not current.
-        let _ = timeout(PLAN_WAIT, built).await;
+        let _ = timeout(MAX_PLAN_WAIT, built).await;
         self.plan()
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// No further plan will be built: requests wait for none.
-    pub fn end_plans(&self) {
+    pub fn release_plan_waiters(&self) {
         self.plan_revision.send_replace(u64::MAX);
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// A refusal with the agent's own time to come back.
-    pub fn come_back(&self, reason: Reason) -> Answer {
-        Answer::without_reply(reason).retry_after(self.config.timing.retry_after())
+    pub fn refusal_with_retry_after(&self, reason: Reason) -> Answer {
+        Answer::without_reply(reason).with_retry_after(self.config.timing.retry_after())
     }
 }
--- a/crates/sablehaven-agent/src/answer.rs
+++ b/crates/sablehaven-agent/src/answer.rs
@@ -50,13 +50,13 @@
     }
 
     /// The same answer with the time after which the caller may come back.
-    pub fn retry_after(mut self, retry_after: Duration) -> Self {
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
     /// The same answer with the snapshot that was pinned.
-    pub fn pinned(mut self, snapshot: SnapshotId) -> Self {
+    pub fn with_snapshot(mut self, snapshot: SnapshotId) -> Self {
         self.snapshot = Some(snapshot);
         self
     }
--- a/crates/sablehaven-agent/src/config.rs
+++ b/crates/sablehaven-agent/src/config.rs
@@ -139,12 +139,12 @@
 
 impl Limits {
     fn validate(&self, prefix: &str) -> Vec<SettingError> {
-        const LARGEST_BODY: u64 = 64 * 1024 * 1024;
+        const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
         let mut checks = SettingChecks::new(prefix);
         let request_body_bytes = self.request_body_bytes as u64;
-        checks.range("request_body_bytes", request_body_bytes, 1..=LARGEST_BODY);
+        checks.range("request_body_bytes", request_body_bytes, 1..=MAX_BODY_BYTES);
         let reply_body_bytes = self.reply_body_bytes as u64;
-        checks.range("reply_body_bytes", reply_body_bytes, 1..=LARGEST_BODY);
+        checks.range("reply_body_bytes", reply_body_bytes, 1..=MAX_BODY_BYTES);
         let attempts = self.attempts_per_sub_request;
         checks.range("attempts_per_sub_request", attempts, 1..=10);
         checks.range("query_restarts", self.query_restarts, 0..=10);
@@ -154,43 +154,47 @@
 
 impl Timing {
     fn validate(&self, prefix: &str) -> Vec<SettingError> {
-        const MINUTE: u64 = 60_000;
+        const MINUTE_MS: u64 = 60_000;
         let mut checks = SettingChecks::new(prefix);
-        checks.range("ledger_call_ms", self.ledger_call_ms, 10..=MINUTE);
-        checks.range("ledger_pause_ms", self.ledger_pause_ms, 1..=MINUTE);
-        checks.range("settle_ms", self.settle_ms, 100..=10 * MINUTE);
-        checks.range("late_reply_ms", self.late_reply_ms, 0..=10 * MINUTE);
+        checks.range("ledger_call_ms", self.ledger_call_ms, 10..=MINUTE_MS);
+        checks.range("ledger_pause_ms", self.ledger_pause_ms, 1..=MINUTE_MS);
+        checks.range("settle_ms", self.settle_ms, 100..=10 * MINUTE_MS);
+        checks.range("late_reply_ms", self.late_reply_ms, 0..=10 * MINUTE_MS);
         let issue_age_limit_ms = self.issue_age_limit_ms;
         checks.range(
             "issue_age_limit_ms",
             issue_age_limit_ms,
-            1_000..=60 * MINUTE,
+            1_000..=60 * MINUTE_MS,
         );
-        checks.range("retry_after_ms", self.retry_after_ms, 1..=10 * MINUTE);
-        checks.range("stop_notice_ms", self.stop_notice_ms, 0..=MINUTE);
-        checks.range("stop_limit_ms", self.stop_limit_ms, 100..=60 * MINUTE);
-        checks.range("connection_ping_ms", self.connection_ping_ms, 100..=MINUTE);
-        checks.range("connect_ms", self.connect_ms, 10..=MINUTE);
+        checks.range("retry_after_ms", self.retry_after_ms, 1..=10 * MINUTE_MS);
+        checks.range("stop_notice_ms", self.stop_notice_ms, 0..=MINUTE_MS);
+        checks.range("stop_limit_ms", self.stop_limit_ms, 100..=60 * MINUTE_MS);
+        checks.range(
+            "connection_ping_ms",
+            self.connection_ping_ms,
+            100..=MINUTE_MS,
+        );
+        checks.range("connect_ms", self.connect_ms, 10..=MINUTE_MS);
         checks.into_errors()
     }
 
     /// One ledger call.
-    pub fn ledger_call(&self) -> Duration {
+    pub fn ledger_call_timeout(&self) -> Duration {
         Duration::from_millis(self.ledger_call_ms)
     }
 
     /// Pause between two ledger calls.
-    pub fn ledger_pause(&self) -> Duration {
+    pub fn ledger_retry_delay(&self) -> Duration {
         Duration::from_millis(self.ledger_pause_ms)
     }
 
     /// Time within which an outcome is recorded.
-    pub fn settle(&self) -> Duration {
+    pub fn settle_timeout(&self) -> Duration {
         Duration::from_millis(self.settle_ms)
     }
 
     /// Time that a late reply is waited for.
-    pub fn late_reply(&self) -> Duration {
+    pub fn late_reply_window(&self) -> Duration {
         Duration::from_millis(self.late_reply_ms)
     }
 
@@ -205,17 +209,17 @@
     }
 
     /// Longest wait for requests in flight in a planned stop.
-    pub fn stop_limit(&self) -> Duration {
+    pub fn stop_timeout(&self) -> Duration {
         Duration::from_millis(self.stop_limit_ms)
     }
 
     /// Interval of HTTP/2 pings.
-    pub fn connection_ping(&self) -> Duration {
+    pub fn ping_interval(&self) -> Duration {
         Duration::from_millis(self.connection_ping_ms)
     }
 
     /// Time that opening a connection may take.
-    pub fn connect(&self) -> Duration {
+    pub fn connect_timeout(&self) -> Duration {
         Duration::from_millis(self.connect_ms)
     }
 }
--- a/crates/sablehaven-agent/src/interface/handler.rs
+++ b/crates/sablehaven-agent/src/interface/handler.rs
@@ -24,7 +24,7 @@
     agent::Agent,
     answer::Answer,
     metrics::RequestKind,
-    once::{Moment, OnceHeaders, OnceRequest, is_resend},
+    once::{ClockReading, OnceHeaders, OnceRequest, is_resend},
     plan::{AgentPlan, ServicePlan},
     query::ReadRequest,
     reason::Reason,
@@ -37,12 +37,12 @@
 }
 
 /// A request whose body fits the schema.
-struct Call<'a> {
+struct DecodedCall<'a> {
     service: &'a Arc<ServicePlan>,
     method: &'a MethodSchema,
     message: DynamicMessage,
     time_allowed: Duration,
-    arrived: Moment,
+    arrived: ClockReading,
 }
 
 #[async_trait]
@@ -54,16 +54,16 @@
         response: &mut Response,
         _control: &mut FlowCtrl,
     ) {
-        let arrived = Moment::now();
+        let arrived = ClockReading::now();
         let encoding = answer_encoding(request.headers());
         let agent = &self.agent;
         let plan = agent.current_plan().await;
         let (kind, answer) = self.serve(request, &plan, arrived).await;
         let latency = arrived.monotonic.elapsed();
-        agent.metrics.answered(kind, answer.outcome, latency);
+        agent.metrics.record_answer(kind, answer.outcome, latency);
         let configuration = plan.age(agent.subscription.lease());
         let encoded = encode_answer(answer, configuration, encoding);
-        write(encoded, response);
+        write_response(encoded, response);
         if agent.is_stopping() && request.version() < Version::HTTP_2 {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
@@ -76,35 +76,35 @@
         &self,
         request: &mut Request,
         plan: &AgentPlan,
-        arrived: Moment,
+        arrived: ClockReading,
     ) -> (RequestKind, Answer) {
         if plan.schema.is_none() {
-            let answer = self.agent.come_back(Reason::NotReady);
+            let answer = self.agent.refusal_with_retry_after(Reason::NotReady);
             return (RequestKind::Unrecognised, answer);
         }
         let resend = is_resend(request.headers());
         let path = request.uri().path().to_owned();
         let Some((method, service)) = plan.method(&path) else {
-            let refusal = refuse(Reason::UnknownMethod(path), resend);
-            return (RequestKind::Unrecognised, refusal);
+            let answer = refusal(Reason::UnknownMethod(path), resend);
+            return (RequestKind::Unrecognised, answer);
         };
         let kind = request_kind(method);
-        let call = self.read(request, service, method, arrived).await;
+        let call = self.decode_call(request, service, method, arrived).await;
         let answer = match call {
             Ok(call) if kind == RequestKind::Once => self.serve_once(call, request).await,
             Ok(call) => self.serve_read(call).await,
-            Err(reason) => refuse(reason, resend && kind == RequestKind::Once),
+            Err(reason) => refusal(reason, resend && kind == RequestKind::Once),
         };
         (kind, answer)
     }
 
-    async fn read<'a>(
+    async fn decode_call<'a>(
         &self,
         request: &mut Request,
         service: &'a Arc<ServicePlan>,
         method: &'a MethodSchema,
-        arrived: Moment,
-    ) -> Result<Call<'a>, Reason> {
+        arrived: ClockReading,
+    ) -> Result<DecodedCall<'a>, Reason> {
         let encoding = request_encoding(request.headers())?;
         let time_allowed = time_allowed(request.headers(), method.deadline_ms)?;
         let limit_bytes = self.agent.config.limits.request_body_bytes;
@@ -113,8 +113,8 @@
             limit_bytes,
             cause: error.to_string(),
         })?;
-        let message = decode(method, encoding, body).map_err(Reason::BadBody)?;
-        Ok(Call {
+        let message = decode(method, encoding, body).map_err(Reason::InvalidBody)?;
+        Ok(DecodedCall {
             service,
             method,
             message,
@@ -123,7 +123,7 @@
         })
     }
 
-    async fn serve_read(&self, call: Call<'_>) -> Answer {
+    async fn serve_read(&self, call: DecodedCall<'_>) -> Answer {
         let deadline: Instant = call.arrived.monotonic + call.time_allowed;
         let read = ReadRequest {
             service: call.service,
@@ -139,7 +139,7 @@
 
     /// Runs the request in a task of its own: a caller that goes away must not leave a claim behind
     /// without its outcome.
-    async fn serve_once(&self, call: Call<'_>, request: &Request) -> Answer {
+    async fn serve_once(&self, call: DecodedCall<'_>, request: &Request) -> Answer {
         let headers = match OnceHeaders::read(request.headers()) {
             Ok(headers) => headers,
             Err(reason) => return Answer::without_reply(reason),
@@ -161,7 +161,7 @@
     }
 }
 
-fn refuse(reason: Reason, resend: bool) -> Answer {
+fn refusal(reason: Reason, resend: bool) -> Answer {
     let reason = if resend { reason.for_resend() } else { reason };
     Answer::without_reply(reason)
 }
@@ -187,7 +187,7 @@
     Ok(message)
 }
 
-fn write(answer: EncodedAnswer, response: &mut Response) {
+fn write_response(answer: EncodedAnswer, response: &mut Response) {
     response.status_code(answer.status);
     let headers = response.headers_mut();
     let content_type = HeaderValue::from_static(answer.content_type);
--- a/crates/sablehaven-agent/src/interface/request.rs
+++ b/crates/sablehaven-agent/src/interface/request.rs
@@ -11,7 +11,7 @@
 use crate::reason::Reason;
 
 /// The longest deadline a caller may ask for.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(60);
+const MAX_DEADLINE: Duration = Duration::from_secs(60);
 
 /// How a body is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,13 +38,13 @@
         return Ok(Encoding::Json);
     };
     let text = String::from_utf8_lossy(value.as_bytes());
-    named_encoding(&text).ok_or_else(|| Reason::ContentType(text.into_owned()))
+    parse_media_type(&text).ok_or_else(|| Reason::UnsupportedContentType(text.into_owned()))
 }
 
 /// The encoding of the answer: the first that the caller accepts, else that of the request.
 pub fn answer_encoding(headers: &HeaderMap) -> Encoding {
     let accepted = headers.get(ACCEPT).and_then(|value| value.to_str().ok());
-    let accepted = accepted.and_then(|text| text.split(',').find_map(named_encoding));
+    let accepted = accepted.and_then(|text| text.split(',').find_map(parse_media_type));
     let fallback = request_encoding(headers).unwrap_or(Encoding::Json);
     accepted.unwrap_or(fallback)
 }
@@ -57,8 +57,8 @@
     let parsed = value.to_str().ok().and_then(|text| text.parse().ok());
     let named = parsed.map(Duration::from_millis);
     named
-        .filter(|time| !time.is_zero() && *time <= LONGEST_DEADLINE)
-        .ok_or_else(|| Reason::BadHeader {
+        .filter(|time| !time.is_zero() && *time <= MAX_DEADLINE)
+        .ok_or_else(|| Reason::InvalidHeader {
             name: http::DEADLINE_MS,
             value: String::from_utf8_lossy(value.as_bytes()).into_owned(),
             allowed: "1 to 60000",
@@ -66,7 +66,7 @@
 }
 
 /// The encoding that a media type names, its parameters put aside.
-fn named_encoding(media_type: &str) -> Option<Encoding> {
+fn parse_media_type(media_type: &str) -> Option<Encoding> {
     let essence = media_type.split(';').next()?.trim();
     if essence.eq_ignore_ascii_case(http::CONTENT_TYPE_JSON) {
         return Some(Encoding::Json);
--- a/crates/sablehaven-agent/src/interface/response.rs
+++ b/crates/sablehaven-agent/src/interface/response.rs
@@ -33,7 +33,7 @@
         Some(reason) => reason.status(),
         None => StatusCode::OK,
     };
-    let retry_after_seconds = answer.retry_after.map(whole_seconds);
+    let retry_after_seconds = answer.retry_after.map(round_up_to_seconds);
     let body = match encoding {
         Encoding::Json => encode_as_json(answer, configuration),
         Encoding::Protobuf => encode_as_protobuf(answer, configuration),
@@ -56,7 +56,7 @@
         }
         None => None,
     };
-    let envelope = envelope(answer, configuration, reason, body);
+    let envelope = build_envelope(answer, configuration, reason, body);
     // An envelope of strings, numbers and a JSON value always serializes.
     serde_json::to_vec(&envelope).unwrap_or_default()
 }
@@ -64,11 +64,11 @@
 fn encode_as_protobuf(answer: Answer, configuration: ConfigurationAge) -> Vec<u8> {
     let reason = answer.reason.as_ref().map(ToString::to_string);
     let body = answer.body.as_ref().map(encode_protobuf);
-    let envelope = envelope(answer, configuration, reason, body);
+    let envelope = build_envelope(answer, configuration, reason, body);
     ProtobufEnvelope::from(envelope).to_bytes()
 }
 
-fn envelope<Body>(
+fn build_envelope<Body>(
     answer: Answer,
     configuration: ConfigurationAge,
     reason: Option<String>,
@@ -80,17 +80,17 @@
         snapshot: answer.snapshot,
         coverage: answer.coverage,
         configuration,
-        retry_after_ms: answer.retry_after.map(whole_milliseconds),
+        retry_after_ms: answer.retry_after.map(round_up_to_ms),
         body,
     }
 }
 
 /// Rounded up, so that a caller never comes back too early.
-fn whole_milliseconds(duration: Duration) -> u64 {
+fn round_up_to_ms(duration: Duration) -> u64 {
     let milliseconds = duration.as_nanos().div_ceil(1_000_000);
     u64::try_from(milliseconds).unwrap_or(u64::MAX)
 }
 
-fn whole_seconds(duration: Duration) -> u64 {
-    whole_milliseconds(duration).div_ceil(1_000)
+fn round_up_to_seconds(duration: Duration) -> u64 {
+    round_up_to_ms(duration).div_ceil(1_000)
 }
--- a/crates/sablehaven-agent/src/lib.rs
+++ b/crates/sablehaven-agent/src/lib.rs
@@ -2,7 +2,7 @@
 //! requests that may not be repeated.
 //!
 //! Decisions stand apart from sockets: what a sub-request does next ([`query::SubRequest`]), whether
-//! a reply belongs to its attempt ([`transport::judge_head`]), what an answer covers
+//! a reply belongs to its attempt ([`transport::check_reply_head`]), what an answer covers
 //! ([`query::split`]) and what becomes of a request that may not be repeated
 //! ([`once::after_claim`], [`once::DispatchCheck`], [`once::after_dispatch`]) are pure functions.
 
--- a/crates/sablehaven-agent/src/metrics.rs
+++ b/crates/sablehaven-agent/src/metrics.rs
@@ -25,7 +25,7 @@
 const FIRST_LATENCY_BUCKET_SECONDS: f64 = 0.001;
 
 /// Buckets of the latency histogram, each twice as wide as the one before: up to 32 s.
-const LATENCY_BUCKETS: u16 = 16;
+const LATENCY_BUCKET_COUNT: u16 = 16;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RequestLabels {
@@ -57,7 +57,7 @@
 }
 
 impl RequestKind {
-    fn name(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Query => "query",
             Self::Lookup => "lookup",
@@ -85,7 +85,7 @@
     missing: Family<ReasonLabel, Counter>,
     ledger: Family<KindLabel, Counter>,
     /// Outcomes that could not be recorded.
-    pub unrecorded: Counter,
+    pub unrecorded_outcomes: Counter,
     /// Version of the configuration in force in this agent.
     pub configuration_version: Gauge,
     /// 1 while the agent holds a lease.
@@ -110,7 +110,7 @@
             discarded: Family::default(),
             missing: Family::default(),
             ledger: Family::default(),
-            unrecorded: Counter::default(),
+            unrecorded_outcomes: Counter::default(),
             configuration_version: Gauge::default(),
             lease_current: Gauge::default(),
             unusable_configurations: Counter::default(),
@@ -168,7 +168,7 @@
         registry.register(
             "unrecorded_outcomes",
             "Outcomes that could not be recorded in the ledger",
-            self.unrecorded.clone(),
+            self.unrecorded_outcomes.clone(),
         );
         registry.register(
             "configuration_version",
@@ -188,21 +188,21 @@
     }
 
     /// Counts an answered request.
-    pub fn answered(&self, kind: RequestKind, outcome: Outcome, latency: Duration) {
+    pub fn record_answer(&self, kind: RequestKind, outcome: Outcome, latency: Duration) {
         let outcome = match outcome {
             Outcome::Done => "done",
             Outcome::NotRun => "not_run",
             Outcome::Unknown => "unknown",
         };
-        let kind = kind.name();
+        let kind = kind.label();
         let labels = RequestLabels { kind, outcome };
         self.requests.get_or_create(&labels).inc();
-        let latencies = self.latency.get_or_create(&KindLabel { kind });
-        latencies.observe(latency.as_secs_f64());
+        let histogram = self.latency.get_or_create(&KindLabel { kind });
+        histogram.observe(latency.as_secs_f64());
     }
 
     /// Counts a back end's refusal.
-    pub fn refused(&self, refusal: Refusal) {
+    pub fn record_refusal(&self, refusal: Refusal) {
         let reason = match refusal {
             Refusal::Shed => "shed",
             Refusal::Draining => "draining",
@@ -213,31 +213,31 @@
     }
 
     /// Counts a discarded reply.
-    pub fn discarded(&self, reason: DiscardReason) {
-        let reason = reason.name();
+    pub fn record_discarded_reply(&self, reason: DiscardReason) {
+        let reason = reason.label();
         self.discarded.get_or_create(&ReasonLabel { reason }).inc();
     }
 
     /// Counts the shards missing from an answer.
-    pub fn covered(&self, coverage: &Coverage) {
+    pub fn record_missing_shards(&self, coverage: &Coverage) {
         for entry in &coverage.missing {
-            let reason = missing_name(entry.reason);
+            let reason = missing_reason_label(entry.reason);
             self.missing.get_or_create(&ReasonLabel { reason }).inc();
         }
     }
 
     /// Counts a call to the ledger.
-    pub fn ledger_call(&self, kind: &'static str) {
+    pub fn record_ledger_call(&self, kind: &'static str) {
         self.ledger.get_or_create(&KindLabel { kind }).inc();
     }
 }
 
 fn latency_histogram() -> Histogram {
-    let buckets = exponential_buckets(FIRST_LATENCY_BUCKET_SECONDS, 2.0, LATENCY_BUCKETS);
+    let buckets = exponential_buckets(FIRST_LATENCY_BUCKET_SECONDS, 2.0, LATENCY_BUCKET_COUNT);
     Histogram::new(buckets)
 }
 
-fn missing_name(reason: MissingReason) -> &'static str {
+fn missing_reason_label(reason: MissingReason) -> &'static str {
     match reason {
         MissingReason::Deadline => "deadline",
         MissingReason::NoReplica => "no_replica",
--- a/crates/sablehaven-agent/src/metrics/routing.rs
+++ b/crates/sablehaven-agent/src/metrics/routing.rs
@@ -33,37 +33,37 @@
 impl RoutingMetrics {
     pub(super) fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("routing");
-        let mut add = |name: &str, help: &str, gauge: &ServiceGauge| {
+        let mut register_gauge = |name: &str, help: &str, gauge: &ServiceGauge| {
             registry.register(name, help, gauge.clone());
         };
-        add(
+        register_gauge(
             "needed",
             "Sub-requests that admitted requests need",
             &self.needed,
         );
-        add("extra", "Hedges and retries beyond them", &self.extra);
-        add(
+        register_gauge("extra", "Hedges and retries beyond them", &self.extra);
+        register_gauge(
             "extra_refused",
             "Hedges and retries that the budget refused",
             &self.extra_refused,
         );
-        add("refused", "Requests refused by admission", &self.refused);
-        add(
+        register_gauge("refused", "Requests refused by admission", &self.refused);
+        register_gauge(
             "budget_factor",
             "Part of the extra load budget that sheds have left, 0 to 1",
             &self.budget_factor,
         );
-        add(
+        register_gauge(
             "admission_limit",
             "Limit on needed sub-requests per second, 0 without one",
             &self.admission_limit,
         );
-        add(
+        register_gauge(
             "remote_share",
             "Share of work that spills to other regions, 0 to 1",
             &self.remote_share,
         );
-        add(
+        register_gauge(
             "ejected",
             "Back ends taken out for not answering",
             &self.ejected,
@@ -71,7 +71,7 @@
     }
 
     /// Shows one service's router as it is now.
-    pub fn show(&self, service: &ServiceName, counters: RouterCounters, state: RouterState) {
+    pub fn update(&self, service: &ServiceName, counters: RouterCounters, state: RouterState) {
         let label = ServiceLabel {
             service: service.0.clone(),
         };
--- a/crates/sablehaven-agent/src/once.rs
+++ b/crates/sablehaven-agent/src/once.rs
@@ -14,7 +14,7 @@
 mod responder;
 
 pub use decision::{
-    ClaimDecision, DispatchCheck, DispatchDecision, Moment, after_claim, after_dispatch,
+    ClaimDecision, ClockReading, DispatchCheck, DispatchDecision, after_claim, after_dispatch,
 };
 pub use fingerprint::fingerprint;
 pub use flow::{OnceEnvironment, OnceRequest};
--- a/crates/sablehaven-agent/src/once/decision.rs
+++ b/crates/sablehaven-agent/src/once/decision.rs
@@ -20,13 +20,13 @@
     /// The request is not dispatched.
     Refuse(Reason),
     /// No answer; the same claim may be sent again.
-    AskAgain,
+    Retry,
 }
 
 /// Judges the ledger's reply to a claim.
 pub fn after_claim(reply: LedgerReply) -> ClaimDecision {
     let LedgerReply::Claim(answer) = reply else {
-        return ClaimDecision::AskAgain;
+        return ClaimDecision::Retry;
     };
     match answer {
         ClaimAnswer::Granted => ClaimDecision::Dispatch,
@@ -34,27 +34,27 @@
         ClaimAnswer::Held => ClaimDecision::Refuse(Reason::InProgress),
         ClaimAnswer::FingerprintMismatch => ClaimDecision::Refuse(Reason::RequestIdReused),
         // What the ledger has forgotten may have run, so this is not "not run".
-        ClaimAnswer::BelowHorizon { .. } => ClaimDecision::Refuse(Reason::Forgotten),
+        ClaimAnswer::BelowHorizon { .. } => ClaimDecision::Refuse(Reason::BelowLedgerHorizon),
         ClaimAnswer::IssuedInFuture { limit_ms } => {
             ClaimDecision::Refuse(Reason::IssuedInFuture { limit_ms })
         }
         ClaimAnswer::Full => ClaimDecision::Refuse(Reason::LedgerFull),
         ClaimAnswer::Released => ClaimDecision::Refuse(Reason::LedgerUnavailable),
-        ClaimAnswer::Free => ClaimDecision::AskAgain,
+        ClaimAnswer::Free => ClaimDecision::Retry,
     }
 }
 
 /// A moment on both clocks. The monotonic clock stands still while the machine sleeps, and the wall
 /// clock may be set, so neither alone shows how long a process was frozen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct ClockReading {
     /// The monotonic clock.
     pub monotonic: Instant,
     /// The wall clock, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
-impl Moment {
+impl ClockReading {
     /// This moment.
     pub fn now() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -70,9 +70,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchCheck {
     /// When the request arrived.
-    pub arrived: Moment,
+    pub arrived: ClockReading,
     /// Now.
-    pub now: Moment,
+    pub now: ClockReading,
     /// Time from arrival to the caller's deadline.
     pub time_allowed: Duration,
     /// When the caller issued the request, in milliseconds since the Unix epoch.
@@ -85,17 +85,17 @@
 
 impl DispatchCheck {
     /// Whether the request may be dispatched now, or why not.
-    pub fn verdict(&self) -> Result<(), Reason> {
-        let monotonic = self.now.monotonic - self.arrived.monotonic;
-        let wall = self.now.wall_ms.saturating_sub(self.arrived.wall_ms);
-        let elapsed = monotonic.max(Duration::from_millis(wall));
+    pub fn check(&self) -> Result<(), Reason> {
+        let monotonic_elapsed = self.now.monotonic - self.arrived.monotonic;
+        let wall_elapsed_ms = self.now.wall_ms.saturating_sub(self.arrived.wall_ms);
+        let elapsed = monotonic_elapsed.max(Duration::from_millis(wall_elapsed_ms));
         if elapsed >= self.time_allowed {
             return Err(Reason::DeadlineBeforeDispatch);
         }
         // Below the ledger's horizon a resend is not recognised any more, so this one must be far
         // from it.
-        let age = self.now.wall_ms.saturating_sub(self.issued_at_ms);
-        if age > self.issue_age_limit_ms {
+        let issue_age_ms = self.now.wall_ms.saturating_sub(self.issued_at_ms);
+        if issue_age_ms > self.issue_age_limit_ms {
             return Err(Reason::IssuedTooLongAgo);
         }
         if !self.lease_current {
--- a/crates/sablehaven-agent/src/once/dispatch.rs
+++ b/crates/sablehaven-agent/src/once/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::{
     metrics::Metrics,
     query::AttemptFailure,
-    routing::AttemptTicket,
+    routing::AttemptGuard,
     transport::{AttemptEnd, AttemptIdentity, AttemptMessage, AttemptReport},
 };
 
@@ -22,7 +22,7 @@
 }
 
 /// The only place that sends a request that may not be repeated to a back end.
-pub async fn exchange(
+pub async fn send_dispatch(
     request: &OnceRequest,
     metrics: &Metrics,
     dispatch: Dispatch,
@@ -33,7 +33,7 @@
     let now = service.router.now();
     service.router.lock().policy.sent(now, &chosen.backend);
     let router = Arc::clone(&service.router);
-    let ticket = AttemptTicket::new(router, chosen.backend.clone(), request.deadline());
+    let attempt_guard = AttemptGuard::new(router, chosen.backend.clone(), request.deadline());
     metrics.sub_requests.inc();
     let report = match service.connections.client(&chosen.backend, chosen.address) {
         Err(error) => AttemptReport::not_connected(error),
@@ -44,12 +44,12 @@
                 body: encode_protobuf(&request.message).into(),
                 deadline: request.deadline(),
                 accept_until,
-                once_key: Some(&request.headers.key),
+                ledger_key: Some(&request.headers.key),
             };
             client.attempt(message).await
         }
     };
-    ticket.finish(attempt_outcome(&report), report.signals);
+    attempt_guard.finish(attempt_outcome(&report), report.signals);
     report.end
 }
 
--- a/crates/sablehaven-agent/src/once/fingerprint.rs
+++ b/crates/sablehaven-agent/src/once/fingerprint.rs
@@ -8,22 +8,22 @@
 /// encoding fixes their order.
 pub fn fingerprint(path: &str, message: &DynamicMessage) -> u64 {
     let mut hasher = Xxh3::new();
-    put_bytes(&mut hasher, path.as_bytes());
-    put_message(&mut hasher, message);
+    hash_bytes(&mut hasher, path.as_bytes());
+    hash_message(&mut hasher, message);
     hasher.digest()
 }
 
-fn put_message(hasher: &mut Xxh3, message: &DynamicMessage) {
+fn hash_message(hasher: &mut Xxh3, message: &DynamicMessage) {
     let mut fields: Vec<_> = message.fields().collect();
     fields.sort_by_key(|(field, _)| field.number());
-    put_length(hasher, fields.len());
+    hash_length(hasher, fields.len());
     for (field, value) in fields {
         hasher.update(&field.number().to_le_bytes());
-        put_value(hasher, value);
+        hash_value(hasher, value);
     }
 }
 
-fn put_value(hasher: &mut Xxh3, value: &Value) {
+fn hash_value(hasher: &mut Xxh3, value: &Value) {
     match value {
         Value::Bool(value) => hasher.update(&[u8::from(*value)]),
         Value::I32(value) => hasher.update(&value.to_le_bytes()),
@@ -33,42 +33,42 @@
         Value::F32(value) => hasher.update(&value.to_bits().to_le_bytes()),
         Value::F64(value) => hasher.update(&value.to_bits().to_le_bytes()),
         Value::EnumNumber(value) => hasher.update(&value.to_le_bytes()),
-        Value::String(value) => put_bytes(hasher, value.as_bytes()),
-        Value::Bytes(value) => put_bytes(hasher, value),
-        Value::Message(value) => put_message(hasher, value),
+        Value::String(value) => hash_bytes(hasher, value.as_bytes()),
+        Value::Bytes(value) => hash_bytes(hasher, value),
+        Value::Message(value) => hash_message(hasher, value),
         Value::List(values) => {
-            put_length(hasher, values.len());
-            values.iter().for_each(|value| put_value(hasher, value));
+            hash_length(hasher, values.len());
+            values.iter().for_each(|value| hash_value(hasher, value));
         }
         Value::Map(entries) => {
             let mut entries: Vec<_> = entries.iter().collect();
             entries.sort_by_key(|(key, _)| *key);
-            put_length(hasher, entries.len());
+            hash_length(hasher, entries.len());
             for (key, value) in entries {
-                put_key(hasher, key);
-                put_value(hasher, value);
+                hash_key(hasher, key);
+                hash_value(hasher, value);
             }
         }
     }
 }
 
-fn put_key(hasher: &mut Xxh3, key: &MapKey) {
+fn hash_key(hasher: &mut Xxh3, key: &MapKey) {
     match key {
         MapKey::Bool(value) => hasher.update(&[u8::from(*value)]),
         MapKey::I32(value) => hasher.update(&value.to_le_bytes()),
         MapKey::I64(value) => hasher.update(&value.to_le_bytes()),
         MapKey::U32(value) => hasher.update(&value.to_le_bytes()),
         MapKey::U64(value) => hasher.update(&value.to_le_bytes()),
-        MapKey::String(value) => put_bytes(hasher, value.as_bytes()),
+        MapKey::String(value) => hash_bytes(hasher, value.as_bytes()),
     }
 }
 
 /// The length goes first, so that no two different values hash the same bytes.
-fn put_bytes(hasher: &mut Xxh3, bytes: &[u8]) {
-    put_length(hasher, bytes.len());
+fn hash_bytes(hasher: &mut Xxh3, bytes: &[u8]) {
+    hash_length(hasher, bytes.len());
     hasher.update(bytes);
 }
 
-fn put_length(hasher: &mut Xxh3, length: usize) {
+fn hash_length(hasher: &mut Xxh3, length: usize) {
     hasher.update(&(length as u64).to_le_bytes());
 }
--- a/crates/sablehaven-agent/src/once/flow.rs
+++ b/crates/sablehaven-agent/src/once/flow.rs
@@ -16,8 +16,8 @@
 use tokio::{sync::oneshot, time::timeout_at};
 
 use super::{
-    decision::{ClaimDecision, DispatchCheck, DispatchDecision, Moment, after_dispatch},
-    dispatch::{Dispatch, exchange},
+    decision::{ClaimDecision, ClockReading, DispatchCheck, DispatchDecision, after_dispatch},
+    dispatch::{Dispatch, send_dispatch},
     fingerprint::fingerprint,
     key::OnceHeaders,
     ledger::LedgerEntry,
@@ -33,7 +33,7 @@
 };
 
 /// The largest part of the time allowed that is kept back for giving up before the deadline.
-const LARGEST_RESERVE: Duration = Duration::from_millis(50);
+const MAX_REPLY_RESERVE: Duration = Duration::from_millis(50);
 
 /// The share of the time allowed that is kept back: one in this many.
 const RESERVE_DIVISOR: u32 = 10;
@@ -61,7 +61,7 @@
     /// Its key, and whether it was sent before.
     pub headers: OnceHeaders,
     /// When it arrived.
-    pub arrived: Moment,
+    pub arrived: ClockReading,
     /// Time from arrival to the caller's deadline.
     pub time_allowed: Duration,
 }
@@ -100,8 +100,8 @@
     }
 
     /// When to give up before the dispatch, so that the refusal reaches the caller in time.
-    fn claim_until(&self) -> Instant {
-        let reserve = (self.time_allowed / RESERVE_DIVISOR).min(LARGEST_RESERVE);
+    fn claim_deadline(&self) -> Instant {
+        let reserve = (self.time_allowed / RESERVE_DIVISOR).min(MAX_REPLY_RESERVE);
         self.deadline() - reserve
     }
 }
@@ -112,7 +112,9 @@
             return self.responder.answer(refusal);
         }
         let fingerprint = fingerprint(&self.request.method.path, &self.request.message);
-        let claim = self.ledger.claim(fingerprint, self.request.claim_until());
+        let claim = self
+            .ledger
+            .claim(fingerprint, self.request.claim_deadline());
         match claim.await {
             Some(ClaimDecision::Dispatch) => self.dispatch_once().await,
             Some(ClaimDecision::Recorded(outcome)) => {
@@ -123,7 +125,7 @@
                 let answer = self.refusal(reason);
                 self.responder.answer(answer);
             }
-            Some(ClaimDecision::AskAgain) | None => self.give_up_claim().await,
+            Some(ClaimDecision::Retry) | None => self.abandon_claim().await,
         }
     }
 
@@ -131,7 +133,7 @@
     /// such a one they say "unknown".
     fn refuse_before_claim(&self) -> Option<Answer> {
         if !self.environment.subscription.lease().current {
-            return Some(self.early_refusal(Reason::NoLease));
+            return Some(self.refusal_without_claim(Reason::NoLease));
         }
         if self.request.headers.resend {
             return None;
@@ -142,14 +144,14 @@
         match admission {
             Admission::Admitted => None,
             Admission::Refused { retry_after } => {
-                Some(Answer::without_reply(Reason::Pressed).retry_after(retry_after))
+                Some(Answer::without_reply(Reason::Overloaded).with_retry_after(retry_after))
             }
         }
     }
 
     /// The ledger did not answer. The claim may still take effect there; it is never dispatched.
-    async fn give_up_claim(mut self) {
-        let answer = self.early_refusal(Reason::LedgerUnavailable);
+    async fn abandon_claim(mut self) {
+        let answer = self.refusal_without_claim(Reason::LedgerUnavailable);
         self.responder.answer(answer);
         self.release().await;
     }
@@ -172,15 +174,15 @@
     /// the dispatch, or the check would speak of the past.
     fn prepare(&self, pinned: &IndexSnapshot) -> Result<Dispatch, Reason> {
         let (shard, chosen) = self.choose(pinned).map_err(Reason::NoReplica)?;
-        let check = DispatchCheck {
+        let dispatch_check = DispatchCheck {
             arrived: self.request.arrived,
-            now: Moment::now(),
+            now: ClockReading::now(),
             time_allowed: self.request.time_allowed,
             issued_at_ms: self.request.headers.key.issued_at_ms,
             issue_age_limit_ms: self.environment.timing.issue_age_limit_ms,
             lease_current: self.environment.subscription.lease().current,
         };
-        check.verdict()?;
+        dispatch_check.check()?;
         Ok(Dispatch {
             chosen,
             identity: AttemptIdentity {
@@ -206,15 +208,15 @@
     /// reply is still waited for: it may say that the request ran.
     async fn dispatch(&mut self, dispatch: Dispatch) -> DispatchDecision {
         let deadline = self.request.deadline();
-        let accept_until = deadline + self.environment.timing.late_reply();
+        let accept_until = deadline + self.environment.timing.late_reply_window();
         let unknown = self.unknown_answer();
-        let exchange = exchange(
+        let sending = send_dispatch(
             &self.request,
             &self.environment.metrics,
             dispatch,
             accept_until,
         );
-        let bounded = timeout_at(accept_until.into(), exchange);
+        let bounded = timeout_at(accept_until.into(), sending);
         let report = self
             .responder
             .answer_by(deadline, || unknown, bounded)
@@ -230,7 +232,7 @@
         let Ok(reply) = decode_reply(&self.request.method.output, &body) else {
             return self.settle_unknown(Some(DiscardReason::Undecodable)).await;
         };
-        let answer = Answer::done(reply).pinned(snapshot);
+        let answer = Answer::done(reply).with_snapshot(snapshot);
         let outcome = RecordedOutcome::Done {
             body: body.to_vec(),
         };
@@ -239,21 +241,24 @@
 
     async fn settle_unknown(mut self, discarded: Option<DiscardReason>) {
         if let Some(reason) = discarded {
-            self.environment.metrics.discarded(reason);
+            self.environment.metrics.record_discarded_reply(reason);
         }
         let answer = self.unknown_answer();
         self.settle(RecordedOutcome::Unknown, answer).await;
     }
 
     async fn settle(&mut self, outcome: RecordedOutcome, answer: Answer) {
-        let until = Instant::now() + self.environment.timing.settle();
+        let settle_deadline = Instant::now() + self.environment.timing.settle_timeout();
         let deadline = self.request.deadline();
-        let early = answer.clone();
-        let settling = self.ledger.settle(outcome, until);
-        let recorded = self.responder.answer_by(deadline, || early, settling).await;
+        let early_answer = answer.clone();
+        let settling = self.ledger.settle(outcome, settle_deadline);
+        let recorded = self
+            .responder
+            .answer_by(deadline, || early_answer, settling)
+            .await;
         self.responder.answer(answer);
         if !recorded {
-            self.environment.metrics.unrecorded.inc();
+            self.environment.metrics.unrecorded_outcomes.inc();
             log::warn!("settle request {:?}: not recorded", self.ledger.key);
         }
     }
@@ -262,25 +267,25 @@
     /// in progress; but the caller waits for that no longer than one ledger call.
     async fn release_and_refuse(mut self, reason: Reason) {
         let answer = self.refusal(reason);
-        let one_call = Instant::now() + self.environment.timing.ledger_call();
-        let answer_by = one_call.min(self.request.deadline());
-        let early = answer.clone();
-        let until = Instant::now() + self.environment.timing.settle();
-        let releasing = self.ledger.release(until);
+        let one_call_deadline = Instant::now() + self.environment.timing.ledger_call_timeout();
+        let answer_by = one_call_deadline.min(self.request.deadline());
+        let early_answer = answer.clone();
+        let release_deadline = Instant::now() + self.environment.timing.settle_timeout();
+        let releasing = self.ledger.release(release_deadline);
         let released = self
             .responder
-            .answer_by(answer_by, || early, releasing)
+            .answer_by(answer_by, || early_answer, releasing)
             .await;
         self.responder.answer(answer);
         if !released {
-            self.environment.metrics.unrecorded.inc();
+            self.environment.metrics.unrecorded_outcomes.inc();
         }
     }
 
     async fn release(&self) {
-        let until = Instant::now() + self.environment.timing.settle();
-        if !self.ledger.release(until).await {
-            self.environment.metrics.unrecorded.inc();
+        let release_deadline = Instant::now() + self.environment.timing.settle_timeout();
+        if !self.ledger.release(release_deadline).await {
+            self.environment.metrics.unrecorded_outcomes.inc();
         }
     }
 
@@ -296,10 +301,10 @@
 
     fn unknown_answer(&self) -> Answer {
         let answer = Answer::without_reply(Reason::SentWithoutReply);
-        answer.retry_after(self.environment.timing.retry_after())
+        answer.with_retry_after(self.environment.timing.retry_after())
     }
 
-    fn early_refusal(&self, reason: Reason) -> Answer {
+    fn refusal_without_claim(&self, reason: Reason) -> Answer {
         let reason = if self.request.headers.resend {
             reason.for_resend()
         } else {
@@ -316,12 +321,12 @@
             Reason::RequestIdReused
             | Reason::IssuedInFuture { .. }
             | Reason::IssuedTooLongAgo
-            | Reason::Forgotten => return Answer::without_reply(reason),
-            Reason::Pressed | Reason::BackendRefused(_) | Reason::NoReplica(_) => {
+            | Reason::BelowLedgerHorizon => return Answer::without_reply(reason),
+            Reason::Overloaded | Reason::BackendRefused(_) | Reason::NoReplica(_) => {
                 router.lock().policy.retry_after(now)
             }
             _ => self.environment.timing.retry_after(),
         };
-        Answer::without_reply(reason).retry_after(retry_after)
+        Answer::without_reply(reason).with_retry_after(retry_after)
     }
 }
--- a/crates/sablehaven-agent/src/once/key.rs
+++ b/crates/sablehaven-agent/src/once/key.rs
@@ -6,7 +6,7 @@
 use crate::reason::Reason;
 
 /// The longest caller or request id, in bytes; the ledger keeps both for its whole horizon.
-const MAXIMUM_ID_BYTES: usize = 128;
+const MAX_ID_BYTES: usize = 128;
 
 /// What the headers of a request that may not be repeated say.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,10 +20,10 @@
 impl OnceHeaders {
     /// Reads the headers; names the first that is missing or cannot be used.
     pub fn read(headers: &HeaderMap) -> Result<Self, Reason> {
-        let caller = id(headers, http::CALLER)?;
-        let request = id(headers, http::REQUEST_ID)?;
-        let issued_at = text(headers, http::ISSUED_AT_MS)?;
-        let issued_at_ms = issued_at.parse().map_err(|_| Reason::BadHeader {
+        let caller = id_header(headers, http::CALLER)?;
+        let request = id_header(headers, http::REQUEST_ID)?;
+        let issued_at = text_header(headers, http::ISSUED_AT_MS)?;
+        let issued_at_ms = issued_at.parse().map_err(|_| Reason::InvalidHeader {
             name: http::ISSUED_AT_MS,
             value: issued_at.to_owned(),
             allowed: "milliseconds since the Unix epoch",
@@ -46,21 +46,21 @@
         .is_some_and(|value| value.as_bytes() == b"1")
 }
 
-fn id<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Reason> {
-    let value = text(headers, name)?;
-    if (1..=MAXIMUM_ID_BYTES).contains(&value.len()) {
+fn id_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Reason> {
+    let value = text_header(headers, name)?;
+    if (1..=MAX_ID_BYTES).contains(&value.len()) {
         return Ok(value);
     }
-    Err(Reason::BadHeader {
+    Err(Reason::InvalidHeader {
         name,
-        value: value.chars().take(MAXIMUM_ID_BYTES).collect(),
+        value: value.chars().take(MAX_ID_BYTES).collect(),
         allowed: "1 to 128 bytes",
     })
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Reason> {
+fn text_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Reason> {
     let value = headers.get(name).ok_or(Reason::MissingHeader(name))?;
-    value.to_str().map_err(|_| Reason::BadHeader {
+    value.to_str().map_err(|_| Reason::InvalidHeader {
         name,
         value: String::from_utf8_lossy(value.as_bytes()).into_owned(),
         allowed: "visible ASCII characters",
--- a/crates/sablehaven-agent/src/once/ledger.rs
+++ b/crates/sablehaven-agent/src/once/ledger.rs
@@ -1,4 +1,4 @@
-//! Calls to the ledger, sent again until they are answered or their time is over.
+//! Calls to the ledger, sent again deadline they are answered or their time is over.
 
 use std::time::Instant;
 
@@ -25,49 +25,51 @@
 }
 
 impl LedgerEntry {
-    /// Claims the key. `None` means that no answer came until `until`; the claim may still take
+    /// Claims the key. `None` means that no answer came deadline `deadline`; the claim may still take
     /// effect, so nothing may be dispatched and the claim must be released.
-    pub async fn claim(&self, fingerprint: u64, until: Instant) -> Option<ClaimDecision> {
+    pub async fn claim(&self, fingerprint: u64, deadline: Instant) -> Option<ClaimDecision> {
         let request = LedgerRequest::Claim {
             key: self.key.clone(),
             claim: self.claim,
             fingerprint,
         };
-        while Instant::now() < until {
-            let reply = self.call("claim", &request, until).await;
+        while Instant::now() < deadline {
+            let reply = self.call("claim", &request, deadline).await;
             match after_claim(reply) {
-                ClaimDecision::AskAgain => self.pause(until).await,
+                ClaimDecision::Retry => self.pause(deadline).await,
                 decision => return Some(decision),
             }
         }
         None
     }
 
-    /// Gives the key back. `false` means that this could not be recorded until `until`.
-    pub async fn release(&self, until: Instant) -> bool {
+    /// Gives the key back. `false` means that this could not be recorded deadline `deadline`.
+    pub async fn release(&self, deadline: Instant) -> bool {
         let request = LedgerRequest::Release {
             key: self.key.clone(),
             claim: self.claim,
         };
-        self.record("release", &request, until).await
+        self.record("release", &request, deadline).await
     }
 
-    /// Records the outcome. `false` means that this could not be recorded until `until`.
-    pub async fn settle(&self, outcome: RecordedOutcome, until: Instant) -> bool {
+    /// Records the outcome. `false` means that this could not be recorded deadline `deadline`.
+    pub async fn settle(&self, outcome: RecordedOutcome, deadline: Instant) -> bool {
         let request = LedgerRequest::Settle {
             key: self.key.clone(),
             claim: self.claim,
             outcome,
         };
-        self.record("settle", &request, until).await
+        self.record("settle", &request, deadline).await
     }
 
-    async fn record(&self, kind: &'static str, request: &LedgerRequest, until: Instant) -> bool {
-        while Instant::now() < until {
-            match self.call(kind, request, until).await {
+    async fn record(&self, kind: &'static str, request: &LedgerRequest, deadline: Instant) -> bool {
+        while Instant::now() < deadline {
+            match self.call(kind, request, deadline).await {
                 LedgerReply::Recorded => return true,
                 LedgerReply::NotHeld => return false,
-                LedgerReply::Claim(_) | LedgerReply::Unavailable { .. } => self.pause(until).await,
+                LedgerReply::Claim(_) | LedgerReply::Unavailable { .. } => {
+                    self.pause(deadline).await
+                }
             }
         }
         false
@@ -77,16 +79,16 @@
         &self,
         kind: &'static str,
         request: &LedgerRequest,
-        until: Instant,
+        deadline: Instant,
     ) -> LedgerReply {
-        self.metrics.ledger_call(kind);
-        let left = until.saturating_duration_since(Instant::now());
-        let timeout = left.min(self.timing.ledger_call());
+        self.metrics.record_ledger_call(kind);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let timeout = remaining.min(self.timing.ledger_call_timeout());
         self.subscription.ledger(request.clone(), timeout).await
     }
 
-    async fn pause(&self, until: Instant) {
-        let left = until.saturating_duration_since(Instant::now());
-        tokio::time::sleep(left.min(self.timing.ledger_pause())).await;
+    async fn pause(&self, deadline: Instant) {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        tokio::time::sleep(remaining.min(self.timing.ledger_retry_delay())).await;
     }
 }
--- a/crates/sablehaven-agent/src/once/responder.rs
+++ b/crates/sablehaven-agent/src/once/responder.rs
@@ -31,12 +31,12 @@
     /// while the work goes on.
     pub async fn answer_by<Work: Future>(
         &mut self,
-        until: Instant,
+        deadline: Instant,
         answer: impl FnOnce() -> Answer,
         work: Work,
     ) -> Work::Output {
         tokio::pin!(work);
-        match timeout_at(until.into(), &mut work).await {
+        match timeout_at(deadline.into(), &mut work).await {
             Ok(output) => output,
             Err(_) => {
                 self.answer(answer());
--- a/crates/sablehaven-agent/src/plan.rs
+++ b/crates/sablehaven-agent/src/plan.rs
@@ -48,12 +48,12 @@
         if lease.version == self.configuration_version {
             return lease;
         }
-        let built = self.built_at.map(|built_at| built_at.elapsed().as_millis());
-        let since_built = built.and_then(|age| u64::try_from(age).ok());
+        let build_age_ms = self.built_at.map(|built_at| built_at.elapsed().as_millis());
+        let since_build_ms = build_age_ms.and_then(|age| u64::try_from(age).ok());
         ConfigurationAge {
             version: self.configuration_version,
             current: false,
-            age_ms: since_built.map_or(u64::MAX, |age| age.max(lease.age_ms)),
+            age_ms: since_build_ms.map_or(u64::MAX, |age| age.max(lease.age_ms)),
         }
     }
 
@@ -68,10 +68,10 @@
 /// Builds plans, one from the other.
 pub struct PlanBuilder {
     site: AgentSite,
-    connections: ConnectionSettings,
+    connection_settings: ConnectionSettings,
     policies: PolicyFactory,
     observer: Observer,
-    source: Option<Arc<SchemaSource>>,
+    schema_source: Option<Arc<SchemaSource>>,
     plan: AgentPlan,
 }
 
@@ -80,25 +80,25 @@
     /// The plan to put in force.
     pub plan: AgentPlan,
     /// Connections to open ahead of the first attempt.
-    pub to_warm: Vec<Arc<BackendClient>>,
+    pub to_preconnect: Vec<Arc<BackendClient>>,
     /// Why the schema could not be taken; the plan keeps the one before.
-    pub problems: Vec<SchemaProblem>,
+    pub schema_problems: Vec<SchemaProblem>,
 }
 
 impl PlanBuilder {
     /// A builder that has built nothing yet.
     pub fn new(
         site: AgentSite,
-        connections: ConnectionSettings,
+        connection_settings: ConnectionSettings,
         policies: PolicyFactory,
         observer: Observer,
     ) -> Self {
         Self {
             site,
-            connections,
+            connection_settings,
             policies,
             observer,
-            source: None,
+            schema_source: None,
             plan: AgentPlan::default(),
         }
     }
@@ -106,45 +106,45 @@
     /// Builds the plan of a view. Parsing a changed schema takes milliseconds, so this must not run
     /// on a thread that serves requests.
     pub fn build(&mut self, view: &View) -> BuiltPlan {
-        let problems = self.take_schema(view).err().unwrap_or_default();
+        let schema_problems = self.update_schema(view).err().unwrap_or_default();
         self.plan
             .services
             .retain(|name, _| view.services.contains_key(name));
-        let mut to_warm = Vec::new();
+        let mut to_preconnect = Vec::new();
         for (name, configuration) in &view.services {
-            to_warm.extend(self.take_service(view, name, configuration));
+            to_preconnect.extend(self.update_service(view, name, configuration));
         }
         self.plan.revision = view.revision;
         self.plan.configuration_version = view.configuration_version;
         self.plan.built_at = Some(Instant::now());
         BuiltPlan {
             plan: self.plan.clone(),
-            to_warm,
-            problems,
+            to_preconnect,
+            schema_problems,
         }
     }
 
-    fn take_schema(&mut self, view: &View) -> Result<(), Vec<SchemaProblem>> {
-        if view.schema == self.source {
+    fn update_schema(&mut self, view: &View) -> Result<(), Vec<SchemaProblem>> {
+        if view.schema == self.schema_source {
             return Ok(());
         }
         let Some(source) = &view.schema else {
             return Ok(());
         };
         // Remembered even if it does not parse, so that it is not tried again on each view.
-        self.source = Some(Arc::clone(source));
+        self.schema_source = Some(Arc::clone(source));
         let schema = DeploymentSchema::parse(&source.file_name, &source.text)?;
         self.plan.schema = Some(Arc::new(schema));
         Ok(())
     }
 
-    fn take_service(
+    fn update_service(
         &mut self,
         view: &View,
         name: &ServiceName,
         configuration: &ServiceConfiguration,
     ) -> Vec<Arc<BackendClient>> {
-        let service = self.service(name, configuration);
+        let service = self.service_plan(name, configuration);
         let backends = view.backends.get(name).map_or(&[][..], Vec::as_slice);
         service.router.update(ServiceUpdate {
             settings: &configuration.routing,
@@ -158,10 +158,10 @@
             .filter(|record| wanted.binary_search(&record.id).is_ok())
             .map(|record| (record.id.clone(), record.address))
             .collect();
-        service.connections.keep(&wanted)
+        service.connections.reconcile(&wanted)
     }
 
-    fn service(
+    fn service_plan(
         &mut self,
         name: &ServiceName,
         configuration: &ServiceConfiguration,
@@ -173,7 +173,7 @@
         let router = SharedRouter::new(policy, Arc::clone(&self.observer));
         let service = Arc::new(ServicePlan {
             router: Arc::new(router),
-            connections: Arc::new(BackendConnections::new(self.connections)),
+            connections: Arc::new(BackendConnections::new(self.connection_settings)),
         });
         let services = &mut self.plan.services;
         services.insert(name.clone(), Arc::clone(&service));
--- a/crates/sablehaven-agent/src/query.rs
+++ b/crates/sablehaven-agent/src/query.rs
@@ -18,14 +18,14 @@
 use sablehaven_schema::{MethodKind, MethodSchema, encode_protobuf, merge, shard_for_key};
 use sablehaven_types::{Coverage, IndexSnapshot, MissingReason, ShardId};
 
-pub use coverage::{ShardEnd, combined_reason, may_have_run, split};
+pub use coverage::{ShardResult, combined_reason, may_have_run, split};
 pub use crashes::QueryCrashes;
 pub use sub_request::{AttemptFailure, Step, SubRequest};
 
 use crate::{answer::Answer, config::Limits, metrics::Metrics, plan::ServicePlan, reason::Reason};
 use attempt::SharedRequest;
-use crashes::QueryWatch;
-use fan_out::{FanOut, FanOutLimits, fan_out};
+use crashes::CrashWatch;
+use fan_out::{FanOutLimits, FanOutResult, fan_out};
 
 /// A decoded request that may be repeated.
 #[derive(Clone, Copy)]
@@ -57,9 +57,9 @@
         let fingerprint = fingerprint(&[&self.method.path], &body);
         let now = self.service.router.now();
         if let Standing::Quarantined { left } = self.crashes.standing(now, fingerprint) {
-            return Answer::without_reply(Reason::Quarantined).retry_after(left);
+            return Answer::without_reply(Reason::Quarantined).with_retry_after(left);
         }
-        let watch = QueryWatch::new(self.crashes, fingerprint);
+        let crash_watch = CrashWatch::new(self.crashes, fingerprint);
         let mut restarts_left = self.limits.query_restarts;
         loop {
             let shared = SharedRequest {
@@ -69,22 +69,22 @@
                 pinned: &pinned,
                 deadline: self.deadline,
                 metrics: self.metrics,
-                watch: &watch,
+                crash_watch: &crash_watch,
             };
             let shards = self.shards(&pinned);
             let limits = FanOutLimits {
-                attempts: self.limits.attempts_per_sub_request,
+                max_attempts: self.limits.attempts_per_sub_request,
                 may_restart: restarts_left > 0,
             };
             match fan_out(shared, &shards, limits).await {
-                FanOut::Finished(ends) => {
-                    let (replies, coverage) = split(&shards, ends);
-                    self.metrics.covered(&coverage);
+                FanOutResult::Finished(results) => {
+                    let (replies, coverage) = split(&shards, results);
+                    self.metrics.record_missing_shards(&coverage);
                     let answer = self.answer(replies, coverage);
-                    return answer.pinned(pinned.id);
+                    return answer.with_snapshot(pinned.id);
                 }
                 // Nothing of the replies merged so far is kept: they are of the lost snapshot.
-                FanOut::SnapshotReplaced => {
+                FanOutResult::SnapshotReplaced => {
                     restarts_left -= 1;
                     self.metrics.restarts.inc();
                     pinned = self.service.router.pin();
@@ -101,7 +101,7 @@
         match admission {
             Admission::Admitted => None,
             Admission::Refused { retry_after } => {
-                Some(Answer::without_reply(Reason::Pressed).retry_after(retry_after))
+                Some(Answer::without_reply(Reason::Overloaded).with_retry_after(retry_after))
             }
         }
     }
@@ -122,12 +122,12 @@
         coverage: Coverage,
     ) -> Answer {
         if replies.is_empty() {
-            return self.nothing_answered(coverage);
+            return self.no_shard_replied(coverage);
         }
         let is_complete = coverage.is_complete();
         if !matches!(self.method.kind, MethodKind::Query { .. }) {
             let reply = replies.into_values().next();
-            return reply.map_or_else(|| self.nothing_answered(coverage), Answer::done);
+            return reply.map_or_else(|| self.no_shard_replied(coverage), Answer::done);
         }
         let mut answer = match merge(self.method, replies, self.message) {
             Ok(body) => Answer::done(body),
@@ -140,14 +140,14 @@
         answer
     }
 
-    fn nothing_answered(&self, coverage: Coverage) -> Answer {
+    fn no_shard_replied(&self, coverage: Coverage) -> Answer {
         let reason = combined_reason(&coverage).unwrap_or(MissingReason::NoReplica);
         let reason = if may_have_run(reason) {
-            Reason::NothingAnswered(reason)
+            Reason::NoShardReplied(reason)
         } else {
-            Reason::NothingRan(reason)
+            Reason::NoShardRan(reason)
         };
-        let mut answer = Answer::without_reply(reason).retry_after(self.retry_after());
+        let mut answer = Answer::without_reply(reason).with_retry_after(self.retry_after());
         let is_query = matches!(self.method.kind, MethodKind::Query { .. });
         answer.coverage = is_query.then_some(coverage);
         answer
--- a/crates/sablehaven-agent/src/query/attempt.rs
+++ b/crates/sablehaven-agent/src/query/attempt.rs
@@ -8,11 +8,11 @@
 use sablehaven_schema::{MethodSchema, decode_reply};
 use sablehaven_types::{AttemptId, IndexSnapshot, ShardId};
 
-use super::{crashes::QueryWatch, sub_request::AttemptFailure};
+use super::{crashes::CrashWatch, sub_request::AttemptFailure};
 use crate::{
     metrics::Metrics,
     plan::ServicePlan,
-    routing::AttemptTicket,
+    routing::AttemptGuard,
     transport::{
         AttemptEnd, AttemptIdentity, AttemptMessage, AttemptReport, DiscardReason, TransportError,
     },
@@ -34,7 +34,7 @@
     /// The agent's metrics.
     pub metrics: &'a Metrics,
     /// What becomes of its back ends.
-    pub watch: &'a QueryWatch<'a>,
+    pub crash_watch: &'a CrashWatch<'a>,
 }
 
 /// Sends one attempt, which the router already counts as sent, and waits for its end.
@@ -44,9 +44,9 @@
     chosen: Chosen,
 ) -> Result<DynamicMessage, AttemptFailure> {
     let router = Arc::clone(&shared.service.router);
-    let ticket = AttemptTicket::new(router, chosen.backend.clone(), shared.deadline);
+    let attempt_guard = AttemptGuard::new(router, chosen.backend.clone(), shared.deadline);
     shared.metrics.sub_requests.inc();
-    let _running = shared.watch.begin();
+    let _running = shared.crash_watch.begin();
     let identity = AttemptIdentity {
         attempt: AttemptId(rand::random()),
         shard,
@@ -55,11 +55,13 @@
     let report = send(shared, identity, &chosen).await;
     let draining = report.signals.draining;
     let signals = report.signals;
-    let result = judge(shared, report.end);
+    let result = decode_result(shared, report.end);
     let now = shared.service.router.now();
     match &result {
-        Ok(_) | Err(AttemptFailure::Failed | AttemptFailure::BadReply) => shared.watch.replied(now),
-        Err(AttemptFailure::Lost) => shared.watch.lost(now),
+        Ok(_) | Err(AttemptFailure::Failed | AttemptFailure::BadReply) => {
+            shared.crash_watch.replied(now)
+        }
+        Err(AttemptFailure::Lost) => shared.crash_watch.lost(now),
         Err(_) => {}
     }
     let outcome = match &result {
@@ -68,7 +70,7 @@
         Ok(_) => AttemptOutcome::Replied,
         Err(failure) => failure.outcome(),
     };
-    ticket.finish(outcome, signals);
+    attempt_guard.finish(outcome, signals);
     result
 }
 
@@ -88,19 +90,22 @@
         body: shared.body.clone(),
         deadline: shared.deadline,
         accept_until: shared.deadline,
-        once_key: None,
+        ledger_key: None,
     };
     client.attempt(message).await
 }
 
-fn judge(shared: SharedRequest<'_>, end: AttemptEnd) -> Result<DynamicMessage, AttemptFailure> {
+fn decode_result(
+    shared: SharedRequest<'_>,
+    end: AttemptEnd,
+) -> Result<DynamicMessage, AttemptFailure> {
     match end {
         AttemptEnd::Replied(body) => {
             decode_reply(&shared.method.output, &body).map_err(|_| DiscardReason::Undecodable)
         }
         AttemptEnd::Discarded(reason) => Err(reason),
         AttemptEnd::Refused { refusal, .. } => {
-            shared.metrics.refused(refusal);
+            shared.metrics.record_refusal(refusal);
             return Err(AttemptFailure::from(refusal));
         }
         AttemptEnd::NotConnected(_) => return Err(AttemptFailure::NotConnected),
@@ -108,13 +113,13 @@
         AttemptEnd::Failed(_) => return Err(AttemptFailure::Failed),
     }
     .map_err(|reason| {
-        shared.metrics.discarded(reason);
+        shared.metrics.record_discarded_reply(reason);
         AttemptFailure::BadReply
     })
 }
 
 /// Whether a back end has ended: its address refuses connections. A lost connection alone does not show that.
-pub async fn is_gone(shared: SharedRequest<'_>, chosen: &Chosen) -> bool {
+pub async fn is_terminated(shared: SharedRequest<'_>, chosen: &Chosen) -> bool {
     let connections = &shared.service.connections;
     match connections.client(&chosen.backend, chosen.address) {
         Ok(client) => client.refuses_connections().await,
--- a/crates/sablehaven-agent/src/query/coverage.rs
+++ b/crates/sablehaven-agent/src/query/coverage.rs
@@ -6,7 +6,7 @@
 
 /// How one shard's sub-request ended.
 #[derive(Clone, Debug)]
-pub enum ShardEnd<Reply> {
+pub enum ShardResult<Reply> {
     /// Its reply is part of the answer.
     Answered(Reply),
     /// It is not.
@@ -17,17 +17,17 @@
 ///
 /// A shard of `asked` without an end is missing for its deadline: the fan-out stopped waiting for it.
 pub fn split<Reply>(
-    asked: &[ShardId],
-    mut ends: BTreeMap<ShardId, ShardEnd<Reply>>,
+    requested: &[ShardId],
+    mut results: BTreeMap<ShardId, ShardResult<Reply>>,
 ) -> (BTreeMap<ShardId, Reply>, Coverage) {
     let mut replies = BTreeMap::new();
     let mut missing = Vec::new();
-    for shard in asked {
-        match ends.remove(shard) {
-            Some(ShardEnd::Answered(reply)) => {
+    for shard in requested {
+        match results.remove(shard) {
+            Some(ShardResult::Answered(reply)) => {
                 replies.insert(*shard, reply);
             }
-            Some(ShardEnd::Missing(reason)) => missing.push(missing_shard(*shard, reason)),
+            Some(ShardResult::Missing(reason)) => missing.push(missing_shard(*shard, reason)),
             None => missing.push(missing_shard(*shard, MissingReason::Deadline)),
         }
     }
--- a/crates/sablehaven-agent/src/query/crashes.rs
+++ b/crates/sablehaven-agent/src/query/crashes.rs
@@ -17,7 +17,7 @@
 
 /// Time for which a sub-request that lost its back end waits for the others of its query, which tell sooner than
 /// another back end would. Longer than most queries take, so that it ends by their replies.
-const HELD_FOR: Duration = Duration::from_millis(100);
+const SIBLING_REPLY_WAIT: Duration = Duration::from_millis(100);
 
 /// The queries under which back ends ended, shared by all queries of an agent.
 #[derive(Debug, Default)]
@@ -38,11 +38,11 @@
 
 /// The attempts of one query, shared by its sub-requests.
 #[derive(Debug)]
-pub struct QueryWatch<'a> {
+pub struct CrashWatch<'a> {
     crashes: &'a QueryCrashes,
     fingerprint: RequestFingerprint,
     has_replied: AtomicBool,
-    has_lost: AtomicBool,
+    has_lost_attempt: AtomicBool,
     /// Attempts under way.
     running: AtomicU32,
     changed: Notify,
@@ -74,14 +74,14 @@
     Never,
 }
 
-impl<'a> QueryWatch<'a> {
+impl<'a> CrashWatch<'a> {
     /// A query that nothing was sent for.
     pub fn new(crashes: &'a QueryCrashes, fingerprint: RequestFingerprint) -> Self {
         Self {
             crashes,
             fingerprint,
             has_replied: AtomicBool::new(false),
-            has_lost: AtomicBool::new(false),
+            has_lost_attempt: AtomicBool::new(false),
             running: AtomicU32::new(0),
             changed: Notify::new(),
             lost_trials: AtomicU32::new(0),
@@ -107,23 +107,23 @@
 
     /// The connection of an attempt ended while its back end had the query.
     pub fn lost(&self, now: Duration) {
-        self.has_lost.store(true, Ordering::Release);
+        self.has_lost_attempt.store(true, Ordering::Release);
         if !self.has_replied.load(Ordering::Acquire) {
             self.crashes.lock().lost(now, self.fingerprint);
         }
     }
 
-    /// The query's only attempt was lost; `is_gone` when its back end was found to have ended.
-    pub fn trial_lost(&self, now: Duration, is_gone: bool) {
+    /// The query's only attempt was lost; `is_terminated` when its back end was found to have ended.
+    pub fn trial_lost(&self, now: Duration, is_terminated: bool) {
         self.lost_trials.fetch_add(1, Ordering::AcqRel);
-        if !is_gone {
+        if !is_terminated {
             return;
         }
-        let begun = self.crashes.lock().crashed(now, self.fingerprint);
-        if let Some(begun) = begun {
+        let quarantine = self.crashes.lock().crashed(now, self.fingerprint);
+        if let Some(quarantine) = quarantine {
             log::warn!(
                 event = "request_quarantined", target:% = fingerprint_text(self.fingerprint),
-                lost = begun.report.lost, crashes = begun.report.crashes, for_s = begun.time.as_secs();
+                lost = quarantine.report.lost, crashes = quarantine.report.crashes, for_s = quarantine.time.as_secs();
                 "back ends end when they run this query"
             );
         }
@@ -131,17 +131,17 @@
 
     /// Waits until an attempt may be sent, or is known to be never sent.
     pub async fn turn(&self, now: impl Fn() -> Duration) -> Turn<'_> {
-        let released = async {
+        let siblings_done = async {
             loop {
                 let changed = self.changed.notified();
-                if !self.is_held(now()) {
+                if !self.must_wait_for_siblings(now()) {
                     return;
                 }
                 changed.await;
             }
         };
         // After the limit the sub-request goes on as if the others had told nothing.
-        let _ = timeout(HELD_FOR, released).await;
+        let _ = timeout(SIBLING_REPLY_WAIT, siblings_done).await;
         if self.is_clear(now()) {
             return Turn::Send;
         }
@@ -149,18 +149,18 @@
         if self.is_clear(now()) {
             return Turn::Send;
         }
-        let is_given_up = self.lost_trials.load(Ordering::Acquire) >= MOST_LOST_TRIALS;
+        let has_exhausted_trials = self.lost_trials.load(Ordering::Acquire) >= MOST_LOST_TRIALS;
         match self.standing(now()) {
             Standing::Quarantined { .. } => Turn::Never,
-            _ if is_given_up => Turn::Never,
+            _ if has_exhausted_trials => Turn::Never,
             Standing::Clear | Standing::Suspect => Turn::Trial(trial),
         }
     }
 
     /// Whether a back end was lost and the others that run the query have told nothing yet.
-    fn is_held(&self, now: Duration) -> bool {
-        let has_lost = self.has_lost.load(Ordering::Acquire);
-        has_lost && self.running.load(Ordering::Acquire) > 0 && self.is_undecided(now)
+    fn must_wait_for_siblings(&self, now: Duration) -> bool {
+        let has_lost_attempt = self.has_lost_attempt.load(Ordering::Acquire);
+        has_lost_attempt && self.running.load(Ordering::Acquire) > 0 && self.is_undecided(now)
     }
 
     fn is_undecided(&self, now: Duration) -> bool {
--- a/crates/sablehaven-agent/src/query/fan_out.rs
+++ b/crates/sablehaven-agent/src/query/fan_out.rs
@@ -7,12 +7,12 @@
 use sablehaven_types::{MissingReason, ShardId};
 use tokio::time::timeout_at;
 
-use super::{attempt::SharedRequest, coverage::ShardEnd, shard::ask_shard};
+use super::{attempt::SharedRequest, coverage::ShardResult, shard::run_sub_request};
 
 /// How a fan-out ended.
-pub enum FanOut {
+pub enum FanOutResult {
     /// Every shard answered, was given up, or was still asked at the deadline.
-    Finished(BTreeMap<ShardId, ShardEnd<DynamicMessage>>),
+    Finished(BTreeMap<ShardId, ShardResult<DynamicMessage>>),
     /// A shard lost the pinned snapshot and the agent knows another one.
     SnapshotReplaced,
 }
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy)]
 pub struct FanOutLimits {
     /// Attempts of one sub-request, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether the request may start again on another snapshot.
     pub may_restart: bool,
 }
@@ -32,22 +32,27 @@
     shared: SharedRequest<'_>,
     shards: &[ShardId],
     limits: FanOutLimits,
-) -> FanOut {
+) -> FanOutResult {
     let mut running: FuturesUnordered<_> = shards
         .iter()
-        .map(|shard| async move { (*shard, ask_shard(shared, *shard, limits.attempts).await) })
+        .map(|shard| async move {
+            (
+                *shard,
+                run_sub_request(shared, *shard, limits.max_attempts).await,
+            )
+        })
         .collect();
-    let mut ends = BTreeMap::new();
-    let mut lost_snapshot = false;
+    let mut results = BTreeMap::new();
+    let mut snapshot_lost = false;
     while let Ok(Some((shard, end))) = timeout_at(shared.deadline.into(), running.next()).await {
-        lost_snapshot |= matches!(end, ShardEnd::Missing(MissingReason::SnapshotGone));
+        snapshot_lost |= matches!(end, ShardResult::Missing(MissingReason::SnapshotGone));
         // Seen at once where the new snapshot is known already; at the last shard otherwise.
-        if lost_snapshot && limits.may_restart && is_replaced(shared) {
-            return FanOut::SnapshotReplaced;
+        if snapshot_lost && limits.may_restart && is_replaced(shared) {
+            return FanOutResult::SnapshotReplaced;
         }
-        ends.insert(shard, end);
+        results.insert(shard, end);
     }
-    FanOut::Finished(ends)
+    FanOutResult::Finished(results)
 }
 
 fn is_replaced(shared: SharedRequest<'_>) -> bool {
--- a/crates/sablehaven-agent/src/query/shard.rs
+++ b/crates/sablehaven-agent/src/query/shard.rs
@@ -10,27 +10,27 @@
 use tokio::time::sleep_until;
 
 use super::{
-    attempt::{SharedRequest, is_gone, run_attempt},
-    coverage::ShardEnd,
+    attempt::{SharedRequest, is_terminated, run_attempt},
+    coverage::ShardResult,
     crashes::Turn,
     sub_request::{AttemptFailure, Step, SubRequest},
 };
 
 /// Asks one shard until it answers or is given up. The caller bounds the time; dropping the future
 /// cancels the attempts in flight.
-pub async fn ask_shard(
+pub async fn run_sub_request(
     shared: SharedRequest<'_>,
     shard: ShardId,
-    attempts_allowed: u32,
-) -> ShardEnd<DynamicMessage> {
-    let mut sub_request = SubRequest::new(shard, attempts_allowed);
+    max_attempts: u32,
+) -> ShardResult<DynamicMessage> {
+    let mut sub_request = SubRequest::new(shard, max_attempts);
     let mut attempts = FuturesUnordered::new();
     let mut hedge_at = None;
     let mut latest = None;
     let mut trial = match next_turn(shared).await {
         Turn::Send => None,
         Turn::Trial(trial) => Some(trial),
-        Turn::Never => return ShardEnd::Missing(MissingReason::Failed),
+        Turn::Never => return ShardResult::Missing(MissingReason::Failed),
     };
     let mut step = decide(shared, |router, now| sub_request.start(router, now));
     loop {
@@ -41,14 +41,14 @@
             } => {
                 latest = Some(chosen.clone());
                 attempts.push(run_attempt(shared, shard, chosen));
-                hedge_at = moment(hedge_after);
+                hedge_at = deadline_after(hedge_after);
             }
-            Step::Wait { hedge_after } => hedge_at = moment(hedge_after).or(hedge_at),
-            Step::GiveUp(reason) => return ShardEnd::Missing(reason),
+            Step::Wait { hedge_after } => hedge_at = deadline_after(hedge_after).or(hedge_at),
+            Step::GiveUp(reason) => return ShardResult::Missing(reason),
         }
         step = tokio::select! {
             Some(result) = attempts.next() => match result {
-                Ok(reply) => return ShardEnd::Answered(reply),
+                Ok(reply) => return ShardResult::Answered(reply),
                 Err(failure) => {
                     if let Some(trial) = trial.take() {
                         end_trial(shared, failure, latest.as_ref()).await;
@@ -59,25 +59,25 @@
                             Turn::Send => None,
                             Turn::Trial(trial) => Some(trial),
                             Turn::Never => {
-                                return ShardEnd::Missing(sub_request.missing_reason(failure));
+                                return ShardResult::Missing(sub_request.missing_reason(failure));
                             }
                         };
                     }
                     let next = decide(shared, |router, now| {
                         sub_request.attempt_failed(router, now, failure)
                     });
-                    count_sent(&next, &shared.metrics.retries);
+                    count_if_sent(&next, &shared.metrics.retries);
                     next
                 }
             },
             () = wait_until(hedge_at) => {
                 hedge_at = None;
-                if !shared.watch.is_clear(shared.service.router.now()) {
+                if !shared.crash_watch.is_clear(shared.service.router.now()) {
                     step = Step::Wait { hedge_after: None };
                     continue;
                 }
                 let next = decide(shared, |router, now| sub_request.hedge_due(router, now));
-                count_sent(&next, &shared.metrics.hedges);
+                count_if_sent(&next, &shared.metrics.hedges);
                 next
             }
         };
@@ -86,7 +86,10 @@
 
 /// Waits for the query's turn to send to this shard.
 async fn next_turn(shared: SharedRequest<'_>) -> Turn<'_> {
-    shared.watch.turn(|| shared.service.router.now()).await
+    shared
+        .crash_watch
+        .turn(|| shared.service.router.now())
+        .await
 }
 
 /// Notes the end of a suspect query's only attempt.
@@ -94,9 +97,9 @@
     let (AttemptFailure::Lost, Some(chosen)) = (failure, chosen) else {
         return;
     };
-    let is_gone = is_gone(shared, chosen).await;
+    let is_terminated = is_terminated(shared, chosen).await;
     let now = shared.service.router.now();
-    shared.watch.trial_lost(now, is_gone);
+    shared.crash_watch.trial_lost(now, is_terminated);
 }
 
 fn decide(
@@ -109,13 +112,13 @@
     decision(&mut state.pinned(shared.pinned), now)
 }
 
-fn count_sent(step: &Step, counter: &Counter) {
+fn count_if_sent(step: &Step, counter: &Counter) {
     if matches!(step, Step::Send { .. }) {
         counter.inc();
     }
 }
 
-fn moment(after: Option<Duration>) -> Option<Instant> {
+fn deadline_after(after: Option<Duration>) -> Option<Instant> {
     after.map(|after| Instant::now() + after)
 }
 
--- a/crates/sablehaven-agent/src/query/sub_request.rs
+++ b/crates/sablehaven-agent/src/query/sub_request.rs
@@ -100,7 +100,7 @@
 #[derive(Debug)]
 pub struct SubRequest {
     shard: ShardId,
-    attempts_allowed: u32,
+    max_attempts: u32,
     tried: Vec<BackendId>,
     in_flight: u32,
     failures: Vec<AttemptFailure>,
@@ -108,10 +108,10 @@
 
 impl SubRequest {
     /// A sub-request that nothing was sent for.
-    pub fn new(shard: ShardId, attempts_allowed: u32) -> Self {
+    pub fn new(shard: ShardId, max_attempts: u32) -> Self {
         Self {
             shard,
-            attempts_allowed,
+            max_attempts,
             tried: Vec::new(),
             in_flight: 0,
             failures: Vec::new(),
@@ -195,7 +195,7 @@
     }
 
     fn is_exhausted(&self) -> bool {
-        self.attempts() >= self.attempts_allowed
+        self.attempts() >= self.max_attempts
     }
 
     fn give_up(&self) -> Step {
@@ -206,7 +206,7 @@
 /// One reason for several failed attempts: their common one, else the most telling. A lost snapshot
 /// or a deadline is only reported if every attempt says so, because another replica may do better.
 fn combined_reason(failures: &[AttemptFailure]) -> MissingReason {
-    const MOST_TELLING_FIRST: [AttemptFailure; 5] = [
+    const MOST_SPECIFIC_FIRST: [AttemptFailure; 5] = [
         AttemptFailure::BadReply,
         AttemptFailure::Lost,
         AttemptFailure::Failed,
@@ -219,8 +219,8 @@
     if failures.iter().all(|failure| failure == first) {
         return first.missing_reason();
     }
-    let telling = MOST_TELLING_FIRST
+    let most_specific = MOST_SPECIFIC_FIRST
         .into_iter()
         .find(|kind| failures.contains(kind));
-    telling.unwrap_or(*first).missing_reason()
+    most_specific.unwrap_or(*first).missing_reason()
 }
--- a/crates/sablehaven-agent/src/reason.rs
+++ b/crates/sablehaven-agent/src/reason.rs
@@ -14,7 +14,7 @@
     /// no method at path '{0}' in the configuration in force, or no service of it in this agent's interest
     UnknownMethod(String),
     /// content type '{0}' is neither application/json nor application/x-protobuf
-    ContentType(String),
+    UnsupportedContentType(String),
     /// the body is larger than {limit_bytes} bytes, or could not be read: {cause}
     BodyUnreadable {
         /// The largest body accepted.
@@ -23,11 +23,11 @@
         cause: String,
     },
     /// the body does not fit the schema: {0}
-    BadBody(BodyError),
+    InvalidBody(BodyError),
     /// header '{0}' is required for this method
     MissingHeader(&'static str),
     /// header '{name}' is '{value}', allowed is {allowed}
-    BadHeader {
+    InvalidHeader {
         /// The header.
         name: &'static str,
         /// What was sent.
@@ -36,7 +36,7 @@
         allowed: &'static str,
     },
     /// the service is pressed
-    Pressed,
+    Overloaded,
     /// the request has crashed back ends and is not sent to any for a while
     Quarantined,
     /// this agent cannot prove that its configuration is current
@@ -63,19 +63,19 @@
     /// no replica of the shard can be asked: {0:?}
     NoReplica(MissingReason),
     /// no shard answered, and nothing ran: {0:?}
-    NothingRan(MissingReason),
+    NoShardRan(MissingReason),
     /// no shard answered: {0:?}
-    NothingAnswered(MissingReason),
+    NoShardReplied(MissingReason),
     /// the shards' replies could not be merged: {0}
     MergeFailed(MergeError),
     /// the request is in progress, or its agent was lost with it
     InProgress,
     /// the issue time lies below the ledger's horizon; whether the request ran is no longer known
-    Forgotten,
+    BelowLedgerHorizon,
     /// the request was sent to a back end, and whether it ran is not known
     SentWithoutReply,
     /// the request was sent before, and its outcome cannot be looked up now: {0}
-    ResendUnsure(Box<Reason>),
+    ResendOutcomeUnknown(Box<Reason>),
     /// the recorded reply does not fit the schema in force: {0}
     RecordedReplyUnreadable(BodyError),
 }
@@ -84,12 +84,12 @@
     /// The outcome that the reason stands for.
     pub fn outcome(&self) -> Outcome {
         match self {
-            Self::NothingAnswered(_)
+            Self::NoShardReplied(_)
             | Self::MergeFailed(_)
             | Self::InProgress
-            | Self::Forgotten
+            | Self::BelowLedgerHorizon
             | Self::SentWithoutReply
-            | Self::ResendUnsure(_) => Outcome::Unknown,
+            | Self::ResendOutcomeUnknown(_) => Outcome::Unknown,
             Self::RecordedReplyUnreadable(_) => Outcome::Done,
             _ => Outcome::NotRun,
         }
@@ -99,11 +99,11 @@
     pub fn status(&self) -> StatusCode {
         match self {
             Self::UnknownMethod(_) => StatusCode::NOT_FOUND,
-            Self::ContentType(_) => StatusCode::UNSUPPORTED_MEDIA_TYPE,
+            Self::UnsupportedContentType(_) => StatusCode::UNSUPPORTED_MEDIA_TYPE,
             Self::BodyUnreadable { .. } => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BadBody(_)
+            Self::InvalidBody(_)
             | Self::MissingHeader(_)
-            | Self::BadHeader { .. }
+            | Self::InvalidHeader { .. }
             | Self::IssuedInFuture { .. } => StatusCode::BAD_REQUEST,
             Self::IssuedTooLongAgo | Self::RequestIdReused => StatusCode::CONFLICT,
             Self::MergeFailed(_) => StatusCode::INTERNAL_SERVER_ERROR,
@@ -120,7 +120,7 @@
     /// sending only; the earlier one may have run, so "not run" would not be true of the request.
     pub fn for_resend(self) -> Self {
         match self.outcome() {
-            Outcome::NotRun => Self::ResendUnsure(Box::new(self)),
+            Outcome::NotRun => Self::ResendOutcomeUnknown(Box::new(self)),
             Outcome::Done | Outcome::Unknown => self,
         }
     }
--- a/crates/sablehaven-agent/src/role.rs
+++ b/crates/sablehaven-agent/src/role.rs
@@ -15,9 +15,9 @@
     interface::CallHandler,
     metrics::Metrics,
     plan::PlanBuilder,
-    routing::{Observer, PolicyFactory, service_routers},
+    routing::{Observer, PolicyFactory, service_router_factory},
     transport::ConnectionSettings,
-    updates::follow,
+    updates::run_updates,
 };
 
 /// Errors of starting an agent; each names the step and the place.
@@ -38,8 +38,8 @@
     telemetry: Telemetry,
     address: SocketAddr,
     server: ServerHandle,
-    serving: Option<JoinHandle<std::io::Result<()>>>,
-    following: JoinHandle<String>,
+    server_task: Option<JoinHandle<std::io::Result<()>>>,
+    update_task: JoinHandle<String>,
 }
 
 /// Connections that may wait to be accepted.
@@ -47,7 +47,7 @@
 
 /// Starts an agent. It is ready once its first configuration has come.
 pub async fn start(config: Config, telemetry: Telemetry) -> Result<Handle, StartError> {
-    start_with_policies(config, telemetry, service_routers()).await
+    start_with_policies(config, telemetry, service_router_factory()).await
 }
 
 /// Starts an agent with other routing decisions than [`sablehaven_routing::ServiceRouter`]'s, for
@@ -80,18 +80,18 @@
     let metrics = Metrics::new(&telemetry);
     let agent = Arc::new(Agent::new(config, subscription, metrics));
     let builder = PlanBuilder::new(site, connections, policies, observer);
-    let following = tokio::spawn(follow(Arc::clone(&agent), builder, telemetry.clone()));
+    let update_task = tokio::spawn(run_updates(Arc::clone(&agent), builder, telemetry.clone()));
     let server = Server::new(acceptor);
     let server_handle = server.handle();
     let router = router(&agent, &telemetry);
-    let serving = tokio::spawn(server.try_serve(router));
+    let server_task = tokio::spawn(server.try_serve(router));
     Ok(Handle {
         agent,
         telemetry,
         address,
         server: server_handle,
-        serving: Some(serving),
-        following,
+        server_task: Some(server_task),
+        update_task,
     })
 }
 
@@ -120,29 +120,29 @@
         self.agent.begin_stop();
         let timing = self.agent.config.timing.clone();
         tokio::time::sleep(timing.stop_notice()).await;
-        self.server.stop_graceful(timing.stop_limit());
-        if let Some(serving) = self.serving.take()
-            && let Ok(Err(error)) = serving.await
+        self.server.stop_graceful(timing.stop_timeout());
+        if let Some(server_task) = self.server_task.take()
+            && let Ok(Err(error)) = server_task.await
         {
             log::error!("serve callers on {}: {error}", self.address);
         }
-        self.finish_once_tasks(timing.stop_limit()).await;
-        self.following.abort();
+        self.finish_once_tasks(timing.stop_timeout()).await;
+        self.update_task.abort();
         self.agent.subscription.clone().stop().await;
     }
 
     /// Resolves only if the agent cannot go on; says why.
     pub async fn failed(&mut self) -> String {
-        let Some(serving) = self.serving.as_mut() else {
+        let Some(server_task) = self.server_task.as_mut() else {
             return std::future::pending().await;
         };
         tokio::select! {
-            result = serving => {
+            result = server_task => {
                 // A task that has ended must not be awaited again.
-                self.serving = None;
+                self.server_task = None;
                 format!("serve callers on {}: ended with {result:?}", self.address)
             }
-            result = &mut self.following => {
+            result = &mut self.update_task => {
                 result.unwrap_or_else(|error| format!("follow the shared state: {error}"))
             }
         }
@@ -209,9 +209,9 @@
 fn connection_settings(config: &Config) -> ConnectionSettings {
     ConnectionSettings {
         connect_from: config.connect_from,
-        connect: config.timing.connect(),
-        ping: config.timing.connection_ping(),
-        reply_body_bytes: config.limits.reply_body_bytes,
+        connect_timeout: config.timing.connect_timeout(),
+        ping_interval: config.timing.ping_interval(),
+        max_reply_body_bytes: config.limits.reply_body_bytes,
     }
 }
 
--- a/crates/sablehaven-agent/src/routing.rs
+++ b/crates/sablehaven-agent/src/routing.rs
@@ -14,7 +14,7 @@
 };
 
 pub use shared::{Observer, PinnedRouter, PolicyState, SharedRouter};
-pub use ticket::AttemptTicket;
+pub use ticket::AttemptGuard;
 
 /// The decisions that requests of one service ask for. [`ServiceRouter`] makes them in production;
 /// benchmarks put a plain baseline in its place.
@@ -116,7 +116,7 @@
     Arc<dyn Fn(&ServiceName, AgentSite, &RoutingSettings) -> Box<dyn RoutingPolicy> + Send + Sync>;
 
 /// The factory used in production: a [`ServiceRouter`] seeded from the process's random source.
-pub fn service_routers() -> PolicyFactory {
+pub fn service_router_factory() -> PolicyFactory {
     Arc::new(|_service, site, settings| {
         Box::new(ServiceRouter::new(site, settings, rand::random()))
     })
--- a/crates/sablehaven-agent/src/routing/shared.rs
+++ b/crates/sablehaven-agent/src/routing/shared.rs
@@ -16,7 +16,7 @@
 /// One service's router. A decision holds the lock for a few microseconds, and no lock is held
 /// across an await.
 pub struct SharedRouter {
-    started: Instant,
+    created_at: Instant,
     observer: Observer,
     state: Mutex<PolicyState>,
 }
@@ -44,7 +44,7 @@
             snapshot: Arc::new(snapshot),
         };
         Self {
-            started: Instant::now(),
+            created_at: Instant::now(),
             observer,
             state: Mutex::new(state),
         }
@@ -52,7 +52,7 @@
 
     /// The time that the policy counts in.
     pub fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.created_at.elapsed()
     }
 
     /// The policy, locked.
@@ -103,7 +103,7 @@
     /// The decisions for a request that pinned a snapshot.
     pub fn pinned<'a>(&'a mut self, pinned: &'a IndexSnapshot) -> PinnedRouter<'a> {
         PinnedRouter {
-            moved_on: self.snapshot.id != pinned.id,
+            is_superseded: self.snapshot.id != pinned.id,
             policy: self.policy.as_mut(),
             pinned,
         }
@@ -116,7 +116,7 @@
     /// The decisions.
     pub policy: &'a mut dyn RoutingPolicy,
     pinned: &'a IndexSnapshot,
-    moved_on: bool,
+    is_superseded: bool,
 }
 
 impl<'a> PinnedRouter<'a> {
@@ -125,7 +125,7 @@
         Self {
             policy,
             pinned,
-            moved_on: false,
+            is_superseded: false,
         }
     }
 
@@ -137,15 +137,15 @@
         exclude: &[BackendId],
     ) -> Result<Chosen, MissingReason> {
         match self.policy.choose(now, shard, exclude) {
-            Some(chosen) if self.may_serve(shard, &chosen.backend) => Ok(chosen),
+            Some(chosen) if self.is_usable(shard, &chosen.backend) => Ok(chosen),
             Some(_) => Err(MissingReason::SnapshotGone),
-            None if self.moved_on => Err(MissingReason::SnapshotGone),
+            None if self.is_superseded => Err(MissingReason::SnapshotGone),
             None => Err(self.policy.no_choice_reason(now, shard, exclude)),
         }
     }
 
-    fn may_serve(&self, shard: ShardId, backend: &BackendId) -> bool {
-        if !self.moved_on {
+    fn is_usable(&self, shard: ShardId, backend: &BackendId) -> bool {
+        if !self.is_superseded {
             return true;
         }
         let mut assignments = self.pinned.shards.iter();
--- a/crates/sablehaven-agent/src/routing/ticket.rs
+++ b/crates/sablehaven-agent/src/routing/ticket.rs
@@ -11,23 +11,23 @@
 /// An attempt in flight. Dropping the ticket reports the attempt as cancelled, or as failed if its
 /// deadline has passed: a back end that lets deadlines pass must not look merely cancelled.
 #[derive(Debug)]
-pub struct AttemptTicket {
+pub struct AttemptGuard {
     router: Arc<SharedRouter>,
     backend: BackendId,
-    sent: Instant,
+    sent_at: Instant,
     deadline: Instant,
-    open: bool,
+    is_unreported: bool,
 }
 
-impl AttemptTicket {
+impl AttemptGuard {
     /// An attempt that was just reported as sent.
     pub fn new(router: Arc<SharedRouter>, backend: BackendId, deadline: Instant) -> Self {
         Self {
             router,
             backend,
-            sent: Instant::now(),
+            sent_at: Instant::now(),
             deadline,
-            open: true,
+            is_unreported: true,
         }
     }
 
@@ -37,14 +37,14 @@
     }
 
     fn report(&mut self, outcome: AttemptOutcome, signals: ServerSignals) {
-        self.open = false;
+        self.is_unreported = false;
         let load = signals.load.map(|(running_and_queued, age)| LoadReport {
             running_and_queued,
             age,
         });
         let result = AttemptResult {
             outcome,
-            latency: self.sent.elapsed(),
+            latency: self.sent_at.elapsed(),
             load,
             incarnation: signals.incarnation,
         };
@@ -52,9 +52,9 @@
     }
 }
 
-impl Drop for AttemptTicket {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if !self.open {
+        if !self.is_unreported {
             return;
         }
         let outcome = if Instant::now() >= self.deadline {
--- a/crates/sablehaven-agent/src/transport.rs
+++ b/crates/sablehaven-agent/src/transport.rs
@@ -12,7 +12,8 @@
 pub use client::{AttemptEnd, AttemptMessage, AttemptReport, BackendClient};
 pub use connections::BackendConnections;
 pub use reply::{
-    AttemptIdentity, DiscardReason, Refusal, ReplyHead, ServerSignals, attempt_headers, judge_head,
+    AttemptIdentity, DiscardReason, Refusal, ReplyVerdict, ServerSignals, attempt_headers,
+    check_reply_head,
 };
 
 /// Settings of the connections to back ends.
@@ -21,11 +22,11 @@
     /// The IP number from which connections are made; where it is absent the system chooses.
     pub connect_from: Option<IpAddr>,
     /// Time that opening a connection may take.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Interval of HTTP/2 pings, and the time within which one must be answered.
-    pub ping: Duration,
+    pub ping_interval: Duration,
     /// The largest reply body, in bytes.
-    pub reply_body_bytes: usize,
+    pub max_reply_body_bytes: usize,
 }
 
 /// Errors of an attempt; each names the step and the back end's address.
--- a/crates/sablehaven-agent/src/transport/client.rs
+++ b/crates/sablehaven-agent/src/transport/client.rs
@@ -9,8 +9,8 @@
 use super::{
     ConnectionSettings, TransportError,
     reply::{
-        AttemptIdentity, DiscardReason, Refusal, ReplyHead, ServerSignals, attempt_headers,
-        judge_head, put_ledger_key,
+        AttemptIdentity, DiscardReason, Refusal, ReplyVerdict, ServerSignals, attempt_headers,
+        check_reply_head, insert_ledger_key,
     },
 };
 
@@ -57,7 +57,7 @@
     /// The moment from which a reply is of no use any more.
     pub accept_until: Instant,
     /// Names the request in the ledger, for methods that may not be repeated.
-    pub once_key: Option<&'a LedgerKey>,
+    pub ledger_key: Option<&'a LedgerKey>,
 }
 
 /// The connection to one back end. HTTP/2 carries all attempts over one connection; dropping the
@@ -66,22 +66,22 @@
 pub struct BackendClient {
     address: SocketAddr,
     client: Client,
-    reply_body_bytes: usize,
+    max_reply_body_bytes: usize,
 }
 
 impl BackendClient {
-    /// A client without an open connection; the first attempt or [`Self::warm`] opens it.
+    /// A client without an open connection; the first attempt or [`Self::preconnect`] opens it.
     pub fn new(address: SocketAddr, settings: &ConnectionSettings) -> Result<Self, TransportError> {
         let client = Client::builder()
             .http2_prior_knowledge()
             .no_proxy()
             .tcp_nodelay(true)
             .local_address(settings.connect_from)
-            .connect_timeout(settings.connect)
+            .connect_timeout(settings.connect_timeout)
             .pool_idle_timeout(None)
             .pool_max_idle_per_host(1)
-            .http2_keep_alive_interval(settings.ping)
-            .http2_keep_alive_timeout(settings.ping)
+            .http2_keep_alive_interval(settings.ping_interval)
+            .http2_keep_alive_timeout(settings.ping_interval)
             .http2_keep_alive_while_idle(true)
             // The library's own retries would send a request twice behind the ledger's back.
             .retry(reqwest::retry::never())
@@ -91,7 +91,7 @@
         Ok(Self {
             address,
             client,
-            reply_body_bytes: settings.reply_body_bytes,
+            max_reply_body_bytes: settings.max_reply_body_bytes,
         })
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Opens the connection ahead of the first attempt. A failure shows at the first attempt.
-    pub async fn warm(&self) {
+    pub async fn preconnect(&self) {
         let Ok(url) = self.url("/health/live") else {
             return;
         };
@@ -113,8 +113,8 @@
         let Ok(url) = self.url("/health/live") else {
             return false;
         };
-        let looked = self.client.execute(Request::new(Method::HEAD, url)).await;
-        looked.is_err_and(|error| error.is_connect() && !error.is_timeout())
+        let probe = self.client.execute(Request::new(Method::HEAD, url)).await;
+        probe.is_err_and(|error| error.is_connect() && !error.is_timeout())
     }
 
     /// Sends one attempt and waits for its end. Dropping the future resets the HTTP/2 stream,
@@ -125,8 +125,8 @@
             Err(error) => return AttemptReport::not_connected(error),
         };
         match self.client.execute(request).await {
-            Ok(response) => self.judge(&message, response).await,
-            Err(source) => AttemptReport::without_reply(self.send_failed(source)),
+            Ok(response) => self.classify_response(&message, response).await,
+            Err(source) => AttemptReport::without_reply(self.classify_send_error(source)),
         }
     }
 
@@ -134,8 +134,8 @@
         let remaining = message.deadline.saturating_duration_since(Instant::now());
         let mut request = Request::new(Method::POST, self.url(message.path)?);
         *request.headers_mut() = attempt_headers(&message.identity, remaining);
-        if let Some(key) = message.once_key {
-            put_ledger_key(request.headers_mut(), key);
+        if let Some(key) = message.ledger_key {
+            insert_ledger_key(request.headers_mut(), key);
         }
         *request.body_mut() = Some(message.body.clone().into());
         Ok(request)
@@ -149,23 +149,27 @@
         })
     }
 
-    fn send_failed(&self, source: reqwest::Error) -> AttemptEnd {
-        let not_connected = source.is_connect();
+    fn classify_send_error(&self, source: reqwest::Error) -> AttemptEnd {
+        let is_connect_error = source.is_connect();
         let address = self.address;
-        if not_connected {
+        if is_connect_error {
             return AttemptEnd::NotConnected(TransportError::Connect { address, source });
         }
         AttemptEnd::Failed(TransportError::Exchange { address, source })
     }
 
-    async fn judge(&self, message: &AttemptMessage<'_>, response: Response) -> AttemptReport {
+    async fn classify_response(
+        &self,
+        message: &AttemptMessage<'_>,
+        response: Response,
+    ) -> AttemptReport {
         let signals = ServerSignals::read(response.headers());
-        let head = judge_head(&message.identity, response.status(), response.headers());
-        let end = match head {
-            ReplyHead::Accepted => self.read_body(message.accept_until, response).await,
-            ReplyHead::Refused { refusal, echoed } => AttemptEnd::Refused { refusal, echoed },
-            ReplyHead::Discarded(reason) => AttemptEnd::Discarded(reason),
-            ReplyHead::Failed(status) => AttemptEnd::Failed(TransportError::Status {
+        let verdict = check_reply_head(&message.identity, response.status(), response.headers());
+        let end = match verdict {
+            ReplyVerdict::Accepted => self.read_body(message.accept_until, response).await,
+            ReplyVerdict::Refused { refusal, echoed } => AttemptEnd::Refused { refusal, echoed },
+            ReplyVerdict::Discarded(reason) => AttemptEnd::Discarded(reason),
+            ReplyVerdict::Failed(status) => AttemptEnd::Failed(TransportError::Status {
                 address: self.address,
                 status: status.as_u16(),
             }),
@@ -174,11 +178,11 @@
     }
 
     async fn read_body(&self, accept_until: Instant, mut response: Response) -> AttemptEnd {
-        let announced = response.content_length();
+        let content_length = response.content_length();
         let mut body = BytesMut::new();
         loop {
             match response.chunk().await {
-                Ok(Some(chunk)) if body.len() + chunk.len() > self.reply_body_bytes => {
+                Ok(Some(chunk)) if body.len() + chunk.len() > self.max_reply_body_bytes => {
                     return AttemptEnd::Discarded(DiscardReason::TooLarge);
                 }
                 Ok(Some(chunk)) => body.extend_from_slice(&chunk),
@@ -186,7 +190,7 @@
                 Err(_) => return AttemptEnd::Discarded(DiscardReason::Truncated),
             }
         }
-        if announced.is_some_and(|length| length != body.len() as u64) {
+        if content_length.is_some_and(|length| length != body.len() as u64) {
             return AttemptEnd::Discarded(DiscardReason::Truncated);
         }
         if Instant::now() >= accept_until {
--- a/crates/sablehaven-agent/src/transport/connections.rs
+++ b/crates/sablehaven-agent/src/transport/connections.rs
@@ -32,7 +32,7 @@
         backend: &BackendId,
         address: SocketAddr,
     ) -> Result<Arc<BackendClient>, TransportError> {
-        if let Some(client) = self.existing(backend, address) {
+        if let Some(client) = self.find(backend, address) {
             return Ok(client);
         }
         let client = Arc::new(BackendClient::new(address, &self.settings)?);
@@ -43,14 +43,14 @@
 
     /// Closes the connections to back ends that are not wanted any more, once the attempts on them
     /// have ended, and gives those that have to be opened.
-    pub fn keep(&self, wanted: &[(BackendId, SocketAddr)]) -> Vec<Arc<BackendClient>> {
+    pub fn reconcile(&self, required: &[(BackendId, SocketAddr)]) -> Vec<Arc<BackendClient>> {
         let mut clients = self.clients.write().unwrap_or_else(PoisonError::into_inner);
         clients.retain(|backend, client| {
-            let entry = wanted.iter().find(|(id, _)| id == backend);
+            let entry = required.iter().find(|(id, _)| id == backend);
             entry.is_some_and(|(_, address)| *address == client.address())
         });
-        let mut opened = Vec::new();
-        for (backend, address) in wanted {
+        let mut created = Vec::new();
+        for (backend, address) in required {
             if clients.contains_key(backend) {
                 continue;
             }
@@ -59,9 +59,9 @@
             };
             let client = Arc::new(client);
             clients.insert(backend.clone(), Arc::clone(&client));
-            opened.push(client);
+            created.push(client);
         }
-        opened
+        created
     }
 
     /// The number of back ends with a connection.
@@ -75,7 +75,7 @@
         self.len() == 0
     }
 
-    fn existing(&self, backend: &BackendId, address: SocketAddr) -> Option<Arc<BackendClient>> {
+    fn find(&self, backend: &BackendId, address: SocketAddr) -> Option<Arc<BackendClient>> {
         let clients = self.clients.read().unwrap_or_else(PoisonError::into_inner);
         let client = clients.get(backend)?;
         (client.address() == address).then(|| Arc::clone(client))
--- a/crates/sablehaven-agent/src/transport/reply.rs
+++ b/crates/sablehaven-agent/src/transport/reply.rs
@@ -46,7 +46,7 @@
 
 impl DiscardReason {
     /// The reason's name in metrics.
-    pub fn name(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Late => "late",
             Self::MissingEcho => "missing_echo",
@@ -75,7 +75,7 @@
 
 /// The verdict on a reply's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplyHead {
+pub enum ReplyVerdict {
     /// The reply belongs to the attempt; its body is worth reading.
     Accepted,
     /// The back end says that it did not start.
@@ -93,44 +93,44 @@
 }
 
 /// Judges a reply's status and headers.
-pub fn judge_head(
+pub fn check_reply_head(
     identity: &AttemptIdentity,
     status: StatusCode,
     headers: &HeaderMap,
-) -> ReplyHead {
-    let attempt = echoed(headers, http::ATTEMPT).map(AttemptId);
+) -> ReplyVerdict {
+    let attempt = parse_header(headers, http::ATTEMPT).map(AttemptId);
     if attempt.is_some_and(|attempt| attempt != identity.attempt) {
-        return ReplyHead::Discarded(DiscardReason::WrongAttempt);
+        return ReplyVerdict::Discarded(DiscardReason::WrongAttempt);
     }
     if status == StatusCode::OK {
-        return judge_echo(identity, attempt, headers);
+        return check_echo(identity, attempt, headers);
     }
     match refusal(status, headers) {
-        Some(refusal) => ReplyHead::Refused {
+        Some(refusal) => ReplyVerdict::Refused {
             refusal,
             echoed: attempt.is_some(),
         },
-        None => ReplyHead::Failed(status),
+        None => ReplyVerdict::Failed(status),
     }
 }
 
-fn judge_echo(
+fn check_echo(
     identity: &AttemptIdentity,
     attempt: Option<AttemptId>,
     headers: &HeaderMap,
-) -> ReplyHead {
-    let shard = echoed(headers, http::SHARD).map(ShardId);
-    let snapshot = echoed::<SnapshotId>(headers, http::SNAPSHOT);
+) -> ReplyVerdict {
+    let shard = parse_header(headers, http::SHARD).map(ShardId);
+    let snapshot = parse_header::<SnapshotId>(headers, http::SNAPSHOT);
     let (Some(_), Some(shard), Some(snapshot)) = (attempt, shard, snapshot) else {
-        return ReplyHead::Discarded(DiscardReason::MissingEcho);
+        return ReplyVerdict::Discarded(DiscardReason::MissingEcho);
     };
     if shard != identity.shard {
-        return ReplyHead::Discarded(DiscardReason::WrongShard);
+        return ReplyVerdict::Discarded(DiscardReason::WrongShard);
     }
     if snapshot != identity.snapshot {
-        return ReplyHead::Discarded(DiscardReason::WrongSnapshot);
+        return ReplyVerdict::Discarded(DiscardReason::WrongSnapshot);
     }
-    ReplyHead::Accepted
+    ReplyVerdict::Accepted
 }
 
 fn refusal(status: StatusCode, headers: &HeaderMap) -> Option<Refusal> {
@@ -160,11 +160,11 @@
 impl ServerSignals {
     /// Reads the signals; a header that is absent or unreadable counts as not given.
     pub fn read(headers: &HeaderMap) -> Self {
-        let age = echoed(headers, http::LOAD_AGE_MS).unwrap_or(0);
-        let load = echoed(headers, http::LOAD);
+        let age = parse_header(headers, http::LOAD_AGE_MS).unwrap_or(0);
+        let load = parse_header(headers, http::LOAD);
         Self {
-            load: load.map(|running| (running, Duration::from_millis(age))),
-            incarnation: echoed(headers, http::INCARNATION),
+            load: load.map(|running_and_queued| (running_and_queued, Duration::from_millis(age))),
+            incarnation: parse_header(headers, http::INCARNATION),
             draining: headers
                 .get(http::DRAINING)
                 .is_some_and(|value| value.as_bytes() == b"1"),
@@ -175,17 +175,17 @@
 /// The headers that name an attempt towards a back end.
 pub fn attempt_headers(identity: &AttemptIdentity, remaining: Duration) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(5);
-    let mut put = |name: &'static str, value: HeaderValue| {
+    let mut insert = |name: &'static str, value: HeaderValue| {
         headers.insert(HeaderName::from_static(name), value);
     };
-    put(http::ATTEMPT, never_indexed(identity.attempt.0));
-    put(http::SHARD, HeaderValue::from(identity.shard.0));
-    put(http::SNAPSHOT, snapshot_value(identity.snapshot));
-    put(
+    insert(http::ATTEMPT, never_indexed(identity.attempt.0));
+    insert(http::SHARD, HeaderValue::from(identity.shard.0));
+    insert(http::SNAPSHOT, snapshot_value(identity.snapshot));
+    insert(
         http::DEADLINE_MS,
-        never_indexed(whole_milliseconds(remaining)),
+        never_indexed(round_down_to_ms(remaining)),
     );
-    put(
+    insert(
         "content-type",
         HeaderValue::from_static(http::CONTENT_TYPE_PROTOBUF),
     );
@@ -201,7 +201,7 @@
 }
 
 /// Adds the headers that name a request in the ledger, so that a back end can keep its own record.
-pub fn put_ledger_key(headers: &mut HeaderMap, key: &LedgerKey) {
+pub fn insert_ledger_key(headers: &mut HeaderMap, key: &LedgerKey) {
     // Both texts came in as header values, so they are valid ones.
     let texts = [
         (http::CALLER, key.caller.as_str()),
@@ -223,10 +223,10 @@
 }
 
 /// Rounded down, so that a back end never believes in more time than there is.
-fn whole_milliseconds(duration: Duration) -> u64 {
+fn round_down_to_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn echoed<Value: FromStr>(headers: &HeaderMap, name: &str) -> Option<Value> {
+fn parse_header<Value: FromStr>(headers: &HeaderMap, name: &str) -> Option<Value> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
--- a/crates/sablehaven-agent/src/updates.rs
+++ b/crates/sablehaven-agent/src/updates.rs
@@ -14,13 +14,13 @@
 const GAUGE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows the subscription until it ends; says why it ended.
-pub async fn follow(agent: Arc<Agent>, builder: PlanBuilder, telemetry: Telemetry) -> String {
-    let ended = follow_changes(&agent, builder, &telemetry).await;
-    agent.end_plans();
-    ended
+pub async fn run_updates(agent: Arc<Agent>, builder: PlanBuilder, telemetry: Telemetry) -> String {
+    let cause = apply_changes(&agent, builder, &telemetry).await;
+    agent.release_plan_waiters();
+    cause
 }
 
-async fn follow_changes(
+async fn apply_changes(
     agent: &Arc<Agent>,
     mut builder: PlanBuilder,
     telemetry: &Telemetry,
@@ -60,31 +60,31 @@
             ));
         }
     };
-    put_in_force(agent, built, version, telemetry);
+    apply_plan(agent, built, version, telemetry);
     Ok(builder)
 }
 
-fn put_in_force(agent: &Agent, built: BuiltPlan, version: u64, telemetry: &Telemetry) {
-    if !built.problems.is_empty() {
+fn apply_plan(agent: &Agent, built: BuiltPlan, version: u64, telemetry: &Telemetry) {
+    if !built.schema_problems.is_empty() {
         agent.metrics.unusable_configurations.inc();
-        for problem in &built.problems {
+        for problem in &built.schema_problems {
             log::error!("parse the schema of configuration {version}: {problem}");
         }
     }
-    let usable = built.plan.schema.is_some();
+    let has_schema = built.plan.schema.is_some();
     agent.set_plan(built.plan);
     let version = i64::try_from(version).unwrap_or(i64::MAX);
     agent.metrics.configuration_version.set(version);
-    if usable && !agent.is_stopping() {
+    if has_schema && !agent.is_stopping() {
         telemetry.set_ready(true);
     }
-    warm(built.to_warm);
+    preconnect(built.to_preconnect);
 }
 
 /// Opens connections in the background, so that the first attempts need not wait for it.
-fn warm(clients: Vec<Arc<BackendClient>>) {
+fn preconnect(clients: Vec<Arc<BackendClient>>) {
     for client in clients {
-        tokio::spawn(async move { client.warm().await });
+        tokio::spawn(async move { client.preconnect().await });
     }
 }
 
@@ -109,6 +109,6 @@
         let router = service.router.lock();
         let (counters, state) = (router.policy.counters(), router.policy.state());
         drop(router);
-        agent.metrics.routing.show(name, counters, state);
+        agent.metrics.routing.update(name, counters, state);
     }
 }
--- a/crates/sablehaven-agent/tests/agent/coverage_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/coverage_rules.rs
@@ -6,7 +6,7 @@
     prelude::*,
     test_runner::{Config as ProptestConfig, RngSeed, TestRunner},
 };
-use sablehaven_agent::query::{ShardEnd, combined_reason, may_have_run, split};
+use sablehaven_agent::query::{ShardResult, combined_reason, may_have_run, split};
 use sablehaven_types::{Coverage, MissingReason, MissingShard, ShardId};
 
 const REASONS: [MissingReason; 6] = [
@@ -37,8 +37,8 @@
         let asked: Vec<_> = (0..).map(ShardId).take(ends.len()).collect();
         let known = asked.iter().zip(&ends).filter_map(|(shard, end)| {
             let end = match end.as_ref()? {
-                None => ShardEnd::Answered(shard.0),
-                Some(reason) => ShardEnd::Missing(*reason),
+                None => ShardResult::Answered(shard.0),
+                Some(reason) => ShardResult::Missing(*reason),
             };
             Some((*shard, end))
         });
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_reply_of_a_shard_that_was_not_asked_is_in_neither() {
-    let ends = BTreeMap::from([(ShardId(9), ShardEnd::Answered("foreign"))]);
+    let ends = BTreeMap::from([(ShardId(9), ShardResult::Answered("foreign"))]);
     let (replies, coverage) = split(&[ShardId(0)], ends);
     assert!(replies.is_empty());
     assert_eq!(coverage.shard_count(), 1);
--- a/crates/sablehaven-agent/tests/agent/http_interface.rs
+++ b/crates/sablehaven-agent/tests/agent/http_interface.rs
@@ -184,6 +184,6 @@
 #[test]
 fn unknown_is_a_gateway_timeout_and_not_run_is_unavailable() {
     assert_eq!(Reason::SentWithoutReply.status().as_u16(), 504);
-    assert_eq!(Reason::Pressed.status().as_u16(), 503);
+    assert_eq!(Reason::Overloaded.status().as_u16(), 503);
     assert_eq!(Reason::RequestIdReused.status().as_u16(), 409);
 }
--- a/crates/sablehaven-agent/tests/agent/once_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/once_rules.rs
@@ -7,7 +7,7 @@
 use sablehaven_agent::{
     Reason,
     once::{
-        ClaimDecision, DispatchCheck, DispatchDecision, Moment, after_claim, after_dispatch,
+        ClaimDecision, ClockReading, DispatchCheck, DispatchDecision, after_claim, after_dispatch,
         fingerprint,
     },
     transport::{AttemptEnd, DiscardReason, Refusal, TransportError},
@@ -20,14 +20,14 @@
 const ALLOWED: Duration = Duration::from_secs(2);
 
 fn check(frozen_monotonic: Duration, frozen_wall: Duration) -> DispatchCheck {
-    let arrived = Moment {
+    let arrived = ClockReading {
         monotonic: Instant::now(),
         wall_ms: 1_000_000,
     };
     let wall = u64::try_from(frozen_wall.as_millis()).expect("short");
     DispatchCheck {
         arrived,
-        now: Moment {
+        now: ClockReading {
             monotonic: arrived.monotonic + frozen_monotonic,
             wall_ms: arrived.wall_ms + wall,
         },
@@ -80,24 +80,24 @@
 fn a_process_that_was_frozen_does_not_dispatch_whichever_clock_shows_it() {
     let short = Duration::from_millis(5);
     let long = Duration::from_secs(3);
-    assert_eq!(check(short, short).verdict(), Ok(()));
+    assert_eq!(check(short, short).check(), Ok(()));
     // Stopped by a signal: both clocks went on.
     assert_eq!(
-        check(long, long).verdict(),
+        check(long, long).check(),
         Err(Reason::DeadlineBeforeDispatch)
     );
     // The machine slept: the monotonic clock stood still.
     assert_eq!(
-        check(short, long).verdict(),
+        check(short, long).check(),
         Err(Reason::DeadlineBeforeDispatch)
     );
     // The wall clock was set back meanwhile.
     assert_eq!(
-        check(long, Duration::ZERO).verdict(),
+        check(long, Duration::ZERO).check(),
         Err(Reason::DeadlineBeforeDispatch)
     );
     assert_eq!(
-        check(ALLOWED, short).verdict(),
+        check(ALLOWED, short).check(),
         Err(Reason::DeadlineBeforeDispatch)
     );
 }
@@ -107,10 +107,10 @@
     let short = Duration::from_millis(5);
     let mut old = check(short, short);
     old.issued_at_ms -= 60_000;
-    assert_eq!(old.verdict(), Err(Reason::IssuedTooLongAgo));
+    assert_eq!(old.check(), Err(Reason::IssuedTooLongAgo));
     let mut lost = check(short, short);
     lost.lease_current = false;
-    assert_eq!(lost.verdict(), Err(Reason::NoLease));
+    assert_eq!(lost.check(), Err(Reason::NoLease));
 }
 
 #[test]
--- a/crates/sablehaven-agent/tests/agent/reply_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/reply_rules.rs
@@ -5,7 +5,8 @@
     header::{HeaderMap, HeaderName, HeaderValue},
 };
 use sablehaven_agent::transport::{
-    AttemptIdentity, DiscardReason, Refusal, ReplyHead, ServerSignals, attempt_headers, judge_head,
+    AttemptIdentity, DiscardReason, Refusal, ReplyVerdict, ServerSignals, attempt_headers,
+    check_reply_head,
 };
 use sablehaven_types::{AttemptId, ShardId, SnapshotId, http};
 
@@ -34,8 +35,8 @@
     ])
 }
 
-fn judge(status: u16, headers: &HeaderMap) -> ReplyHead {
-    judge_head(
+fn judge(status: u16, headers: &HeaderMap) -> ReplyVerdict {
+    check_reply_head(
         &IDENTITY,
         StatusCode::from_u16(status).expect("a status"),
         headers,
@@ -45,7 +46,7 @@
 #[test]
 fn only_a_whole_echo_is_accepted() {
     use DiscardReason::{MissingEcho, WrongAttempt, WrongShard, WrongSnapshot};
-    assert_eq!(judge(200, &echo("71", "5", "3.2")), ReplyHead::Accepted);
+    assert_eq!(judge(200, &echo("71", "5", "3.2")), ReplyVerdict::Accepted);
     for (attempt, shard, snapshot, reason) in [
         ("72", "5", "3.2", WrongAttempt),
         ("71", "6", "3.2", WrongShard),
@@ -59,20 +60,20 @@
         let judged = judge(200, &echo(attempt, shard, snapshot));
         assert_eq!(
             judged,
-            ReplyHead::Discarded(reason),
+            ReplyVerdict::Discarded(reason),
             "{attempt} {shard} {snapshot}"
         );
     }
     assert_eq!(
         judge(200, &HeaderMap::new()),
-        ReplyHead::Discarded(MissingEcho)
+        ReplyVerdict::Discarded(MissingEcho)
     );
 }
 
 #[test]
 fn the_headers_sent_are_those_a_reply_must_echo() {
     let sent = attempt_headers(&IDENTITY, std::time::Duration::from_micros(1_999));
-    assert_eq!(judge(200, &sent), ReplyHead::Accepted);
+    assert_eq!(judge(200, &sent), ReplyVerdict::Accepted);
     assert_eq!(sent[http::DEADLINE_MS], "1", "rounded down");
 }
 
@@ -85,15 +86,15 @@
         (409, http::REFUSED_SNAPSHOT, Refusal::SnapshotGone),
     ] {
         let mut given = headers(&[(http::REFUSED, word)]);
-        let refused = |echoed| ReplyHead::Refused { refusal, echoed };
+        let refused = |echoed| ReplyVerdict::Refused { refusal, echoed };
         assert_eq!(judge(status, &given), refused(false));
         given.insert(http::ATTEMPT, HeaderValue::from_static("71"));
         assert_eq!(judge(status, &given), refused(true));
         given.insert(http::ATTEMPT, HeaderValue::from_static("70"));
-        let foreign = ReplyHead::Discarded(DiscardReason::WrongAttempt);
+        let foreign = ReplyVerdict::Discarded(DiscardReason::WrongAttempt);
         assert_eq!(judge(status, &given), foreign);
     }
-    let failed = |status| ReplyHead::Failed(StatusCode::from_u16(status).expect("a status"));
+    let failed = |status| ReplyVerdict::Failed(StatusCode::from_u16(status).expect("a status"));
     assert_eq!(judge(503, &HeaderMap::new()), failed(503));
     assert_eq!(
         judge(503, &headers(&[(http::REFUSED, "tired")])),
--- a/crates/sablehaven-agent/tests/agent/support/bed.rs
+++ b/crates/sablehaven-agent/tests/agent/support/bed.rs
@@ -2,7 +2,7 @@
 
 use sablehaven_agent::{
     Config, Handle,
-    routing::{PolicyFactory, service_routers},
+    routing::{PolicyFactory, service_router_factory},
     start_with_policies,
 };
 use sablehaven_telemetry::Telemetry;
@@ -84,7 +84,7 @@
     }
 
     pub async fn agent_with(&self, config: Config) -> AgentDouble {
-        self.agent_routed(config, service_routers()).await
+        self.agent_routed(config, service_router_factory()).await
     }
 
     /// Starts an agent with these routing decisions, and waits until it is ready and holds a lease.
