--- a/crates/sablehaven-agent/src/agent.rs
+++ b/crates/sablehaven-agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! What the requests of one agent share.
+//! State shared by all requests of one agent.
 
 use std::{
     sync::{
@@ -18,20 +18,20 @@
     query::QueryCrashes, reason::Reason,
 };
 
-/// Longest wait of a request for a plan that is being built; far more than a build takes.
+/// Longest time a request waits for a plan that is being built. A build takes milliseconds.
 const MAX_PLAN_WAIT: Duration = Duration::from_secs(10);
 
-/// The shared part of one agent.
+/// State shared by all requests of one agent.
 pub struct Agent {
-    /// Settings.
+    /// The agent's settings.
     pub config: Config,
-    /// Shared state, lease and ledger.
+    /// Access to the shared state, the configuration lease and the request ledger.
     pub subscription: Subscription,
-    /// Metrics.
+    /// The agent's metrics.
     pub metrics: Metrics,
-    /// Queries under which back ends ended.
+    /// Queries that are known or suspected to crash back ends.
     pub crashes: QueryCrashes,
-    /// Requests that may not be repeated, each to the recording of its outcome.
+    /// Tasks of at-most-once requests; each runs until the outcome is recorded.
     pub once_tasks: TaskTracker,
     plan: ArcSwap<AgentPlan>,
     plan_revision: watch::Sender<u64>,
@@ -39,7 +39,7 @@
 }
 
 impl Agent {
-    /// An agent without a plan.
+    /// Creates an agent without a plan.
     pub fn new(config: Config, subscription: Subscription, metrics: Metrics) -> Self {
         Self {
             config,
@@ -53,14 +53,16 @@
         }
     }
 
-    /// The plan in force. A request takes it once and keeps it to its end.
+    /// Returns the current plan. A request loads it once and uses it until it completes.
     pub fn plan(&self) -> Arc<AgentPlan> {
         self.plan.load_full()
     }
 
-    /// The plan for a request that starts now. The subscription has told control which state this
-    /// agent has; a request that starts after that must not be served by an older plan, so it waits
-    /// for the building of the new one, which takes milliseconds.
+    /// Returns the plan for a request that starts now.
+    ///
+    /// The subscription has already reported the revision of this agent's state to the control
+    /// service, so a request that starts afterwards must not use a plan of an older revision. It
+    /// waits until the new plan is built, which takes milliseconds.
     pub async fn current_plan(&self) -> Arc<AgentPlan> {
         let required_revision = self.subscription.view().revision;
         let plan = self.plan();
@@ -69,35 +71,35 @@
         }
         let mut plan_revision = self.plan_revision.subscribe();
         let built = plan_revision.wait_for(|revision| *revision >= required_revision);
-        // After the limit the older plan serves, and its answers say that they are not current.
+        // After a timeout the older plan is used; its answers are marked as not current.
         let _ = timeout(MAX_PLAN_WAIT, built).await;
         self.plan()
     }
 
-    /// Puts a plan in force.
+    /// Replaces the current plan.
     pub fn set_plan(&self, plan: AgentPlan) {
         let revision = plan.revision;
         self.plan.store(Arc::new(plan));
-        // Only after the plan itself: who waits for the revision reads the plan next.
+        // The plan is stored first, because a task that waits for the revision then reads the plan.
         self.plan_revision.send_replace(revision);
     }
 
-    /// No further plan will be built: requests wait for none.
+    /// Stops all waiting for new plans, because none will be built any more.
     pub fn release_plan_waiters(&self) {
         self.plan_revision.send_replace(u64::MAX);
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Begins a planned stop: from now on callers are told to reconnect elsewhere.
+    /// Begins a planned stop: from now on HTTP/1 responses ask callers to close the connection.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// What a request that may not be repeated uses.
+    /// Returns what an at-most-once request needs from the agent.
     pub fn once_environment(&self) -> OnceEnvironment {
         OnceEnvironment {
             subscription: self.subscription.clone(),
@@ -106,7 +108,7 @@
         }
     }
 
-    /// A refusal with the agent's own time to come back.
+    /// Returns a refusal with the retry delay from the agent's settings.
     pub fn refusal_with_retry_after(&self, reason: Reason) -> Answer {
         Answer::without_reply(reason).with_retry_after(self.config.timing.retry_after())
     }
--- a/crates/sablehaven-agent/src/answer.rs
+++ b/crates/sablehaven-agent/src/answer.rs
@@ -1,4 +1,4 @@
-//! An answer before it is encoded for the caller.
+//! The answer to a request, before it is encoded for the caller.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 /// The answer to one request.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// What became of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// Why, where the outcome is not `Done`.
+    /// Why the answer carries no reply.
     pub reason: Option<Reason>,
-    /// The snapshot that the request pinned.
+    /// The snapshot pinned by the request.
     pub snapshot: Option<SnapshotId>,
     /// The shards that the answer covers (queries only).
     pub coverage: Option<Coverage>,
-    /// When the caller may come back, where that is of use.
+    /// The delay before a retry, if a retry can help.
     pub retry_after: Option<Duration>,
-    /// The method's own reply.
+    /// The reply message of the method.
     pub body: Option<DynamicMessage>,
 }
 
 impl Answer {
-    /// An answer with a reply.
+    /// Creates an answer with a reply.
     pub fn done(body: DynamicMessage) -> Self {
         Self {
             outcome: Outcome::Done,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// An answer without a reply.
+    /// Creates an answer without a reply.
     pub fn without_reply(reason: Reason) -> Self {
         Self {
             outcome: reason.outcome(),
@@ -49,13 +49,13 @@
         }
     }
 
-    /// The same answer with the time after which the caller may come back.
+    /// Sets the delay before a retry.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The same answer with the snapshot that was pinned.
+    /// Sets the pinned snapshot.
     pub fn with_snapshot(mut self, snapshot: SnapshotId) -> Self {
         self.snapshot = Some(snapshot);
         self
--- a/crates/sablehaven-agent/src/config.rs
+++ b/crates/sablehaven-agent/src/config.rs
@@ -9,28 +9,28 @@
 use sablehaven_types::{Placement, RegionName, ServiceName, SettingChecks, SettingError, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// The agent's default HTTP port, beside the caller.
+/// Default HTTP port. The agent runs on the same host as its callers.
 const DEFAULT_HTTP_PORT: u16 = 7_400;
 
 /// Settings of one agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// The deployment's name; processes of another one are refused.
+    /// The name of the deployment. Connections to processes of another deployment are refused.
     pub deployment: String,
-    /// Where callers reach the agent; port 0 takes a free one.
+    /// The listen address for callers. Port 0 selects a free port.
     pub http_listen: SocketAddr,
-    /// The IP number from which outgoing connections are made; where it is absent the system chooses.
+    /// The source IP address of outgoing connections. If absent, the operating system chooses one.
     pub connect_from: Option<IpAddr>,
-    /// Where the agent runs.
+    /// The region and zone in which the agent runs.
     pub placement: Placement,
-    /// The services that callers of this agent use; empty means all.
+    /// The services used by the callers of this agent. Empty means all services.
     pub interest: BTreeSet<ServiceName>,
-    /// The connection to the relays.
+    /// Settings of the subscription to the relays.
     pub subscription: sablehaven_subscription::Config,
-    /// Sizes and counts.
+    /// Limits on sizes and counts.
     pub limits: Limits,
-    /// Durations.
+    /// Timeouts, delays and intervals.
     pub timing: Timing,
 }
 
@@ -38,42 +38,43 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// The largest body a caller may send, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub request_body_bytes: usize,
-    /// The largest reply body taken from a back end, in bytes.
+    /// Maximum size of a reply body from a back end, in bytes.
     pub reply_body_bytes: usize,
-    /// Attempts of one sub-request, the first included.
+    /// Maximum number of attempts of one sub-request, including the first.
     pub attempts_per_sub_request: u32,
-    /// How often one query may start again because its snapshot disappeared.
+    /// Maximum number of times a query restarts because its snapshot is gone.
     pub query_restarts: u32,
 }
 
-/// Durations, in milliseconds.
+/// Timeouts, delays and intervals, in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// One call to the request ledger, before it is sent again.
+    /// Timeout of one call to the request ledger, after which the call is sent again.
     pub ledger_call_ms: u64,
-    /// Pause before a ledger call that found no leader is sent again.
+    /// Delay before a ledger call that found no leader is sent again.
     pub ledger_pause_ms: u64,
-    /// Time after the claim within which the outcome is recorded, or the agent gives up on it.
+    /// Time limit for recording an outcome or a release in the ledger, after which the agent gives up.
     pub settle_ms: u64,
-    /// Time after a caller's deadline during which a late reply of a request that may not be
-    /// repeated is still waited for and recorded.
+    /// Time after the caller's deadline during which the agent still waits for the reply to an
+    /// at-most-once request, in order to record it.
     pub late_reply_ms: u64,
-    /// Age of a request that may not be repeated, counted from its issue time, above which it is
-    /// not dispatched. Must stay well below the ledger's horizon.
+    /// Maximum age of an at-most-once request, counted from its issue time, at which it is still
+    /// dispatched. Must be well below the horizon of the ledger.
     pub issue_age_limit_ms: u64,
-    /// When a caller who got `unknown` or a refusal for lack of a lease may come back.
+    /// Retry delay given to callers whose request ended as `unknown` or was refused for lack of a
+    /// lease.
     pub retry_after_ms: u64,
-    /// Time between "not ready" and the closing of the listener in a planned stop.
+    /// In a planned stop, the time between reporting "not ready" and closing the listener.
     pub stop_notice_ms: u64,
-    /// Longest time that a planned stop waits for requests in flight.
+    /// In a planned stop, the maximum time to wait for requests in flight.
     pub stop_limit_ms: u64,
-    /// Interval of HTTP/2 pings to back ends; a connection without an answer is closed after twice
-    /// this time.
+    /// Interval of HTTP/2 pings to back ends. A connection on which nothing is answered is closed
+    /// after twice this time.
     pub connection_ping_ms: u64,
-    /// Time that opening a connection to a back end may take.
+    /// Timeout for opening a connection to a back end.
     pub connect_ms: u64,
 }
 
@@ -124,7 +125,7 @@
 }
 
 impl Config {
-    /// Every setting that cannot be used, its key under `prefix`.
+    /// Returns an error for every invalid setting. The keys in the errors start with `prefix`.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
         let mut checks = SettingChecks::new(prefix);
         checks.name("deployment", &self.deployment);
@@ -178,37 +179,37 @@
         checks.into_errors()
     }
 
-    /// One ledger call.
+    /// Timeout of one ledger call.
     pub fn ledger_call_timeout(&self) -> Duration {
         Duration::from_millis(self.ledger_call_ms)
     }
 
-    /// Pause between two ledger calls.
+    /// Delay before a ledger call is sent again.
     pub fn ledger_retry_delay(&self) -> Duration {
         Duration::from_millis(self.ledger_pause_ms)
     }
 
-    /// Time within which an outcome is recorded.
+    /// Time limit for recording an outcome or a release.
     pub fn settle_timeout(&self) -> Duration {
         Duration::from_millis(self.settle_ms)
     }
 
-    /// Time that a late reply is waited for.
+    /// Time after the caller's deadline during which a late reply is still recorded.
     pub fn late_reply_window(&self) -> Duration {
         Duration::from_millis(self.late_reply_ms)
     }
 
-    /// When a caller may come back.
+    /// Retry delay given to callers.
     pub fn retry_after(&self) -> Duration {
         Duration::from_millis(self.retry_after_ms)
     }
 
-    /// Time between "not ready" and the closing of the listener.
+    /// Time between reporting "not ready" and closing the listener.
     pub fn stop_notice(&self) -> Duration {
         Duration::from_millis(self.stop_notice_ms)
     }
 
-    /// Longest wait for requests in flight in a planned stop.
+    /// Maximum time to wait for requests in flight in a planned stop.
     pub fn stop_timeout(&self) -> Duration {
         Duration::from_millis(self.stop_limit_ms)
     }
@@ -218,7 +219,7 @@
         Duration::from_millis(self.connection_ping_ms)
     }
 
-    /// Time that opening a connection may take.
+    /// Timeout for opening a connection.
     pub fn connect_timeout(&self) -> Duration {
         Duration::from_millis(self.connect_ms)
     }
--- a/crates/sablehaven-agent/src/interface.rs
+++ b/crates/sablehaven-agent/src/interface.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface towards callers.
+//! The HTTP interface for callers.
 
 mod handler;
 mod request;
--- a/crates/sablehaven-agent/src/interface/handler.rs
+++ b/crates/sablehaven-agent/src/interface/handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP handler of callers' requests.
+//! The HTTP handler for requests of callers.
 
 use std::{
     sync::Arc,
@@ -32,11 +32,11 @@
 
 /// Handles `POST /<package>.<Service>/<Method>`.
 pub struct CallHandler {
-    /// The agent that serves.
+    /// The agent that serves the requests.
     pub agent: Arc<Agent>,
 }
 
-/// A request whose body fits the schema.
+/// A request whose body was decoded and matches the schema.
 struct DecodedCall<'a> {
     service: &'a Arc<ServicePlan>,
     method: &'a MethodSchema,
@@ -137,8 +137,8 @@
         read.run().await
     }
 
-    /// Runs the request in a task of its own: a caller that goes away must not leave a claim behind
-    /// without its outcome.
+    /// Runs the request in a separate task. If the caller disconnects, the task still records the
+    /// outcome of the claim in the ledger.
     async fn serve_once(&self, call: DecodedCall<'_>, request: &Request) -> Answer {
         let headers = match OnceHeaders::read(request.headers()) {
             Ok(headers) => headers,
@@ -156,7 +156,8 @@
         let environment = self.agent.once_environment();
         self.agent.once_tasks.spawn(once.run(environment, sender));
         let answer = receiver.await;
-        // The task ends without an answer only if it panicked, at a place that is not known.
+        // The task ends without an answer only if it panicked. Where it panicked is not known, so
+        // the request may have been sent.
         answer.unwrap_or_else(|_| Answer::without_reply(Reason::SentWithoutReply))
     }
 }
@@ -195,6 +196,6 @@
     if let Some(seconds) = answer.retry_after_seconds {
         headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
-    // The body was not set before, so writing it cannot fail.
+    // Writing the body fails only if a body was set before, and none was.
     let _ = response.write_body(answer.body);
 }
--- a/crates/sablehaven-agent/src/interface/request.rs
+++ b/crates/sablehaven-agent/src/interface/request.rs
@@ -1,4 +1,4 @@
-//! Reading what a caller's headers ask for. Pure.
+//! Parsing of the request headers that select the encoding and the deadline. No I/O.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::reason::Reason;
 
-/// The longest deadline a caller may ask for.
+/// The longest deadline that a caller may request.
 const MAX_DEADLINE: Duration = Duration::from_secs(60);
 
-/// How a body is written.
+/// The encoding of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Encoding {
     /// `application/json`.
@@ -23,7 +23,7 @@
 }
 
 impl Encoding {
-    /// The content type that names the encoding.
+    /// Returns the content type of the encoding.
     pub fn content_type(self) -> &'static str {
         match self {
             Self::Json => http::CONTENT_TYPE_JSON,
@@ -32,7 +32,7 @@
     }
 }
 
-/// The encoding of a request's body; JSON where the caller names none.
+/// Returns the encoding of the request body. JSON is the default.
 pub fn request_encoding(headers: &HeaderMap) -> Result<Encoding, Reason> {
     let Some(value) = headers.get(CONTENT_TYPE) else {
         return Ok(Encoding::Json);
@@ -41,7 +41,7 @@
     parse_media_type(&text).ok_or_else(|| Reason::UnsupportedContentType(text.into_owned()))
 }
 
-/// The encoding of the answer: the first that the caller accepts, else that of the request.
+/// Returns the encoding of the answer: the first supported one in `accept`, else that of the request.
 pub fn answer_encoding(headers: &HeaderMap) -> Encoding {
     let accepted = headers.get(ACCEPT).and_then(|value| value.to_str().ok());
     let accepted = accepted.and_then(|text| text.split(',').find_map(parse_media_type));
@@ -49,7 +49,7 @@
     accepted.unwrap_or(fallback)
 }
 
-/// Time from arrival to the caller's deadline: what the caller names, else the method's own.
+/// Returns the time from arrival to the deadline: the caller's value, else the method's default.
 pub fn time_allowed(headers: &HeaderMap, method_deadline_ms: u64) -> Result<Duration, Reason> {
     let Some(value) = headers.get(http::DEADLINE_MS) else {
         return Ok(Duration::from_millis(method_deadline_ms));
@@ -65,7 +65,7 @@
         })
 }
 
-/// The encoding that a media type names, its parameters put aside.
+/// Returns the encoding for a media type, ignoring its parameters.
 fn parse_media_type(media_type: &str) -> Option<Encoding> {
     let essence = media_type.split(';').next()?.trim();
     if essence.eq_ignore_ascii_case(http::CONTENT_TYPE_JSON) {
--- a/crates/sablehaven-agent/src/interface/response.rs
+++ b/crates/sablehaven-agent/src/interface/response.rs
@@ -1,4 +1,4 @@
-//! Writing an answer as an HTTP response.
+//! Encoding of answers as HTTP responses.
 
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
     pub status: StatusCode,
     /// The content type.
     pub content_type: &'static str,
-    /// The `retry-after` header, in whole seconds.
+    /// The value of the `retry-after` header, in whole seconds.
     pub retry_after_seconds: Option<u64>,
-    /// The envelope.
+    /// The encoded envelope.
     pub body: Bytes,
 }
 
@@ -51,13 +51,13 @@
     let body = match answer.body.as_ref().map(encode_json) {
         Some(Ok(body)) => Some(body),
         Some(Err(error)) => {
-            reason = Some(format!("the reply cannot be written as JSON: {error}"));
+            reason = Some(format!("the reply cannot be encoded as JSON: {error}"));
             None
         }
         None => None,
     };
     let envelope = build_envelope(answer, configuration, reason, body);
-    // An envelope of strings, numbers and a JSON value always serializes.
+    // Serialization cannot fail: the envelope consists of strings, numbers and a JSON value.
     serde_json::to_vec(&envelope).unwrap_or_default()
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Rounded up, so that a caller never comes back too early.
+/// Converts to milliseconds, rounded up so that a caller never retries too early.
 fn round_up_to_ms(duration: Duration) -> u64 {
     let milliseconds = duration.as_nanos().div_ceil(1_000_000);
     u64::try_from(milliseconds).unwrap_or(u64::MAX)
--- a/crates/sablehaven-agent/src/lib.rs
+++ b/crates/sablehaven-agent/src/lib.rs
@@ -1,10 +1,13 @@
-//! The process beside each caller: caller interface, query plan, fan-out, merge and coverage, and
-//! requests that may not be repeated.
+//! The agent, a process that runs next to each caller and sends the caller's requests to back ends.
 //!
-//! Decisions stand apart from sockets: what a sub-request does next ([`query::SubRequest`]), whether
-//! a reply belongs to its attempt ([`transport::check_reply_head`]), what an answer covers
-//! ([`query::split`]) and what becomes of a request that may not be repeated
-//! ([`once::after_claim`], [`once::DispatchCheck`], [`once::after_dispatch`]) are pure functions.
+//! Queries are fanned out to all shards; the replies are merged, and the answer states which shards
+//! it covers. Lookups and at-most-once requests go to a single shard.
+//!
+//! The decision logic performs no I/O, so that it can be tested without sockets: the next step of a
+//! sub-request ([`query::SubRequest`]), whether a reply belongs to its attempt
+//! ([`transport::check_reply_head`]), the coverage of an answer ([`query::split`]), and the steps of
+//! an at-most-once request ([`once::after_claim`], [`once::DispatchCheck`],
+//! [`once::after_dispatch`]).
 
 mod agent;
 mod answer;
--- a/crates/sablehaven-agent/src/metrics.rs
+++ b/crates/sablehaven-agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The agent's metrics.
+//! Metrics of the agent.
 
 mod routing;
 
@@ -21,10 +21,11 @@
 
 use crate::transport::{DiscardReason, Refusal};
 
-/// Upper bound of the latency histogram's first bucket, in seconds.
+/// Upper bound of the first bucket of the latency histogram, in seconds.
 const FIRST_LATENCY_BUCKET_SECONDS: f64 = 0.001;
 
-/// Buckets of the latency histogram, each twice as wide as the one before: up to 32 s.
+/// Number of buckets of the latency histogram. Each upper bound is twice the previous one, up to
+/// 32 s.
 const LATENCY_BUCKET_COUNT: u16 = 16;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -43,14 +44,14 @@
     reason: &'static str,
 }
 
-/// The kinds of request, as metrics name them.
+/// The kind of a request, used as a metric label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// Asks every shard.
+    /// Sent to every shard.
     Query,
-    /// Asks one shard, may be repeated.
+    /// Sent to one shard; may be retried.
     Lookup,
-    /// Asks one shard, may not be repeated.
+    /// Sent to one shard at most once.
     Once,
     /// Refused before its method was known.
     Unrecognised,
@@ -67,37 +68,37 @@
     }
 }
 
-/// Counters, gauges and histograms of one agent; cheap to clone.
+/// Counters, gauges and histograms of one agent. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     requests: Family<RequestLabels, Counter>,
     latency: Family<KindLabel, Histogram, fn() -> Histogram>,
     /// Attempts sent to back ends.
     pub sub_requests: Counter,
-    /// Hedges among them.
+    /// Attempts that were hedges.
     pub hedges: Counter,
-    /// Retries among them.
+    /// Attempts that were retries.
     pub retries: Counter,
-    /// Queries that started again on another snapshot.
+    /// Query restarts on another snapshot.
     pub restarts: Counter,
     refusals: Family<ReasonLabel, Counter>,
     discarded: Family<ReasonLabel, Counter>,
     missing: Family<ReasonLabel, Counter>,
     ledger: Family<KindLabel, Counter>,
-    /// Outcomes that could not be recorded.
+    /// Outcomes and releases that could not be recorded in the ledger.
     pub unrecorded_outcomes: Counter,
-    /// Version of the configuration in force in this agent.
+    /// Version of the agent's current configuration.
     pub configuration_version: Gauge,
-    /// 1 while the agent holds a lease.
+    /// 1 while the agent holds a configuration lease, else 0.
     pub lease_current: Gauge,
-    /// What the routers do, by service.
+    /// State of the routers by service.
     pub routing: RoutingMetrics,
-    /// Configurations that could not be put in force, because their schema does not parse.
+    /// Configurations whose schema could not be parsed.
     pub unusable_configurations: Counter,
 }
 
 impl Metrics {
-    /// Metrics registered with the process's telemetry.
+    /// Creates the metrics and registers them with the telemetry of the process.
     pub fn new(telemetry: &Telemetry) -> Self {
         let metrics = Self {
             requests: Family::default(),
@@ -125,34 +126,34 @@
         let registry = registry.sub_registry_with_prefix("agent");
         registry.register(
             "requests",
-            "Callers' requests by kind and outcome",
+            "Requests from callers, by kind and outcome",
             self.requests.clone(),
         );
         registry.register(
             "request_seconds",
-            "Time from a request's arrival to its answer",
+            "Time from the arrival of a request to its answer",
             self.latency.clone(),
         );
         registry.register(
             "sub_requests",
-            "Attempts sent to back ends, hedges and retries included",
+            "Attempts sent to back ends, including hedges and retries",
             self.sub_requests.clone(),
         );
         registry.register("hedges", "Hedges sent", self.hedges.clone());
         registry.register("retries", "Retries sent", self.retries.clone());
         registry.register(
             "query_restarts",
-            "Queries started again on another snapshot",
+            "Query restarts on another snapshot",
             self.restarts.clone(),
         );
         registry.register(
             "refusals",
-            "Attempts that back ends refused before they started, by reason",
+            "Attempts that back ends refused before starting them, by reason",
             self.refusals.clone(),
         );
         registry.register(
             "discarded_replies",
-            "Replies that were discarded, by reason",
+            "Discarded replies, by reason",
             self.discarded.clone(),
         );
         registry.register(
@@ -167,27 +168,27 @@
         );
         registry.register(
             "unrecorded_outcomes",
-            "Outcomes that could not be recorded in the ledger",
+            "Outcomes and releases that could not be recorded in the ledger",
             self.unrecorded_outcomes.clone(),
         );
         registry.register(
             "configuration_version",
-            "Version of the configuration in force",
+            "Version of the current configuration",
             self.configuration_version.clone(),
         );
         registry.register(
             "lease_current",
-            "1 while the agent holds a lease",
+            "1 while the agent holds a configuration lease, else 0",
             self.lease_current.clone(),
         );
         registry.register(
             "unusable_configurations",
-            "Configurations whose schema does not parse",
+            "Configurations whose schema could not be parsed",
             self.unusable_configurations.clone(),
         );
     }
 
-    /// Counts an answered request.
+    /// Counts an answered request and records its latency.
     pub fn record_answer(&self, kind: RequestKind, outcome: Outcome, latency: Duration) {
         let outcome = match outcome {
             Outcome::Done => "done",
@@ -201,7 +202,7 @@
         histogram.observe(latency.as_secs_f64());
     }
 
-    /// Counts a back end's refusal.
+    /// Counts a refusal by a back end.
     pub fn record_refusal(&self, refusal: Refusal) {
         let reason = match refusal {
             Refusal::Shed => "shed",
--- a/crates/sablehaven-agent/src/metrics/routing.rs
+++ b/crates/sablehaven-agent/src/metrics/routing.rs
@@ -1,4 +1,4 @@
-//! What the routers do, by service.
+//! Metrics of the routers, by service.
 
 use std::sync::atomic::AtomicU64;
 
@@ -17,7 +17,8 @@
 
 type ServiceGauge = Family<ServiceLabel, Gauge<f64, AtomicU64>>;
 
-/// Gauges of the routers; cheap to clone. Counts are shown as gauges because the routers own them.
+/// Gauges of the routers. Cheap to clone. Counts are exported as gauges because the counters
+/// themselves are kept by the routers.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingMetrics {
     needed: ServiceGauge,
@@ -38,39 +39,47 @@
         };
         register_gauge(
             "needed",
-            "Sub-requests that admitted requests need",
+            "Sub-requests needed by admitted requests, without hedges and retries",
             &self.needed,
         );
-        register_gauge("extra", "Hedges and retries beyond them", &self.extra);
+        register_gauge(
+            "extra",
+            "Hedges and retries sent in addition to the needed sub-requests",
+            &self.extra,
+        );
         register_gauge(
             "extra_refused",
-            "Hedges and retries that the budget refused",
+            "Hedges and retries refused for lack of budget",
             &self.extra_refused,
         );
-        register_gauge("refused", "Requests refused by admission", &self.refused);
+        register_gauge(
+            "refused",
+            "Requests refused by admission control",
+            &self.refused,
+        );
         register_gauge(
             "budget_factor",
-            "Part of the extra load budget that sheds have left, 0 to 1",
+            "Factor by which load shedding lowers the hedge and retry budget, 1 without shedding, at least 0",
             &self.budget_factor,
         );
         register_gauge(
             "admission_limit",
-            "Limit on needed sub-requests per second, 0 without one",
+            "Admission limit on needed sub-requests per second, 0 if unlimited",
             &self.admission_limit,
         );
         register_gauge(
             "remote_share",
-            "Share of work that spills to other regions, 0 to 1",
+            "Fraction of load sent to other regions, 0 to 1",
             &self.remote_share,
         );
         register_gauge(
             "ejected",
-            "Back ends taken out for not answering",
+            "Back ends ejected for not answering, or suspected",
             &self.ejected,
         );
     }
 
-    /// Shows one service's router as it is now.
+    /// Sets the gauges of one service to the current values of its router.
     pub fn update(&self, service: &ServiceName, counters: RouterCounters, state: RouterState) {
         let label = ServiceLabel {
             service: service.0.clone(),
--- a/crates/sablehaven-agent/src/once.rs
+++ b/crates/sablehaven-agent/src/once.rs
@@ -1,9 +1,9 @@
-//! Requests that may not be repeated.
+//! At-most-once requests.
 //!
-//! A request is claimed in the ledger before its only dispatch, and its outcome is recorded after
-//! it. The order claim, check, dispatch, record must hold: a dispatch without a granted claim could
-//! be the second one. The flow runs in a task of its own, so that a caller who goes away does not
-//! leave a claim without an outcome.
+//! The agent claims a request in the ledger, checks that it may still be dispatched, dispatches it
+//! once, and records the outcome in the ledger. The steps must run in this order: without a granted
+//! claim, a dispatch could be the second one of the same request. The steps run in a separate task,
+//! so that the outcome of a claim is recorded even if the caller disconnects.
 
 mod decision;
 mod dispatch;
--- a/crates/sablehaven-agent/src/once/decision.rs
+++ b/crates/sablehaven-agent/src/once/decision.rs
@@ -1,4 +1,4 @@
-//! The decisions about a request that may not be repeated. Pure: replies and times in, verdict out.
+//! Decisions about an at-most-once request, as functions of replies and times. No I/O.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -10,20 +10,20 @@
     transport::{AttemptEnd, DiscardReason},
 };
 
-/// What follows from the ledger's reply to a claim.
+/// The next step after the ledger's reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// The claim holds the key: the request may be dispatched once.
+    /// The claim was granted; the request may be dispatched once.
     Dispatch,
-    /// The request ran or may have run; this is its first outcome.
+    /// An earlier dispatch of the request has this recorded outcome.
     Recorded(RecordedOutcome),
-    /// The request is not dispatched.
+    /// The request is refused and not dispatched.
     Refuse(Reason),
-    /// No answer; the same claim may be sent again.
+    /// The ledger gave no decision; the same claim may be sent again.
     Retry,
 }
 
-/// Judges the ledger's reply to a claim.
+/// Returns the next step after the ledger's reply to a claim.
 pub fn after_claim(reply: LedgerReply) -> ClaimDecision {
     let LedgerReply::Claim(answer) = reply else {
         return ClaimDecision::Retry;
@@ -33,7 +33,8 @@
         ClaimAnswer::Settled(outcome) => ClaimDecision::Recorded(outcome),
         ClaimAnswer::Held => ClaimDecision::Refuse(Reason::InProgress),
         ClaimAnswer::FingerprintMismatch => ClaimDecision::Refuse(Reason::RequestIdReused),
-        // What the ledger has forgotten may have run, so this is not "not run".
+        // The ledger no longer has records of this age, so the request may have run. The outcome
+        // of this reason is therefore `Unknown`, not `NotRun`.
         ClaimAnswer::BelowHorizon { .. } => ClaimDecision::Refuse(Reason::BelowLedgerHorizon),
         ClaimAnswer::IssuedInFuture { limit_ms } => {
             ClaimDecision::Refuse(Reason::IssuedInFuture { limit_ms })
@@ -44,18 +45,20 @@
     }
 }
 
-/// A moment on both clocks. The monotonic clock stands still while the machine sleeps, and the wall
-/// clock may be set, so neither alone shows how long a process was frozen.
+/// The readings of the monotonic and the wall clock at one point in time.
+///
+/// Both are needed to detect how long a process was suspended: the monotonic clock stops while the
+/// machine sleeps, and the wall clock may be set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The monotonic clock.
+    /// The monotonic time.
     pub monotonic: Instant,
-    /// The wall clock, in milliseconds since the Unix epoch.
+    /// The wall clock time, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
 impl ClockReading {
-    /// This moment.
+    /// Reads both clocks.
     pub fn now() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let milliseconds = since_epoch.unwrap_or_default().as_millis();
@@ -71,20 +74,20 @@
 pub struct DispatchCheck {
     /// When the request arrived.
     pub arrived: ClockReading,
-    /// Now.
+    /// The current time.
     pub now: ClockReading,
     /// Time from arrival to the caller's deadline.
     pub time_allowed: Duration,
     /// When the caller issued the request, in milliseconds since the Unix epoch.
     pub issued_at_ms: u64,
-    /// The largest age since the issue time at which the request is still dispatched.
+    /// Maximum age since the issue time at which the request is still dispatched.
     pub issue_age_limit_ms: u64,
-    /// Whether the agent holds a lease.
+    /// Whether the agent holds a configuration lease.
     pub lease_current: bool,
 }
 
 impl DispatchCheck {
-    /// Whether the request may be dispatched now, or why not.
+    /// Returns why the request must not be dispatched now, if so.
     pub fn check(&self) -> Result<(), Reason> {
         let monotonic_elapsed = self.now.monotonic - self.arrived.monotonic;
         let wall_elapsed_ms = self.now.wall_ms.saturating_sub(self.arrived.wall_ms);
@@ -92,8 +95,8 @@
         if elapsed >= self.time_allowed {
             return Err(Reason::DeadlineBeforeDispatch);
         }
-        // Below the ledger's horizon a resend is not recognised any more, so this one must be far
-        // from it.
+        // The ledger does not recognize a resend whose issue time is below its horizon, so a
+        // request is dispatched only while its issue time is far above the horizon.
         let issue_age_ms = self.now.wall_ms.saturating_sub(self.issued_at_ms);
         if issue_age_ms > self.issue_age_limit_ms {
             return Err(Reason::IssuedTooLongAgo);
@@ -105,19 +108,23 @@
     }
 }
 
-/// What follows from the end of the dispatch.
+/// The next step after the dispatch has ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DispatchDecision {
-    /// The reply, to be recorded and given to the caller.
+    /// The request ran. The reply is recorded and returned to the caller.
     Done(Bytes),
-    /// It did not run: the claim is released.
+    /// The request did not run. The claim is released.
     NotRun(Reason),
-    /// Whether it ran is not known; recorded so.
+    /// It is not known whether the request ran; this is recorded. Contains the reason if a reply
+    /// was discarded.
     Unknown(Option<DiscardReason>),
 }
 
-/// Judges the end of the dispatch. Only two ends prove that the request did not run: no connection
-/// could be opened, or the back end refused *this* attempt. All others leave it unknown.
+/// Returns the next step after the dispatch has ended.
+///
+/// Only two results prove that the request did not run: no connection could be opened, or the back
+/// end refused this attempt, which the refusal shows by echoing the attempt's id. With any other
+/// result except a reply, the request may have run.
 pub fn after_dispatch(end: AttemptEnd) -> DispatchDecision {
     match end {
         AttemptEnd::Replied(body) => DispatchDecision::Done(body),
--- a/crates/sablehaven-agent/src/once/dispatch.rs
+++ b/crates/sablehaven-agent/src/once/dispatch.rs
@@ -1,4 +1,4 @@
-//! The one dispatch of a request that may not be repeated.
+//! The single dispatch of an at-most-once request.
 
 use std::{sync::Arc, time::Instant};
 
@@ -13,15 +13,17 @@
     transport::{AttemptEnd, AttemptIdentity, AttemptMessage, AttemptReport},
 };
 
-/// The dispatch that a granted claim allows.
+/// The dispatch permitted by a granted claim.
 pub struct Dispatch {
-    /// To whom.
+    /// The back end to send to.
     pub chosen: Chosen,
-    /// What the reply must echo.
+    /// The identifiers that the reply must echo.
     pub identity: AttemptIdentity,
 }
 
-/// The only place that sends a request that may not be repeated to a back end.
+/// Sends the request to the back end and waits for the end of the attempt.
+///
+/// No other function sends an at-most-once request to a back end.
 pub async fn send_dispatch(
     request: &OnceRequest,
     metrics: &Metrics,
--- a/crates/sablehaven-agent/src/once/fingerprint.rs
+++ b/crates/sablehaven-agent/src/once/fingerprint.rs
@@ -1,11 +1,11 @@
-//! The fingerprint of a request: a hash of method and message that does not depend on how the
-//! message was encoded, so that a resend as JSON matches a first sending as protobuf.
+//! The fingerprint of a request: a hash of its method and message that is independent of the
+//! encoding, so that a resend as JSON matches an original request sent as protobuf.
 
 use prost_reflect::{DynamicMessage, MapKey, Value};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hashes a method's path and a message. Fields go by number and maps by key, because neither
-/// encoding fixes their order.
+/// Hashes the path of a method and a message. Fields are hashed in the order of their numbers and
+/// map entries in the order of their keys, because neither encoding fixes an order.
 pub fn fingerprint(path: &str, message: &DynamicMessage) -> u64 {
     let mut hasher = Xxh3::new();
     hash_bytes(&mut hasher, path.as_bytes());
@@ -63,7 +63,7 @@
     }
 }
 
-/// The length goes first, so that no two different values hash the same bytes.
+/// Hashes the length first, so that different values never feed the same bytes to the hash.
 fn hash_bytes(hasher: &mut Xxh3, bytes: &[u8]) {
     hash_length(hasher, bytes.len());
     hasher.update(bytes);
--- a/crates/sablehaven-agent/src/once/flow.rs
+++ b/crates/sablehaven-agent/src/once/flow.rs
@@ -1,4 +1,4 @@
-//! The flow of one request that may not be repeated: claim, check, dispatch, record, answer.
+//! The steps of one at-most-once request: claim, check, dispatch, record, answer.
 
 use std::{
     sync::Arc,
@@ -32,35 +32,35 @@
     transport::{AttemptIdentity, DiscardReason},
 };
 
-/// The largest part of the time allowed that is kept back for giving up before the deadline.
+/// Maximum time reserved before the deadline for sending a refusal to the caller.
 const MAX_REPLY_RESERVE: Duration = Duration::from_millis(50);
 
-/// The share of the time allowed that is kept back: one in this many.
+/// The reserve is the allowed time divided by this number, up to [`MAX_REPLY_RESERVE`].
 const RESERVE_DIVISOR: u32 = 10;
 
-/// What every such request uses of the agent.
+/// The parts of the agent used by at-most-once requests.
 #[derive(Clone)]
 pub struct OnceEnvironment {
-    /// Lease and ledger.
+    /// Access to the configuration lease and the request ledger.
     pub subscription: Subscription,
-    /// Durations.
+    /// Timeouts, delays and intervals.
     pub timing: Timing,
-    /// Metrics.
+    /// The agent's metrics.
     pub metrics: Metrics,
 }
 
-/// A decoded request that may not be repeated.
+/// A decoded at-most-once request.
 #[derive(Debug)]
 pub struct OnceRequest {
-    /// The service that is asked.
+    /// The service that the method belongs to.
     pub service: Arc<ServicePlan>,
     /// The method.
     pub method: MethodSchema,
     /// The request message.
     pub message: DynamicMessage,
-    /// Its key, and whether it was sent before.
+    /// The ledger key, and whether this is a resend.
     pub headers: OnceHeaders,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: ClockReading,
     /// Time from arrival to the caller's deadline.
     pub time_allowed: Duration,
@@ -74,9 +74,10 @@
 }
 
 impl OnceRequest {
-    /// Serves the request to its end. The answer goes out through `sender` by the deadline; the
-    /// future may go on after that to wait for a late reply and to record the outcome, and must
-    /// not be dropped.
+    /// Runs the request until its outcome is recorded.
+    ///
+    /// The answer is sent through `sender` by the deadline. The future may run longer, to wait for a
+    /// late reply and to record the outcome, and must not be dropped before it completes.
     pub async fn run(self, environment: OnceEnvironment, sender: oneshot::Sender<Answer>) {
         let ledger = LedgerEntry {
             subscription: environment.subscription.clone(),
@@ -99,7 +100,7 @@
         self.arrived.monotonic + self.time_allowed
     }
 
-    /// When to give up before the dispatch, so that the refusal reaches the caller in time.
+    /// Time limit for the claim, early enough for a refusal to reach the caller before the deadline.
     fn claim_deadline(&self) -> Instant {
         let reserve = (self.time_allowed / RESERVE_DIVISOR).min(MAX_REPLY_RESERVE);
         self.deadline() - reserve
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Refusals that need no word of the ledger. A request that was sent before may have run, so of
-    /// such a one they say "unknown".
+    /// Returns a refusal if the request can be refused without asking the ledger. The refusal of a
+    /// resend has the outcome `Unknown`, because the earlier request may have run.
     fn refuse_before_claim(&self) -> Option<Answer> {
         if !self.environment.subscription.lease().current {
             return Some(self.refusal_without_claim(Reason::NoLease));
@@ -149,7 +150,8 @@
         }
     }
 
-    /// The ledger did not answer. The claim may still take effect there; it is never dispatched.
+    /// Refuses the request because the ledger did not answer. The claim may still take effect in the
+    /// ledger, so it is released; the request is not dispatched.
     async fn abandon_claim(mut self) {
         let answer = self.refusal_without_claim(Reason::LedgerUnavailable);
         self.responder.answer(answer);
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Chooses the back end and makes the last check. Nothing may be awaited between this check and
-    /// the dispatch, or the check would speak of the past.
+    /// Chooses the back end and checks whether the request may still be dispatched. Nothing may be
+    /// awaited between this check and the dispatch, or the result of the check could be out of date.
     fn prepare(&self, pinned: &IndexSnapshot) -> Result<Dispatch, Reason> {
         let (shard, chosen) = self.choose(pinned).map_err(Reason::NoReplica)?;
         let dispatch_check = DispatchCheck {
@@ -204,8 +206,8 @@
         Ok((shard, chosen))
     }
 
-    /// Sends the request, once. At the caller's deadline the caller is told "unknown", while a late
-    /// reply is still waited for: it may say that the request ran.
+    /// Sends the request once. At its deadline the caller gets an answer with the outcome `Unknown`;
+    /// the agent goes on waiting for a late reply, which may show that the request ran.
     async fn dispatch(&mut self, dispatch: Dispatch) -> DispatchDecision {
         let deadline = self.request.deadline();
         let accept_until = deadline + self.environment.timing.late_reply_window();
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Records the reply before the caller gets it, so that a resend after the answer finds it.
+    /// Records the reply before answering the caller, so that a resend after the answer finds it.
     async fn settle_done(mut self, body: Bytes, snapshot: SnapshotId) {
         let Ok(reply) = decode_reply(&self.request.method.output, &body) else {
             return self.settle_unknown(Some(DiscardReason::Undecodable)).await;
@@ -259,12 +261,15 @@
         self.responder.answer(answer);
         if !recorded {
             self.environment.metrics.unrecorded_outcomes.inc();
-            log::warn!("settle request {:?}: not recorded", self.ledger.key);
+            log::warn!(
+                "cannot record the outcome of request {:?} in the ledger",
+                self.ledger.key
+            );
         }
     }
 
-    /// Releases the claim before the caller gets its refusal, so that a resend is not taken for one
-    /// in progress; but the caller waits for that no longer than one ledger call.
+    /// Releases the claim before answering the caller, so that a resend is not refused as being in
+    /// progress. The caller waits for the release no longer than for one ledger call.
     async fn release_and_refuse(mut self, reason: Reason) {
         let answer = self.refusal(reason);
         let one_call_deadline = Instant::now() + self.environment.timing.ledger_call_timeout();
@@ -313,7 +318,7 @@
         self.refusal(reason)
     }
 
-    /// A refusal, with the time to come back where coming back may help.
+    /// Returns a refusal, with a retry delay if a retry can help.
     fn refusal(&self, reason: Reason) -> Answer {
         let router = &self.request.service.router;
         let now = router.now();
--- a/crates/sablehaven-agent/src/once/key.rs
+++ b/crates/sablehaven-agent/src/once/key.rs
@@ -1,24 +1,26 @@
-//! The headers that name a request in the ledger.
+//! Parsing of the headers that identify an at-most-once request in the ledger.
 
 use sablehaven_types::{CallerId, LedgerKey, RequestId, http};
 use salvo::http::HeaderMap;
 
 use crate::reason::Reason;
 
-/// The longest caller or request id, in bytes; the ledger keeps both for its whole horizon.
+/// Maximum length of a caller or request id, in bytes. The limit is needed because the ledger keeps
+/// both until they are below its horizon.
 const MAX_ID_BYTES: usize = 128;
 
-/// What the headers of a request that may not be repeated say.
+/// The parsed headers of an at-most-once request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnceHeaders {
-    /// The request's key in the ledger.
+    /// The key of the request in the ledger.
     pub key: LedgerKey,
-    /// Whether the caller has sent the request before and does not know its outcome.
+    /// Whether this is a resend: the caller has sent the request before and does not know its
+    /// outcome.
     pub resend: bool,
 }
 
 impl OnceHeaders {
-    /// Reads the headers; names the first that is missing or cannot be used.
+    /// Parses the headers. The error names the first header that is missing or invalid.
     pub fn read(headers: &HeaderMap) -> Result<Self, Reason> {
         let caller = id_header(headers, http::CALLER)?;
         let request = id_header(headers, http::REQUEST_ID)?;
@@ -39,7 +41,7 @@
     }
 }
 
-/// Whether the caller says that it has sent the request before.
+/// Returns whether the headers mark the request as a resend.
 pub fn is_resend(headers: &HeaderMap) -> bool {
     headers
         .get(http::RESEND)
--- a/crates/sablehaven-agent/src/once/ledger.rs
+++ b/crates/sablehaven-agent/src/once/ledger.rs
@@ -1,4 +1,4 @@
-//! Calls to the ledger, sent again deadline they are answered or their time is over.
+//! Calls to the ledger, which are sent again until they are answered or a deadline has passed.
 
 use std::time::Instant;
 
@@ -8,25 +8,25 @@
 use super::decision::{ClaimDecision, after_claim};
 use crate::{config::Timing, metrics::Metrics};
 
-/// The ledger as one request uses it: one key, one claim.
+/// The ledger entry of one request, with the means to claim, release and settle it.
 #[derive(Clone)]
 pub struct LedgerEntry {
-    /// The way to the ledger.
+    /// The connection through which the ledger is called.
     pub subscription: Subscription,
-    /// Durations of the agent.
+    /// Timeouts, delays and intervals.
     pub timing: Timing,
     /// The agent's metrics.
     pub metrics: Metrics,
-    /// The request's key.
+    /// The key of the request.
     pub key: LedgerKey,
-    /// This agent's claim. A call whose reply was lost is sent again with the same one, which the
-    /// ledger recognises.
+    /// The id of this agent's claim. A call whose reply was lost is sent again with the same id, by
+    /// which the ledger recognizes it.
     pub claim: ClaimId,
 }
 
 impl LedgerEntry {
-    /// Claims the key. `None` means that no answer came deadline `deadline`; the claim may still take
-    /// effect, so nothing may be dispatched and the claim must be released.
+    /// Claims the key. `None` means that no answer came before `deadline`. The claim may still take
+    /// effect, so the request must not be dispatched and the claim must be released.
     pub async fn claim(&self, fingerprint: u64, deadline: Instant) -> Option<ClaimDecision> {
         let request = LedgerRequest::Claim {
             key: self.key.clone(),
@@ -43,7 +43,8 @@
         None
     }
 
-    /// Gives the key back. `false` means that this could not be recorded deadline `deadline`.
+    /// Releases the claim. Returns `false` if the ledger does not hold the claim or if the release
+    /// was not recorded before `deadline`.
     pub async fn release(&self, deadline: Instant) -> bool {
         let request = LedgerRequest::Release {
             key: self.key.clone(),
@@ -52,7 +53,8 @@
         self.record("release", &request, deadline).await
     }
 
-    /// Records the outcome. `false` means that this could not be recorded deadline `deadline`.
+    /// Records the outcome. Returns `false` if the ledger does not hold the claim or if the outcome
+    /// was not recorded before `deadline`.
     pub async fn settle(&self, outcome: RecordedOutcome, deadline: Instant) -> bool {
         let request = LedgerRequest::Settle {
             key: self.key.clone(),
--- a/crates/sablehaven-agent/src/once/responder.rs
+++ b/crates/sablehaven-agent/src/once/responder.rs
@@ -1,4 +1,4 @@
-//! Gives the caller its answer exactly once, while the flow may go on.
+//! Sends the caller exactly one answer, possibly before the request's task has finished.
 
 use std::{future::Future, time::Instant};
 
@@ -6,29 +6,30 @@
 
 use crate::answer::Answer;
 
-/// The way back to the caller.
+/// Sends the answer of one request.
 #[derive(Debug)]
 pub struct Responder {
     sender: Option<oneshot::Sender<Answer>>,
 }
 
 impl Responder {
-    /// A responder that has not answered.
+    /// Creates a responder that sends its answer through `sender`.
     pub fn new(sender: oneshot::Sender<Answer>) -> Self {
         Self {
             sender: Some(sender),
         }
     }
 
-    /// Answers; a second answer is dropped. A caller who has gone away is no error.
+    /// Sends the answer. Any further answer is dropped. It is not an error if the caller has
+    /// disconnected.
     pub fn answer(&mut self, answer: Answer) {
         if let Some(sender) = self.sender.take() {
             let _ = sender.send(answer);
         }
     }
 
-    /// Waits for `work`, but lets the caller wait no longer than `until`: then it is given `answer`
-    /// while the work goes on.
+    /// Waits for `work` to complete. If it has not completed by `deadline`, sends `answer` to the
+    /// caller and goes on waiting.
     pub async fn answer_by<Work: Future>(
         &mut self,
         deadline: Instant,
--- a/crates/sablehaven-agent/src/plan.rs
+++ b/crates/sablehaven-agent/src/plan.rs
@@ -1,8 +1,9 @@
-//! The plan that requests are served by: schema, services, routers and connections.
+//! The plan used to serve requests: schema, services, routers and connections.
 //!
-//! A plan is built off the request path from each new view of the shared state, and put in force by
-//! one atomic swap. A request loads the plan once and keeps it to its end, so it never sees half of
-//! a change; routers and connections live on from plan to plan with what they have learned.
+//! A new plan is built outside the request path for each new view of the shared state, and replaces
+//! the current one by an atomic swap. A request loads the plan once and uses it until it completes,
+//! so it never sees a partial change. Routers and connections are carried over from plan to plan and
+//! keep their state.
 
 use std::{collections::BTreeMap, sync::Arc, time::Instant};
 
@@ -16,34 +17,37 @@
     transport::{BackendClient, BackendConnections, ConnectionSettings},
 };
 
-/// What requests are served by, at one revision of the shared state.
+/// The schema and services used to serve requests, at one revision of the shared state.
 #[derive(Clone, Debug, Default)]
 pub struct AgentPlan {
-    /// The revision of the shared state that the plan was built from (0 for none).
+    /// The revision of the shared state that the plan was built from; 0 for the initial empty plan.
     pub revision: u64,
-    /// The version of the configuration in it.
+    /// The version of the configuration in that state.
     pub configuration_version: u64,
-    /// When the plan was built; `None` for the empty plan of the start.
+    /// When the plan was built; `None` for the initial empty plan.
     pub built_at: Option<Instant>,
-    /// The schema; `None` until the first configuration has come.
+    /// The schema; `None` until the first usable configuration has been received.
     pub schema: Option<Arc<DeploymentSchema>>,
-    /// The services that the agent serves.
+    /// The services that callers of the agent can use.
     pub services: BTreeMap<ServiceName, Arc<ServicePlan>>,
 }
 
-/// One service: its router, which holds the snapshot to pin, and its connections.
+/// The router and the connections of one service.
 #[derive(Debug)]
 pub struct ServicePlan {
-    /// The decisions.
+    /// The router, which also holds the snapshot that new requests pin.
     pub router: Arc<SharedRouter>,
-    /// The connections.
+    /// The connections to the back ends of the service.
     pub connections: Arc<BackendConnections>,
 }
 
 impl AgentPlan {
-    /// What an answer made under this plan may say of its configuration, given the lease on the
-    /// state that the agent has. The two differ for a moment after a change; the plan then counts
-    /// as not proved since it was built, which errs to the older side.
+    /// Returns the configuration age to report in an answer produced with this plan, given the
+    /// lease on the agent's state.
+    ///
+    /// For a short time after a change, the plan and the lease have different versions. The plan is
+    /// then reported as not current, and as at least as old as its build time, which never reports
+    /// the configuration as newer than it is.
     pub fn age(&self, lease: ConfigurationAge) -> ConfigurationAge {
         if lease.version == self.configuration_version {
             return lease;
@@ -57,7 +61,7 @@
         }
     }
 
-    /// The method at an HTTP path, with its service.
+    /// Returns the method at an HTTP path and the service it belongs to.
     pub fn method(&self, path: &str) -> Option<(&MethodSchema, &Arc<ServicePlan>)> {
         let method = self.schema.as_ref()?.method_at(path)?;
         let service = self.services.get(&method.service)?;
@@ -65,7 +69,7 @@
     }
 }
 
-/// Builds plans, one from the other.
+/// Builds plans, each based on the previous one.
 pub struct PlanBuilder {
     site: AgentSite,
     connection_settings: ConnectionSettings,
@@ -75,18 +79,19 @@
     plan: AgentPlan,
 }
 
-/// What one build gives.
+/// The result of one build.
 pub struct BuiltPlan {
-    /// The plan to put in force.
+    /// The new plan.
     pub plan: AgentPlan,
-    /// Connections to open ahead of the first attempt.
+    /// Clients whose connections should be opened before the first attempt.
     pub to_preconnect: Vec<Arc<BackendClient>>,
-    /// Why the schema could not be taken; the plan keeps the one before.
+    /// Why the new schema could not be parsed; the plan then keeps the previous one. Empty if there
+    /// was no problem.
     pub schema_problems: Vec<SchemaProblem>,
 }
 
 impl PlanBuilder {
-    /// A builder that has built nothing yet.
+    /// Creates a builder whose previous plan is empty.
     pub fn new(
         site: AgentSite,
         connection_settings: ConnectionSettings,
@@ -103,7 +108,7 @@
         }
     }
 
-    /// Builds the plan of a view. Parsing a changed schema takes milliseconds, so this must not run
+    /// Builds the plan for a view. Parsing a changed schema takes milliseconds, so this must not run
     /// on a thread that serves requests.
     pub fn build(&mut self, view: &View) -> BuiltPlan {
         let schema_problems = self.update_schema(view).err().unwrap_or_default();
@@ -131,7 +136,7 @@
         let Some(source) = &view.schema else {
             return Ok(());
         };
-        // Remembered even if it does not parse, so that it is not tried again on each view.
+        // Stored even if it cannot be parsed, so that it is not parsed again for every view.
         self.schema_source = Some(Arc::clone(source));
         let schema = DeploymentSchema::parse(&source.file_name, &source.text)?;
         self.plan.schema = Some(Arc::new(schema));
--- a/crates/sablehaven-agent/src/query.rs
+++ b/crates/sablehaven-agent/src/query.rs
@@ -1,4 +1,4 @@
-//! Requests that may be repeated: queries over every shard and look-ups in one.
+//! Requests that may be retried: queries, which go to every shard, and lookups, which go to one.
 
 mod attempt;
 mod coverage;
@@ -27,27 +27,28 @@
 use crashes::CrashWatch;
 use fan_out::{FanOutLimits, FanOutResult, fan_out};
 
-/// A decoded request that may be repeated.
+/// A decoded query or lookup.
 #[derive(Clone, Copy)]
 pub struct ReadRequest<'a> {
-    /// The service that is asked.
+    /// The service that the method belongs to.
     pub service: &'a ServicePlan,
     /// The method.
     pub method: &'a MethodSchema,
     /// The request message.
     pub message: &'a DynamicMessage,
-    /// When the caller stops waiting.
+    /// The caller's deadline.
     pub deadline: Instant,
-    /// Limits of the agent.
+    /// Limits on sizes and counts.
     pub limits: &'a Limits,
     /// The agent's metrics.
     pub metrics: &'a Metrics,
-    /// Queries under which back ends ended.
+    /// Queries that are known or suspected to crash back ends.
     pub crashes: &'a QueryCrashes,
 }
 
 impl ReadRequest<'_> {
-    /// Serves the request. Returns as soon as every shard has answered or is given up.
+    /// Runs the request. Returns as soon as every sub-request has been answered or has failed, at the
+    /// latest at the deadline.
     pub async fn run(&self) -> Answer {
         let mut pinned = self.service.router.pin();
         if let Some(refusal) = self.admit(&pinned) {
@@ -83,7 +84,7 @@
                     let answer = self.answer(replies, coverage);
                     return answer.with_snapshot(pinned.id);
                 }
-                // Nothing of the replies merged so far is kept: they are of the lost snapshot.
+                // The replies received so far are discarded: they belong to the old snapshot.
                 FanOutResult::SnapshotReplaced => {
                     restarts_left -= 1;
                     self.metrics.restarts.inc();
@@ -106,7 +107,8 @@
         }
     }
 
-    /// The shards to ask: every one of the pinned map, or the one that the key belongs to.
+    /// Returns the shards to send to: for a query every shard of the pinned snapshot, for a lookup
+    /// the one that the key belongs to.
     fn shards(&self, pinned: &IndexSnapshot) -> Vec<ShardId> {
         if matches!(self.method.kind, MethodKind::Query { .. }) {
             return pinned.shards.iter().map(|entry| entry.shard).collect();
--- a/crates/sablehaven-agent/src/query/attempt.rs
+++ b/crates/sablehaven-agent/src/query/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a sub-request: sent, judged, decoded and reported to the router.
+//! One attempt of a sub-request: sending it, decoding the reply and reporting the result to the
+//! router.
 
 use std::{sync::Arc, time::Instant};
 
@@ -18,26 +19,26 @@
     },
 };
 
-/// What all sub-requests of one request share.
+/// Data shared by all sub-requests of one request.
 #[derive(Clone, Copy)]
 pub struct SharedRequest<'a> {
-    /// The service that is asked.
+    /// The service that the method belongs to.
     pub service: &'a ServicePlan,
     /// The method.
     pub method: &'a MethodSchema,
-    /// The request message as protobuf.
+    /// The request message, encoded as protobuf.
     pub body: &'a Bytes,
-    /// The snapshot that the request pinned.
+    /// The snapshot pinned by the request.
     pub pinned: &'a IndexSnapshot,
     /// The request's deadline.
     pub deadline: Instant,
     /// The agent's metrics.
     pub metrics: &'a Metrics,
-    /// What becomes of its back ends.
+    /// Tracks the attempts of the request whose back ends may have crashed.
     pub crash_watch: &'a CrashWatch<'a>,
 }
 
-/// Sends one attempt, which the router already counts as sent, and waits for its end.
+/// Sends one attempt and waits for its result. The router must have counted the attempt as sent.
 pub async fn run_attempt(
     shared: SharedRequest<'_>,
     shard: ShardId,
@@ -65,7 +66,8 @@
         Err(_) => {}
     }
     let outcome = match &result {
-        // The reply is used, and the router learns what matters more: no new work for this one.
+        // The reply is used, but the router is told that the back end is draining, so that it sends
+        // no new work there.
         Ok(_) if draining => AttemptOutcome::Draining,
         Ok(_) => AttemptOutcome::Replied,
         Err(failure) => failure.outcome(),
@@ -118,7 +120,8 @@
     })
 }
 
-/// Whether a back end has ended: its address refuses connections. A lost connection alone does not show that.
+/// Returns whether the process of a back end has ended, which shows by its address refusing
+/// connections. A lost connection alone is not sufficient evidence.
 pub async fn is_terminated(shared: SharedRequest<'_>, chosen: &Chosen) -> bool {
     let connections = &shared.service.connections;
     match connections.client(&chosen.backend, chosen.address) {
--- a/crates/sablehaven-agent/src/query/coverage.rs
+++ b/crates/sablehaven-agent/src/query/coverage.rs
@@ -1,21 +1,23 @@
-//! Coverage, computed from the replies that are merged and never from those that were sent.
+//! Coverage of an answer, computed from the replies that are merged and never from the sub-requests
+//! that were sent.
 
 use std::collections::BTreeMap;
 
 use sablehaven_types::{Coverage, MissingReason, MissingShard, ShardId};
 
-/// How one shard's sub-request ended.
+/// The result of the sub-request to one shard.
 #[derive(Clone, Debug)]
 pub enum ShardResult<Reply> {
-    /// Its reply is part of the answer.
+    /// The reply of the shard, which is part of the answer.
     Answered(Reply),
-    /// It is not.
+    /// The shard is missing from the answer.
     Missing(MissingReason),
 }
 
-/// Splits the shards' ends into the replies to merge and the coverage they give.
+/// Splits the results into the replies to merge and the coverage of the answer.
 ///
-/// A shard of `asked` without an end is missing for its deadline: the fan-out stopped waiting for it.
+/// A shard of `requested` that has no result is reported as missing with the reason `Deadline`,
+/// because the fan-out stops waiting only at the deadline.
 pub fn split<Reply>(
     requested: &[ShardId],
     mut results: BTreeMap<ShardId, ShardResult<Reply>>,
@@ -39,14 +41,14 @@
     (replies, coverage)
 }
 
-/// The reason that stands for a query of which no shard answered, and whether a back end may have
-/// worked on it.
+/// Returns a single reason for a query of which no shard answered. Reasons for which a back end may
+/// have run the query take precedence. `None` if no shard is missing.
 pub fn combined_reason(coverage: &Coverage) -> Option<MissingReason> {
     let reasons = coverage.missing.iter().map(|entry| entry.reason);
     reasons.max_by_key(|reason| (may_have_run(*reason), *reason))
 }
 
-/// Whether a back end may have worked on a sub-request that ended so.
+/// Returns whether a back end may have run a sub-request that is missing for this reason.
 pub fn may_have_run(reason: MissingReason) -> bool {
     match reason {
         MissingReason::NoReplica | MissingReason::Shed | MissingReason::SnapshotGone => false,
--- a/crates/sablehaven-agent/src/query/crashes.rs
+++ b/crates/sablehaven-agent/src/query/crashes.rs
@@ -1,7 +1,7 @@
-//! What becomes of the back ends that run one query, and which of its attempts may be sent next.
+//! Detection of queries that crash back ends, and the resulting limits on sending attempts.
 //!
-//! What is known of queries that end their back ends is in [`sablehaven_routing::crash_table`]. Each agent keeps its own:
-//! a caller's resends come to the agent beside it.
+//! The state of suspect and quarantined queries is in [`sablehaven_routing::crash_table`]. Each agent
+//! has its own table: a caller resends a query to the agent next to it, so one table sees all of them.
 
 use std::{
     sync::{
@@ -15,18 +15,20 @@
 use sablehaven_types::{RequestFingerprint, fingerprint_text};
 use tokio::{sync::Notify, time::timeout};
 
-/// Time for which a sub-request that lost its back end waits for the others of its query, which tell sooner than
-/// another back end would. Longer than most queries take, so that it ends by their replies.
+/// Maximum time for which a sub-request that lost its connection waits for the other sub-requests of
+/// the query. Their results show sooner than an attempt at another back end whether the query crashes
+/// back ends. Longer than most queries take, so that the wait usually ends with a reply.
 const SIBLING_REPLY_WAIT: Duration = Duration::from_millis(100);
 
-/// The queries under which back ends ended, shared by all queries of an agent.
+/// The table of queries that are known or suspected to crash back ends, shared by all queries of an
+/// agent.
 #[derive(Debug, Default)]
 pub struct QueryCrashes {
     table: Mutex<CrashTable>,
 }
 
 impl QueryCrashes {
-    /// Whether a query may be sent to back ends.
+    /// Returns whether a query may be sent to back ends.
     pub fn standing(&self, now: Duration, fingerprint: RequestFingerprint) -> Standing {
         self.lock().standing(now, fingerprint)
     }
@@ -36,22 +38,22 @@
     }
 }
 
-/// The attempts of one query, shared by its sub-requests.
+/// Tracks the attempts of one query. Shared by the sub-requests of the query.
 #[derive(Debug)]
 pub struct CrashWatch<'a> {
     crashes: &'a QueryCrashes,
     fingerprint: RequestFingerprint,
     has_replied: AtomicBool,
     has_lost_attempt: AtomicBool,
-    /// Attempts under way.
+    /// Number of attempts in flight.
     running: AtomicU32,
     changed: Notify,
     lost_trials: AtomicU32,
-    /// Held by the only attempt of a suspect query.
+    /// Held by the only attempt that a suspect query may have in flight.
     trial: tokio::sync::Mutex<()>,
 }
 
-/// An attempt under way; it has ended when this is dropped.
+/// Guard of an attempt in flight. Dropping it marks the attempt as ended.
 pub struct RunningAttempt<'a> {
     running: &'a AtomicU32,
     changed: &'a Notify,
@@ -66,16 +68,16 @@
 
 /// Whether an attempt may be sent.
 pub enum Turn<'a> {
-    /// As usual.
+    /// The attempt may be sent.
     Send,
-    /// The query is suspect: this is its only attempt while the guard lives.
+    /// The query is suspect. The attempt may be sent, and is the only one until the guard is dropped.
     Trial(tokio::sync::MutexGuard<'a, ()>),
-    /// No back end is to get the query.
+    /// The query must not be sent to any back end.
     Never,
 }
 
 impl<'a> CrashWatch<'a> {
-    /// A query that nothing was sent for.
+    /// Creates the state of a query without any attempt.
     pub fn new(crashes: &'a QueryCrashes, fingerprint: RequestFingerprint) -> Self {
         Self {
             crashes,
@@ -89,7 +91,7 @@
         }
     }
 
-    /// An attempt begins.
+    /// Registers an attempt that is about to be sent.
     pub fn begin(&self) -> RunningAttempt<'_> {
         self.running.fetch_add(1, Ordering::AcqRel);
         RunningAttempt {
@@ -98,14 +100,15 @@
         }
     }
 
-    /// A back end has replied, or said that it failed or refused while it went on: it has outlived the query.
+    /// Records that a back end replied, even if with an error or an unusable reply. The back end has
+    /// survived the query.
     pub fn replied(&self, now: Duration) {
         if !self.has_replied.swap(true, Ordering::AcqRel) {
             self.crashes.lock().answered(now, self.fingerprint);
         }
     }
 
-    /// The connection of an attempt ended while its back end had the query.
+    /// Records that the connection of an attempt was lost while the back end had the query.
     pub fn lost(&self, now: Duration) {
         self.has_lost_attempt.store(true, Ordering::Release);
         if !self.has_replied.load(Ordering::Acquire) {
@@ -113,7 +116,8 @@
         }
     }
 
-    /// The query's only attempt was lost; `is_terminated` when its back end was found to have ended.
+    /// Records that the only attempt of a suspect query was lost. `is_terminated` states whether the
+    /// back end was found to have ended.
     pub fn trial_lost(&self, now: Duration, is_terminated: bool) {
         self.lost_trials.fetch_add(1, Ordering::AcqRel);
         if !is_terminated {
@@ -124,12 +128,12 @@
             log::warn!(
                 event = "request_quarantined", target:% = fingerprint_text(self.fingerprint),
                 lost = quarantine.report.lost, crashes = quarantine.report.crashes, for_s = quarantine.time.as_secs();
-                "back ends end when they run this query"
+                "this request crashes back ends and is quarantined"
             );
         }
     }
 
-    /// Waits until an attempt may be sent, or is known to be never sent.
+    /// Waits until it is decided whether an attempt may be sent.
     pub async fn turn(&self, now: impl Fn() -> Duration) -> Turn<'_> {
         let siblings_done = async {
             loop {
@@ -140,7 +144,7 @@
                 changed.await;
             }
         };
-        // After the limit the sub-request goes on as if the others had told nothing.
+        // After the timeout the sub-request proceeds without results of the others.
         let _ = timeout(SIBLING_REPLY_WAIT, siblings_done).await;
         if self.is_clear(now()) {
             return Turn::Send;
@@ -157,7 +161,8 @@
         }
     }
 
-    /// Whether a back end was lost and the others that run the query have told nothing yet.
+    /// Returns whether a connection was lost while other attempts of the query, still in flight, may
+    /// show whether the query is the cause.
     fn must_wait_for_siblings(&self, now: Duration) -> bool {
         let has_lost_attempt = self.has_lost_attempt.load(Ordering::Acquire);
         has_lost_attempt && self.running.load(Ordering::Acquire) > 0 && self.is_undecided(now)
@@ -167,7 +172,7 @@
         !self.has_replied.load(Ordering::Acquire) && self.standing(now) == Standing::Clear
     }
 
-    /// Whether attempts may be sent beside others.
+    /// Returns whether several attempts of the query may be in flight at once.
     pub fn is_clear(&self, now: Duration) -> bool {
         self.has_replied.load(Ordering::Acquire) || self.standing(now) == Standing::Clear
     }
--- a/crates/sablehaven-agent/src/query/fan_out.rs
+++ b/crates/sablehaven-agent/src/query/fan_out.rs
@@ -1,4 +1,4 @@
-//! Asks every shard of a request at the same time, and stops at the deadline.
+//! Runs the sub-requests of a request concurrently until the deadline.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,25 @@
 
 use super::{attempt::SharedRequest, coverage::ShardResult, shard::run_sub_request};
 
-/// How a fan-out ended.
+/// The result of a fan-out.
 pub enum FanOutResult {
-    /// Every shard answered, was given up, or was still asked at the deadline.
+    /// The results of the sub-requests. Those still in flight at the deadline have none.
     Finished(BTreeMap<ShardId, ShardResult<DynamicMessage>>),
-    /// A shard lost the pinned snapshot and the agent knows another one.
+    /// A shard no longer has the pinned snapshot, and the agent knows a newer one.
     SnapshotReplaced,
 }
 
 /// Limits of one fan-out.
 #[derive(Clone, Copy)]
 pub struct FanOutLimits {
-    /// Attempts of one sub-request, the first included.
+    /// Maximum number of attempts of one sub-request, including the first.
     pub max_attempts: u32,
-    /// Whether the request may start again on another snapshot.
+    /// Whether the request may restart on another snapshot.
     pub may_restart: bool,
 }
 
-/// Asks the shards. Returns as soon as each has answered or is given up; what is still in flight at
-/// the deadline is cancelled.
+/// Sends the request to the shards. Returns as soon as every sub-request has been answered or has
+/// failed. Sub-requests still in flight at the deadline are cancelled.
 pub async fn fan_out(
     shared: SharedRequest<'_>,
     shards: &[ShardId],
@@ -46,7 +46,8 @@
     let mut snapshot_lost = false;
     while let Ok(Some((shard, end))) = timeout_at(shared.deadline.into(), running.next()).await {
         snapshot_lost |= matches!(end, ShardResult::Missing(MissingReason::SnapshotGone));
-        // Seen at once where the new snapshot is known already; at the last shard otherwise.
+        // Checked after each result, because the agent may learn of the new snapshot only after a
+        // shard has reported the old one as gone.
         if snapshot_lost && limits.may_restart && is_replaced(shared) {
             return FanOutResult::SnapshotReplaced;
         }
--- a/crates/sablehaven-agent/src/query/shard.rs
+++ b/crates/sablehaven-agent/src/query/shard.rs
@@ -1,4 +1,4 @@
-//! One sub-request: drives the decisions of [`SubRequest`] with attempts and a hedge timer.
+//! Runs one sub-request: sends the attempts and sets the hedge timer as [`SubRequest`] decides.
 
 use std::time::{Duration, Instant};
 
@@ -16,8 +16,9 @@
     sub_request::{AttemptFailure, Step, SubRequest},
 };
 
-/// Asks one shard until it answers or is given up. The caller bounds the time; dropping the future
-/// cancels the attempts in flight.
+/// Sends attempts to the replicas of one shard until one replies or the sub-request has failed.
+///
+/// This function has no timeout of its own. Dropping the future cancels the attempts in flight.
 pub async fn run_sub_request(
     shared: SharedRequest<'_>,
     shard: ShardId,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Waits for the query's turn to send to this shard.
+/// Waits until the query may send another attempt, or must not send any more.
 async fn next_turn(shared: SharedRequest<'_>) -> Turn<'_> {
     shared
         .crash_watch
@@ -92,7 +93,7 @@
         .await
 }
 
-/// Notes the end of a suspect query's only attempt.
+/// Records the result of the only attempt of a suspect query if its connection was lost.
 async fn end_trial(shared: SharedRequest<'_>, failure: AttemptFailure, chosen: Option<&Chosen>) {
     let (AttemptFailure::Lost, Some(chosen)) = (failure, chosen) else {
         return;
@@ -122,7 +123,7 @@
     after.map(|after| Instant::now() + after)
 }
 
-/// Waits for a moment; without one, for ever.
+/// Waits until the given time, or forever if there is none.
 async fn wait_until(moment: Option<Instant>) {
     match moment {
         Some(moment) => sleep_until(moment.into()).await,
--- a/crates/sablehaven-agent/src/query/sub_request.rs
+++ b/crates/sablehaven-agent/src/query/sub_request.rs
@@ -1,5 +1,5 @@
-//! The decisions of one sub-request: when to send, hedge, retry and give up. Pure: the router and
-//! the time are passed in, nothing is sent here.
+//! Decides when one sub-request sends an attempt, hedges, retries or gives up. The router and the
+//! time are passed in; there is no I/O.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 
 use crate::{routing::PinnedRouter, transport::Refusal};
 
-/// Why an attempt gave no reply.
+/// Why an attempt yielded no usable reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// The back end refused because it is pressed.
+    /// The back end refused because it is overloaded.
     Shed,
-    /// The back end refused because it drains.
+    /// The back end refused because it is draining.
     Draining,
     /// The back end does not hold the pinned snapshot.
     SnapshotGone,
     /// The back end refused because the deadline had passed.
     DeadlineRefused,
-    /// No connection could be opened: the back end did no work.
+    /// No connection could be opened, so the back end did no work.
     NotConnected,
-    /// The connection ended while the back end had the request.
+    /// The connection was lost while the back end had the request.
     Lost,
-    /// The back end said that it failed.
+    /// The back end replied with an error.
     Failed,
-    /// A reply came that could not be accepted.
+    /// The reply was discarded.
     BadReply,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl AttemptFailure {
-    /// What the router is told.
+    /// Returns the outcome to report to the router.
     pub fn outcome(self) -> AttemptOutcome {
         match self {
             Self::Shed => AttemptOutcome::Shed,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The coverage reason if no other attempt does better.
+    /// Returns the reason for which the shard is missing if all attempts failed like this one.
     fn missing_reason(self) -> MissingReason {
         match self {
             Self::Shed => MissingReason::Shed,
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Whether another attempt adds work to back ends that may be pressed. One that drains, lacks the
-    /// snapshot or cannot be connected to did not work, so asking another replica is still the first
-    /// work.
+    /// Returns whether a retry counts against the budget for extra load. A back end that is draining,
+    /// lacks the snapshot or cannot be connected to has done no work for the sub-request, so an
+    /// attempt at another replica adds no extra load.
     fn needs_budget(self) -> bool {
         !matches!(
             self,
@@ -77,22 +77,23 @@
     }
 }
 
-/// What to do next.
+/// The next step of a sub-request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Send an attempt.
     Send {
-        /// To whom.
+        /// The back end to send to.
         chosen: Chosen,
-        /// When to call [`SubRequest::hedge_due`], counted from the sending.
+        /// Delay from now after which to call [`SubRequest::hedge_due`], if a hedge is possible.
         hedge_after: Option<Duration>,
     },
     /// Wait for the attempts in flight.
     Wait {
-        /// When to call [`SubRequest::hedge_due`] again, counted from now.
+        /// Delay from now after which to call [`SubRequest::hedge_due`]. If absent, a timer that is
+        /// already set stays.
         hedge_after: Option<Duration>,
     },
-    /// Nothing is in flight and nothing more may be sent.
+    /// The sub-request has failed: no attempt is in flight and no further one may be sent.
     GiveUp(MissingReason),
 }
 
@@ -107,7 +108,7 @@
 }
 
 impl SubRequest {
-    /// A sub-request that nothing was sent for.
+    /// Creates a sub-request without any attempt.
     pub fn new(shard: ShardId, max_attempts: u32) -> Self {
         Self {
             shard,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn start(&mut self, router: &mut PinnedRouter<'_>, now: Duration) -> Step {
         match router.choose(now, self.shard, &self.tried) {
             Ok(chosen) => self.send(router, now, chosen),
@@ -126,7 +127,7 @@
         }
     }
 
-    /// The step after an attempt ended without a reply.
+    /// Returns the step after an attempt has failed.
     pub fn attempt_failed(
         &mut self,
         router: &mut PinnedRouter<'_>,
@@ -151,14 +152,15 @@
         self.send(router, now, chosen)
     }
 
-    /// Why the shard is missing when nothing more is sent after a failure.
+    /// Records a failure after which no further attempt is sent, and returns the reason for which the
+    /// shard is missing.
     pub fn missing_reason(&mut self, failure: AttemptFailure) -> MissingReason {
         self.failures.push(failure);
         combined_reason(&self.failures)
     }
 
-    /// The step when the hedge timer fires. A hedge that the budget refuses now may be allowed a
-    /// moment later, so the timer is set again.
+    /// Returns the step after the hedge timer has fired. If the budget does not allow the hedge now,
+    /// the timer is set again, because the budget may allow it later.
     pub fn hedge_due(&mut self, router: &mut PinnedRouter<'_>, now: Duration) -> Step {
         if self.in_flight == 0 || self.is_exhausted() {
             return Step::Wait { hedge_after: None };
@@ -173,7 +175,7 @@
         self.send(router, now, chosen)
     }
 
-    /// The number of attempts sent so far.
+    /// Returns the number of attempts sent so far.
     pub fn attempts(&self) -> u32 {
         u32::try_from(self.tried.len()).unwrap_or(u32::MAX)
     }
@@ -203,8 +205,9 @@
     }
 }
 
-/// One reason for several failed attempts: their common one, else the most telling. A lost snapshot
-/// or a deadline is only reported if every attempt says so, because another replica may do better.
+/// Returns a single reason for several failed attempts: the one they have in common, else the most
+/// specific one. A missing snapshot or a passed deadline is reported only if every attempt failed for
+/// it, because another replica may not be affected.
 fn combined_reason(failures: &[AttemptFailure]) -> MissingReason {
     const MOST_SPECIFIC_FIRST: [AttemptFailure; 5] = [
         AttemptFailure::BadReply,
--- a/crates/sablehaven-agent/src/reason.rs
+++ b/crates/sablehaven-agent/src/reason.rs
@@ -1,4 +1,4 @@
-//! Why an answer carries no reply, with its outcome and HTTP status.
+//! Reasons why an answer carries no reply, with the outcome and HTTP status of each.
 
 use sablehaven_schema::{BodyError, MergeError};
 use sablehaven_types::{MissingReason, Outcome};
@@ -6,38 +6,38 @@
 
 use crate::transport::Refusal;
 
-/// Why an answer carries no reply. The text is the envelope's `reason`.
+/// Why an answer carries no reply. The display text is sent as `reason` in the envelope.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Reason {
     /// the agent has no configuration yet
     NotReady,
-    /// no method at path '{0}' in the configuration in force, or no service of it in this agent's interest
+    /// the current configuration has no method at path '{0}', or this agent does not serve its service
     UnknownMethod(String),
-    /// content type '{0}' is neither application/json nor application/x-protobuf
+    /// content type '{0}' is not supported; expected application/json or application/x-protobuf
     UnsupportedContentType(String),
-    /// the body is larger than {limit_bytes} bytes, or could not be read: {cause}
+    /// the request body is larger than {limit_bytes} bytes or could not be read: {cause}
     BodyUnreadable {
-        /// The largest body accepted.
+        /// Maximum size of a request body, in bytes.
         limit_bytes: usize,
-        /// What the HTTP library says.
+        /// The error of the HTTP library.
         cause: String,
     },
-    /// the body does not fit the schema: {0}
+    /// the request body does not match the schema: {0}
     InvalidBody(BodyError),
     /// header '{0}' is required for this method
     MissingHeader(&'static str),
-    /// header '{name}' is '{value}', allowed is {allowed}
+    /// invalid value '{value}' of header '{name}', allowed is {allowed}
     InvalidHeader {
-        /// The header.
+        /// The name of the header.
         name: &'static str,
-        /// What was sent.
+        /// The value sent by the caller.
         value: String,
-        /// What is allowed.
+        /// A description of the allowed values.
         allowed: &'static str,
     },
-    /// the service is pressed
+    /// the service is overloaded
     Overloaded,
-    /// the request has crashed back ends and is not sent to any for a while
+    /// the request has crashed back ends and is temporarily not sent to any
     Quarantined,
     /// this agent cannot prove that its configuration is current
     NoLease,
@@ -45,43 +45,43 @@
     LedgerUnavailable,
     /// the request ledger is full
     LedgerFull,
-    /// the issue time lies too far in the future; the latest accepted is {limit_ms} ms since the epoch
+    /// the issue time is too far in the future; the latest accepted is {limit_ms} ms since the Unix epoch
     IssuedInFuture {
-        /// The latest issue time accepted.
+        /// The latest accepted issue time, in milliseconds since the Unix epoch.
         limit_ms: u64,
     },
-    /// the issue time lies too far in the past to run the request now
+    /// the issue time is too far in the past to run the request now
     IssuedTooLongAgo,
-    /// the request id was used with another method or body
+    /// the request id was already used with another method or body
     RequestIdReused,
     /// the deadline passed before the request was sent to a back end
     DeadlineBeforeDispatch,
-    /// the back end refused before it started: {0:?}
+    /// the back end refused the request before starting it: {0:?}
     BackendRefused(Refusal),
     /// no connection to the back end could be opened
     NotConnected,
-    /// no replica of the shard can be asked: {0:?}
+    /// no replica of the shard is available: {0:?}
     NoReplica(MissingReason),
-    /// no shard answered, and nothing ran: {0:?}
+    /// no shard answered, and the request did not run: {0:?}
     NoShardRan(MissingReason),
-    /// no shard answered: {0:?}
+    /// no shard answered, and the request may have run: {0:?}
     NoShardReplied(MissingReason),
-    /// the shards' replies could not be merged: {0}
+    /// the replies of the shards could not be merged: {0}
     MergeFailed(MergeError),
-    /// the request is in progress, or its agent was lost with it
+    /// the request is in progress, or the agent that ran it was lost
     InProgress,
-    /// the issue time lies below the ledger's horizon; whether the request ran is no longer known
+    /// the issue time is below the horizon of the ledger; it is no longer known whether the request ran
     BelowLedgerHorizon,
-    /// the request was sent to a back end, and whether it ran is not known
+    /// the request was sent to a back end, and it is not known whether it ran
     SentWithoutReply,
-    /// the request was sent before, and its outcome cannot be looked up now: {0}
+    /// the outcome of the earlier request cannot be determined now: {0}
     ResendOutcomeUnknown(Box<Reason>),
-    /// the recorded reply does not fit the schema in force: {0}
+    /// the recorded reply does not match the current schema: {0}
     RecordedReplyUnreadable(BodyError),
 }
 
 impl Reason {
-    /// The outcome that the reason stands for.
+    /// Returns the outcome of a request that ends with this reason.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::NoShardReplied(_)
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::UnknownMethod(_) => StatusCode::NOT_FOUND,
@@ -116,8 +116,8 @@
         }
     }
 
-    /// The same refusal for a request that the caller has sent before. The refusal speaks of this
-    /// sending only; the earlier one may have run, so "not run" would not be true of the request.
+    /// Returns the reason to report for a resend. A refusal with the outcome `NotRun` applies to the
+    /// resend only; the earlier request may have run, so the outcome becomes `Unknown`.
     pub fn for_resend(self) -> Self {
         match self.outcome() {
             Outcome::NotRun => Self::ResendOutcomeUnknown(Box::new(self)),
--- a/crates/sablehaven-agent/src/role.rs
+++ b/crates/sablehaven-agent/src/role.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the agent.
+//! Start and stop of the agent.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,10 +20,10 @@
     updates::run_updates,
 };
 
-/// Errors of starting an agent; each names the step and the place.
+/// An error when starting an agent.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StartError {
-    /// listen for callers on {address}: {cause}
+    /// cannot listen for callers on {address}: {cause}
     Listen {
         /// The address from the settings.
         address: SocketAddr,
@@ -42,16 +42,16 @@
     update_task: JoinHandle<String>,
 }
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Starts an agent. It is ready once its first configuration has come.
+/// Starts an agent. It becomes ready once it has received its first usable configuration.
 pub async fn start(config: Config, telemetry: Telemetry) -> Result<Handle, StartError> {
     start_with_policies(config, telemetry, service_router_factory()).await
 }
 
-/// Starts an agent with other routing decisions than [`sablehaven_routing::ServiceRouter`]'s, for
-/// benchmarks against a baseline.
+/// Starts an agent with a custom routing policy in place of [`sablehaven_routing::ServiceRouter`],
+/// for benchmarks against a baseline.
 pub async fn start_with_policies(
     config: Config,
     telemetry: Telemetry,
@@ -96,7 +96,7 @@
 }
 
 impl Handle {
-    /// Where the agent listens.
+    /// Returns the addresses on which the agent listens.
     pub fn addresses(&self) -> BoundAddresses {
         BoundAddresses {
             http: Some(self.address),
@@ -104,17 +104,20 @@
         }
     }
 
-    /// The number of connections to back ends that are kept open.
+    /// Returns the number of back ends to which the agent keeps a connection.
     pub fn backend_connections(&self) -> usize {
         let plan = self.agent.plan();
         let services = plan.services.values();
         services.map(|service| service.connections.len()).sum()
     }
 
-    /// Planned stop. The order must hold: not ready, so that callers go elsewhere; notice, while
-    /// requests are still taken and answered with the advice to reconnect; listener closed; requests
-    /// in flight finished; outcomes recorded; and only then the subscription left, which carries
-    /// the recording.
+    /// Performs a planned stop. The steps must run in this order:
+    ///
+    /// 1. Report "not ready", so that callers use another agent.
+    /// 2. Wait for the notice period. Requests are still accepted; responses ask callers to reconnect.
+    /// 3. Close the listener and finish the requests in flight.
+    /// 4. Record the outcomes of at-most-once requests.
+    /// 5. Close the subscription, which the recording needs.
     pub async fn stop(mut self) {
         self.telemetry.set_ready(false);
         self.agent.begin_stop();
@@ -124,26 +127,26 @@
         if let Some(server_task) = self.server_task.take()
             && let Ok(Err(error)) = server_task.await
         {
-            log::error!("serve callers on {}: {error}", self.address);
+            log::error!("the server for callers on {} failed: {error}", self.address);
         }
         self.finish_once_tasks(timing.stop_timeout()).await;
         self.update_task.abort();
         self.agent.subscription.clone().stop().await;
     }
 
-    /// Resolves only if the agent cannot go on; says why.
+    /// Completes only if the agent cannot continue, and returns the cause.
     pub async fn failed(&mut self) -> String {
         let Some(server_task) = self.server_task.as_mut() else {
             return std::future::pending().await;
         };
         tokio::select! {
             result = server_task => {
-                // A task that has ended must not be awaited again.
+                // A completed task must not be awaited again.
                 self.server_task = None;
-                format!("serve callers on {}: ended with {result:?}", self.address)
+                format!("the server for callers on {} ended: {result:?}", self.address)
             }
             result = &mut self.update_task => {
-                result.unwrap_or_else(|error| format!("follow the shared state: {error}"))
+                result.unwrap_or_else(|error| format!("the task that applies configuration updates failed: {error}"))
             }
         }
     }
@@ -154,7 +157,9 @@
         self.agent.once_tasks.close();
         if timeout(limit, self.agent.once_tasks.wait()).await.is_err() {
             let left = self.agent.once_tasks.len();
-            log::error!("planned stop: {left} outcomes not recorded within {limit:?}");
+            log::error!(
+                "planned stop: {left} at-most-once requests did not finish within {limit:?}; their outcomes may not be recorded"
+            );
         }
     }
 }
@@ -166,10 +171,11 @@
     })
 }
 
-/// Binds a listener whose connections send small replies at once.
+/// Binds a listener with `TCP_NODELAY` set, so that its connections send small replies without delay.
 ///
-/// Accepted connections inherit the option on Linux. Without it the body of a reply waits for the
-/// acknowledgement of its headers, which callers delay by up to 40 ms (RFC 1122, section 4.2.3.4).
+/// On Linux, accepted connections inherit the option. Without it, the body of a reply is sent only
+/// after the headers have been acknowledged, which callers delay by up to 40 ms (RFC 1122, section
+/// 4.2.3.4).
 fn bind_without_delay(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -200,7 +206,8 @@
         .push(Router::with_path("{service}/{method}").post(handler))
 }
 
-/// Unique for each start of the process: the zone for the reader, a random number for the rest.
+/// Creates an id that is unique for each start of the process: the zone, for readability, and a
+/// random number.
 fn agent_id(config: &Config) -> AgentId {
     let number: u64 = rand::random();
     AgentId(format!("{}-{number:016x}", config.placement.zone))
--- a/crates/sablehaven-agent/src/routing.rs
+++ b/crates/sablehaven-agent/src/routing.rs
@@ -1,4 +1,4 @@
-//! The seam to the routing decisions.
+//! The interface between the agent and the routing policy.
 
 mod shared;
 mod ticket;
@@ -16,8 +16,8 @@
 pub use shared::{Observer, PinnedRouter, PolicyState, SharedRouter};
 pub use ticket::AttemptGuard;
 
-/// The decisions that requests of one service ask for. [`ServiceRouter`] makes them in production;
-/// benchmarks put a plain baseline in its place.
+/// The routing policy of one service. [`ServiceRouter`] implements it in production; benchmarks use a
+/// simple baseline instead.
 pub trait RoutingPolicy: Send {
     /// See [`ServiceRouter::update`].
     fn update(&mut self, now: Duration, update: ServiceUpdate<'_>);
@@ -111,11 +111,11 @@
     }
 }
 
-/// Makes the policy of one service.
+/// Creates the routing policy of one service.
 pub type PolicyFactory =
     Arc<dyn Fn(&ServiceName, AgentSite, &RoutingSettings) -> Box<dyn RoutingPolicy> + Send + Sync>;
 
-/// The factory used in production: a [`ServiceRouter`] seeded from the process's random source.
+/// Returns the factory used in production, which creates a [`ServiceRouter`] with a random seed.
 pub fn service_router_factory() -> PolicyFactory {
     Arc::new(|_service, site, settings| {
         Box::new(ServiceRouter::new(site, settings, rand::random()))
--- a/crates/sablehaven-agent/src/routing/shared.rs
+++ b/crates/sablehaven-agent/src/routing/shared.rs
@@ -1,4 +1,4 @@
-//! One service's router, shared by its requests.
+//! The router of one service, shared by its requests.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -10,30 +10,30 @@
 
 use super::RoutingPolicy;
 
-/// Takes what the router saw, for the other agents.
+/// Called with each observation of a router, to publish it to the other agents.
 pub type Observer = Arc<dyn Fn(Observation) + Send + Sync>;
 
-/// One service's router. A decision holds the lock for a few microseconds, and no lock is held
-/// across an await.
+/// The router of one service. A decision holds the lock for a few microseconds, and the lock is never
+/// held across an `await`.
 pub struct SharedRouter {
     created_at: Instant,
     observer: Observer,
     state: Mutex<PolicyState>,
 }
 
-/// What the lock protects.
+/// The state protected by the lock.
 ///
-/// Policy and snapshot change together under one lock: a request that pinned the snapshot and then
-/// asks the policy sees either both of before or both of after an update, and can tell which.
+/// Policy and snapshot are updated together under one lock. A request that pinned a snapshot and then
+/// uses the policy can therefore tell whether the policy has been updated since.
 pub struct PolicyState {
-    /// The decisions.
+    /// The routing policy.
     pub policy: Box<dyn RoutingPolicy>,
-    /// The snapshot that the policy was last updated with, which new requests pin.
+    /// The snapshot of the last update of the policy. New requests pin it.
     pub snapshot: Arc<IndexSnapshot>,
 }
 
 impl SharedRouter {
-    /// Shares a policy that has not been updated yet.
+    /// Creates a router from a policy that has not been updated yet.
     pub fn new(policy: Box<dyn RoutingPolicy>, observer: Observer) -> Self {
         let snapshot = IndexSnapshot {
             id: SnapshotId::default(),
@@ -50,22 +50,22 @@
         }
     }
 
-    /// The time that the policy counts in.
+    /// Returns the current time as used by the policy: the time since the router was created.
     pub fn now(&self) -> Duration {
         self.created_at.elapsed()
     }
 
-    /// The policy, locked.
+    /// Locks the policy and the snapshot.
     pub fn lock(&self) -> MutexGuard<'_, PolicyState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The snapshot that a request which starts now pins.
+    /// Returns the snapshot for a new request to pin.
     pub fn pin(&self) -> Arc<IndexSnapshot> {
         Arc::clone(&self.lock().snapshot)
     }
 
-    /// Takes in a new view of the service.
+    /// Updates the policy and the snapshot from a new view of the service.
     pub fn update(&self, update: ServiceUpdate<'_>) {
         let now = self.now();
         let snapshot = Arc::new(update.snapshot.clone());
@@ -76,7 +76,7 @@
         self.publish_observations();
     }
 
-    /// Reports the end of an attempt.
+    /// Reports the result of an attempt.
     pub fn finished(&self, backend: &BackendId, result: AttemptResult) {
         let now = self.now();
         self.lock().policy.finished(now, backend, result);
@@ -100,7 +100,7 @@
 }
 
 impl PolicyState {
-    /// The decisions for a request that pinned a snapshot.
+    /// Returns the policy as used by a request that pinned `pinned`.
     pub fn pinned<'a>(&'a mut self, pinned: &'a IndexSnapshot) -> PinnedRouter<'a> {
         PinnedRouter {
             is_superseded: self.snapshot.id != pinned.id,
@@ -110,17 +110,17 @@
     }
 }
 
-/// A policy seen by a request that pinned a snapshot. Once the policy has moved on to another
-/// snapshot, its choices count only if the pinned partition map names the same replica.
+/// The policy as used by a request that pinned a snapshot. Once the policy has been updated to another
+/// snapshot, a chosen replica is used only if the pinned snapshot assigns the shard to it too.
 pub struct PinnedRouter<'a> {
-    /// The decisions.
+    /// The routing policy.
     pub policy: &'a mut dyn RoutingPolicy,
     pinned: &'a IndexSnapshot,
     is_superseded: bool,
 }
 
 impl<'a> PinnedRouter<'a> {
-    /// A policy that follows the pinned snapshot.
+    /// Creates a router whose policy has the pinned snapshot.
     pub fn current(policy: &'a mut dyn RoutingPolicy, pinned: &'a IndexSnapshot) -> Self {
         Self {
             policy,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Chooses a replica, or says why there is none.
+    /// Chooses a replica, or returns why there is none.
     pub fn choose(
         &mut self,
         now: Duration,
--- a/crates/sablehaven-agent/src/routing/ticket.rs
+++ b/crates/sablehaven-agent/src/routing/ticket.rs
@@ -1,4 +1,4 @@
-//! One sent attempt, reported to the router exactly once however it ends.
+//! Reports the result of each sent attempt to the router exactly once, also if it is cancelled.
 
 use std::{sync::Arc, time::Instant};
 
@@ -8,8 +8,10 @@
 use super::SharedRouter;
 use crate::transport::ServerSignals;
 
-/// An attempt in flight. Dropping the ticket reports the attempt as cancelled, or as failed if its
-/// deadline has passed: a back end that lets deadlines pass must not look merely cancelled.
+/// Guard of an attempt in flight.
+///
+/// Dropping the guard reports the attempt as cancelled, or as failed if its deadline has passed. A
+/// back end that exceeds deadlines would otherwise look healthy, with cancelled attempts only.
 #[derive(Debug)]
 pub struct AttemptGuard {
     router: Arc<SharedRouter>,
@@ -20,7 +22,7 @@
 }
 
 impl AttemptGuard {
-    /// An attempt that was just reported as sent.
+    /// Creates the guard of an attempt that has just been reported to the router as sent.
     pub fn new(router: Arc<SharedRouter>, backend: BackendId, deadline: Instant) -> Self {
         Self {
             router,
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Reports how the attempt ended.
+    /// Reports the result of the attempt.
     pub fn finish(mut self, outcome: AttemptOutcome, signals: ServerSignals) {
         self.report(outcome, signals);
     }
--- a/crates/sablehaven-agent/src/transport.rs
+++ b/crates/sablehaven-agent/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends: HTTP/2 with prior knowledge, one connection a back end.
+//! Connections to back ends: HTTP/2 with prior knowledge, one connection per back end.
 
 mod client;
 mod connections;
@@ -19,48 +19,48 @@
 /// Settings of the connections to back ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// The IP number from which connections are made; where it is absent the system chooses.
+    /// The source IP address of connections. If absent, the operating system chooses one.
     pub connect_from: Option<IpAddr>,
-    /// Time that opening a connection may take.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Interval of HTTP/2 pings, and the time within which one must be answered.
+    /// Interval of HTTP/2 pings, and also the timeout for the answer to a ping.
     pub ping_interval: Duration,
-    /// The largest reply body, in bytes.
+    /// Maximum size of a reply body, in bytes.
     pub max_reply_body_bytes: usize,
 }
 
-/// Errors of an attempt; each names the step and the back end's address.
+/// An error of an attempt.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum TransportError {
-    /// prepare the connection to back end {address}: {source}
+    /// cannot create the HTTP client for back end {address}: {source}
     Build {
         /// The back end.
         address: SocketAddr,
         /// The cause.
         source: reqwest::Error,
     },
-    /// address the request to back end {address}: path '{path}' cannot be part of a URL
+    /// cannot build the URL of the request to back end {address}: invalid path '{path}'
     Path {
         /// The back end.
         address: SocketAddr,
         /// The method's path.
         path: String,
     },
-    /// connect to back end {address}: {source}
+    /// cannot connect to back end {address}: {source}
     Connect {
         /// The back end.
         address: SocketAddr,
         /// The cause.
         source: reqwest::Error,
     },
-    /// exchange with back end {address}: {source}
+    /// the connection to back end {address} failed during the request: {source}
     Exchange {
         /// The back end.
         address: SocketAddr,
         /// The cause.
         source: reqwest::Error,
     },
-    /// reply of back end {address}: status {status} without a refusal word
+    /// back end {address} replied with status {status} without a valid refusal reason
     Status {
         /// The back end.
         address: SocketAddr,
--- a/crates/sablehaven-agent/src/transport/client.rs
+++ b/crates/sablehaven-agent/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! One back end's HTTP/2 connection, and one attempt over it.
+//! The HTTP/2 client of one back end, which sends the attempts.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -14,54 +14,55 @@
     },
 };
 
-/// How an attempt ended, as far as the transport can tell.
+/// How an attempt ended, as seen by the transport.
 #[derive(Debug)]
 pub enum AttemptEnd {
-    /// A reply that belongs to the attempt; its body is not decoded yet.
+    /// A reply that belongs to the attempt, with its undecoded body.
     Replied(Bytes),
-    /// The back end says that it did not start.
+    /// The back end refused the attempt before starting it.
     Refused {
-        /// Why.
+        /// Why the back end refused.
         refusal: Refusal,
-        /// Whether the refusal echoes the attempt's id.
+        /// Whether the refusal echoes the id of the attempt.
         echoed: bool,
     },
-    /// No connection could be opened: nothing of the request left this process.
+    /// No connection could be opened, so no part of the request was sent.
     NotConnected(TransportError),
-    /// A reply came, but it belongs elsewhere or its body cannot be used.
+    /// A reply was received, but it does not belong to the attempt, came too late or has an unusable
+    /// body.
     Discarded(DiscardReason),
-    /// The connection or the back end failed; whether the attempt ran is not known.
+    /// The connection or the back end failed; it is not known whether the attempt ran.
     Failed(TransportError),
 }
 
-/// An attempt's end with what the reply's headers tell.
+/// The result of an attempt, with the signals from the headers of the reply.
 #[derive(Debug)]
 pub struct AttemptReport {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// What the server tells of itself.
+    /// What the server reports about itself.
     pub signals: ServerSignals,
 }
 
-/// One attempt's message.
+/// The request of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptMessage<'a> {
-    /// What the reply must echo.
+    /// The identifiers that the reply must echo.
     pub identity: AttemptIdentity,
-    /// The method's path, `/<package>.<Service>/<Method>`.
+    /// The path of the method, `/<package>.<Service>/<Method>`.
     pub path: &'a str,
-    /// The request message as protobuf.
+    /// The request message, encoded as protobuf.
     pub body: Bytes,
-    /// The caller's deadline, passed on to the back end as the time that is left.
+    /// The caller's deadline, sent to the back end as the remaining time.
     pub deadline: Instant,
-    /// The moment from which a reply is of no use any more.
+    /// The time from which a reply is discarded as late.
     pub accept_until: Instant,
-    /// Names the request in the ledger, for methods that may not be repeated.
+    /// The ledger key, for at-most-once requests.
     pub ledger_key: Option<&'a LedgerKey>,
 }
 
-/// The connection to one back end. HTTP/2 carries all attempts over one connection; dropping the
-/// client closes it once the attempts on it have ended.
+/// The HTTP client of one back end. All attempts share one HTTP/2 connection, which is closed when the
+/// client has been dropped and the attempts on it have ended.
 #[derive(Debug)]
 pub struct BackendClient {
     address: SocketAddr,
@@ -70,7 +71,7 @@
 }
 
 impl BackendClient {
-    /// A client without an open connection; the first attempt or [`Self::preconnect`] opens it.
+    /// Creates a client. The connection is opened by the first attempt or by [`Self::preconnect`].
     pub fn new(address: SocketAddr, settings: &ConnectionSettings) -> Result<Self, TransportError> {
         let client = Client::builder()
             .http2_prior_knowledge()
@@ -83,7 +84,8 @@
             .http2_keep_alive_interval(settings.ping_interval)
             .http2_keep_alive_timeout(settings.ping_interval)
             .http2_keep_alive_while_idle(true)
-            // The library's own retries would send a request twice behind the ledger's back.
+            // Retries by the HTTP library could send an at-most-once request twice, without the
+            // ledger knowing.
             .retry(reqwest::retry::never())
             .redirect(reqwest::redirect::Policy::none())
             .build()
@@ -95,12 +97,13 @@
         })
     }
 
-    /// The back end's address.
+    /// Returns the address of the back end.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Opens the connection ahead of the first attempt. A failure shows at the first attempt.
+    /// Opens the connection before the first attempt. Errors are ignored, because the first attempt
+    /// connects again and reports them.
     pub async fn preconnect(&self) {
         let Ok(url) = self.url("/health/live") else {
             return;
@@ -108,7 +111,7 @@
         let _ = self.client.execute(Request::new(Method::HEAD, url)).await;
     }
 
-    /// Whether the back end refuses connections, as one that has ended does.
+    /// Returns whether the back end refuses connections, which shows that its process has ended.
     pub async fn refuses_connections(&self) -> bool {
         let Ok(url) = self.url("/health/live") else {
             return false;
@@ -117,8 +120,10 @@
         probe.is_err_and(|error| error.is_connect() && !error.is_timeout())
     }
 
-    /// Sends one attempt and waits for its end. Dropping the future resets the HTTP/2 stream,
-    /// which cancels the attempt at the back end. The caller bounds the wait.
+    /// Sends one attempt and waits for its result.
+    ///
+    /// This function has no timeout of its own. Dropping the future resets the HTTP/2 stream, which
+    /// cancels the attempt at the back end.
     pub async fn attempt(&self, message: AttemptMessage<'_>) -> AttemptReport {
         let request = match self.request(&message) {
             Ok(request) => request,
@@ -201,7 +206,7 @@
 }
 
 impl AttemptReport {
-    /// The end of an attempt that could not be sent.
+    /// Creates the report of an attempt that could not be sent.
     pub fn not_connected(error: TransportError) -> Self {
         Self::without_reply(AttemptEnd::NotConnected(error))
     }
--- a/crates/sablehaven-agent/src/transport/connections.rs
+++ b/crates/sablehaven-agent/src/transport/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections to one service's back ends, bounded by the router's subset.
+//! The connections to the back ends of one service, limited to the subset chosen by the router.
 
 use std::{
     collections::HashMap,
@@ -10,7 +10,8 @@
 
 use super::{BackendClient, ConnectionSettings, TransportError};
 
-/// Connections by back end. A back end has at most one, and only members of the subset keep one.
+/// The clients of the back ends of one service. Each back end has at most one, and
+/// [`reconcile`](Self::reconcile) removes those that are not in the subset.
 #[derive(Debug)]
 pub struct BackendConnections {
     settings: ConnectionSettings,
@@ -18,7 +19,7 @@
 }
 
 impl BackendConnections {
-    /// No connection yet.
+    /// Creates a set without connections.
     pub fn new(settings: ConnectionSettings) -> Self {
         Self {
             settings,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// The connection to a back end; made if there is none to this address yet.
+    /// Returns the client of a back end; creates one if there is none for this address.
     pub fn client(
         &self,
         backend: &BackendId,
@@ -41,8 +42,10 @@
         Ok(client)
     }
 
-    /// Closes the connections to back ends that are not wanted any more, once the attempts on them
-    /// have ended, and gives those that have to be opened.
+    /// Drops the clients of back ends that are not in `required`, and creates those that are missing.
+    ///
+    /// A dropped connection is closed once the attempts on it have ended. Returns the created clients,
+    /// whose connections are not open yet.
     pub fn reconcile(&self, required: &[(BackendId, SocketAddr)]) -> Vec<Arc<BackendClient>> {
         let mut clients = self.clients.write().unwrap_or_else(PoisonError::into_inner);
         clients.retain(|backend, client| {
@@ -64,13 +67,13 @@
         created
     }
 
-    /// The number of back ends with a connection.
+    /// Returns the number of back ends with a client.
     pub fn len(&self) -> usize {
         let clients = self.clients.read().unwrap_or_else(PoisonError::into_inner);
         clients.len()
     }
 
-    /// Whether no back end has a connection.
+    /// Returns whether no back end has a client.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/sablehaven-agent/src/transport/reply.rs
+++ b/crates/sablehaven-agent/src/transport/reply.rs
@@ -1,8 +1,9 @@
-//! Judging the head of a back end's reply. Pure: headers in, verdict out.
+//! Checks the status and headers of replies from back ends. No I/O.
 //!
-//! A reply belongs to an attempt only if it echoes the attempt's id, its shard and its snapshot.
-//! Anything else is discarded, whatever its status: a reply meant for another attempt must neither
-//! fill this answer nor refuse this request.
+//! A reply belongs to an attempt only if it echoes the attempt's id, shard and snapshot. A successful
+//! reply that does not echo all three is discarded, and so is a reply of any status that echoes the id
+//! of another attempt: such a reply must neither become part of the answer nor count as a refusal of
+//! the request.
 
 use std::{str::FromStr, time::Duration};
 
@@ -12,40 +13,40 @@
 };
 use sablehaven_types::{AttemptId, LedgerKey, ShardId, SnapshotId, http};
 
-/// What a reply must echo.
+/// The identifiers of an attempt, which the reply must echo.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptIdentity {
-    /// The attempt, random and unique.
+    /// The random, unique id of the attempt.
     pub attempt: AttemptId,
-    /// The shard that is asked.
+    /// The shard that the attempt is sent to.
     pub shard: ShardId,
-    /// The snapshot that the request pinned.
+    /// The snapshot pinned by the request.
     pub snapshot: SnapshotId,
 }
 
 /// Why a reply was discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DiscardReason {
-    /// It arrived after the deadline.
+    /// The reply arrived after the deadline for accepting it.
     Late,
-    /// It does not echo attempt, shard and snapshot.
+    /// The reply does not echo attempt, shard and snapshot.
     MissingEcho,
-    /// It answers another attempt: swapped, duplicated or from an earlier request.
+    /// The reply belongs to another attempt: it was swapped, duplicated or sent for an earlier request.
     WrongAttempt,
-    /// It answers for another shard.
+    /// The reply is for another shard.
     WrongShard,
-    /// It was made from another snapshot.
+    /// The reply is from another snapshot.
     WrongSnapshot,
-    /// Its body ended early.
+    /// The body is incomplete.
     Truncated,
-    /// Its body is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// Its body is not the method's reply message.
+    /// The body is not a valid reply message of the method.
     Undecodable,
 }
 
 impl DiscardReason {
-    /// The reason's name in metrics.
+    /// Returns the value of the `reason` label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Late => "late",
@@ -60,39 +61,39 @@
     }
 }
 
-/// Why a back end refused an attempt before it started.
+/// Why a back end refused an attempt before starting it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// It is pressed.
+    /// The back end is overloaded.
     Shed,
-    /// It drains.
+    /// The back end is draining.
     Draining,
-    /// It does not hold the pinned snapshot.
+    /// The back end does not hold the pinned snapshot.
     SnapshotGone,
     /// The deadline had passed.
     Deadline,
 }
 
-/// The verdict on a reply's head.
+/// The result of checking the status and headers of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyVerdict {
-    /// The reply belongs to the attempt; its body is worth reading.
+    /// The reply belongs to the attempt; its body can be read.
     Accepted,
-    /// The back end says that it did not start.
+    /// The back end refused the attempt before starting it.
     Refused {
-        /// Why.
+        /// Why the back end refused.
         refusal: Refusal,
-        /// Whether the refusal echoes the attempt's id. One that does not may belong to another
-        /// attempt, so it proves nothing about a request that may not be repeated.
+        /// Whether the refusal echoes the id of the attempt. If not, it may belong to another attempt
+        /// and does not prove that an at-most-once request did not run.
         echoed: bool,
     },
-    /// The reply belongs elsewhere.
+    /// The reply does not belong to the attempt.
     Discarded(DiscardReason),
-    /// Another status; whether the attempt ran is not known.
+    /// Any other status; it is not known whether the attempt ran.
     Failed(StatusCode),
 }
 
-/// Judges a reply's status and headers.
+/// Checks the status and headers of a reply.
 pub fn check_reply_head(
     identity: &AttemptIdentity,
     status: StatusCode,
@@ -146,19 +147,19 @@
     }
 }
 
-/// What a reply's headers tell about the server, whatever became of the attempt.
+/// What a server reports about itself in the headers of a reply, whatever the result of the attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerSignals {
-    /// Requests running and queued, with the age of the count.
+    /// The number of running and queued requests, and the age of that number.
     pub load: Option<(u32, Duration)>,
-    /// The server's start number.
+    /// The incarnation of the server, a number that changes with each start.
     pub incarnation: Option<u64>,
-    /// Whether the server drains.
+    /// Whether the server is draining.
     pub draining: bool,
 }
 
 impl ServerSignals {
-    /// Reads the signals; a header that is absent or unreadable counts as not given.
+    /// Reads the signals. Invalid headers are treated as absent.
     pub fn read(headers: &HeaderMap) -> Self {
         let age = parse_header(headers, http::LOAD_AGE_MS).unwrap_or(0);
         let load = parse_header(headers, http::LOAD);
@@ -172,7 +173,7 @@
     }
 }
 
-/// The headers that name an attempt towards a back end.
+/// Returns the headers of the request for an attempt.
 pub fn attempt_headers(identity: &AttemptIdentity, remaining: Duration) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(5);
     let mut insert = |name: &'static str, value: HeaderValue| {
@@ -192,17 +193,18 @@
     headers
 }
 
-/// A value that HTTP/2's header compression does not keep: one that differs each time would push the
-/// values that repeat out of its table.
+/// Creates a value that the HTTP/2 header compression does not put into its dynamic table. Values that
+/// differ in each request would evict the repeated ones from the table.
 fn never_indexed(number: u64) -> HeaderValue {
     let mut value = HeaderValue::from(number);
     value.set_sensitive(true);
     value
 }
 
-/// Adds the headers that name a request in the ledger, so that a back end can keep its own record.
+/// Inserts the headers that identify a request in the ledger, so that a back end can keep its own
+/// record of requests.
 pub fn insert_ledger_key(headers: &mut HeaderMap, key: &LedgerKey) {
-    // Both texts came in as header values, so they are valid ones.
+    // Both texts were received as header values, so they are valid.
     let texts = [
         (http::CALLER, key.caller.as_str()),
         (http::REQUEST_ID, key.request.as_str()),
@@ -218,11 +220,11 @@
 
 fn snapshot_value(snapshot: SnapshotId) -> HeaderValue {
     let text = snapshot.to_string();
-    // Digits and one dot are always a valid header value.
+    // The text consists of digits and one dot, which is always a valid header value.
     HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
 
-/// Rounded down, so that a back end never believes in more time than there is.
+/// Converts to milliseconds, rounded down so that a back end never gets more time than is left.
 fn round_down_to_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/sablehaven-agent/src/updates.rs
+++ b/crates/sablehaven-agent/src/updates.rs
@@ -1,4 +1,4 @@
-//! Follows the shared state and puts each new view in force.
+//! Applies changes of the shared state: builds a plan from each new view and makes it the current one.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,10 +10,10 @@
     transport::BackendClient,
 };
 
-/// Interval at which the gauges are refreshed.
+/// Interval at which the gauges are updated.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows the subscription until it ends; says why it ended.
+/// Applies the updates of the subscription until it ends, and returns why it ended.
 pub async fn run_updates(agent: Arc<Agent>, builder: PlanBuilder, telemetry: Telemetry) -> String {
     let cause = apply_changes(&agent, builder, &telemetry).await;
     agent.release_plan_waiters();
@@ -27,20 +27,20 @@
 ) -> String {
     let mut changed = agent.subscription.changed();
     loop {
-        // Marked as seen before the view is read: a change in between is then seen as a new one.
+        // Marked as seen before the view is read, so that a change in between is not missed.
         changed.borrow_and_update();
         builder = match rebuild(agent, builder, telemetry).await {
             Ok(builder) => builder,
             Err(cause) => return cause,
         };
         if wait_for_change(agent, &mut changed).await.is_err() {
-            return "follow the shared state: the subscription ended".to_owned();
+            return "the subscription to the shared state ended".to_owned();
         }
     }
 }
 
-/// Builds the current view's plan and puts it in force. An error means that the builder was lost to
-/// a panic, so that the agent cannot take any later configuration.
+/// Builds the plan for the current view and makes it the current plan. An error means that the build
+/// panicked and the builder is lost, so that the agent cannot apply any later configuration.
 async fn rebuild(
     agent: &Arc<Agent>,
     mut builder: PlanBuilder,
@@ -56,7 +56,7 @@
         Ok(result) => result,
         Err(error) => {
             return Err(format!(
-                "build the plan of configuration {version}: {error}"
+                "cannot build the plan for configuration {version}: {error}"
             ));
         }
     };
@@ -68,7 +68,7 @@
     if !built.schema_problems.is_empty() {
         agent.metrics.unusable_configurations.inc();
         for problem in &built.schema_problems {
-            log::error!("parse the schema of configuration {version}: {problem}");
+            log::error!("cannot parse the schema of configuration {version}: {problem}");
         }
     }
     let has_schema = built.plan.schema.is_some();
@@ -81,7 +81,7 @@
     preconnect(built.to_preconnect);
 }
 
-/// Opens connections in the background, so that the first attempts need not wait for it.
+/// Opens connections in the background, so that the first attempts do not have to wait for them.
 fn preconnect(clients: Vec<Arc<BackendClient>>) {
     for client in clients {
         tokio::spawn(async move { client.preconnect().await });
