--- a/crates/sablehaven-agent/src/routing.rs
+++ b/crates/sablehaven-agent/src/routing.rs
@@ -1,7 +1,7 @@
 //! The interface between the agent and the routing policy.
 
+mod attempt_guard;
 mod shared;
-mod ticket;
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,8 +13,8 @@
     BackendId, MissingReason, Observation, RoutingSettings, ServiceName, ShardId,
 };
 
+pub use attempt_guard::AttemptGuard;
 pub use shared::{Observer, PinnedRouter, PolicyState, SharedRouter};
-pub use ticket::AttemptGuard;
 
 /// The routing policy of one service. [`ServiceRouter`] implements it in production; benchmarks use a
 /// simple baseline instead.
