--- a/crates/sablehaven-agent/src/once/flow.rs
+++ b/crates/sablehaven-agent/src/once/flow.rs
@@ -196,8 +196,8 @@
     }
 
     fn choose(&self, pinned: &IndexSnapshot) -> Result<(ShardId, Chosen), MissingReason> {
-        let count = u32::try_from(pinned.shards.len()).unwrap_or(u32::MAX);
-        let shard = shard_for_key(&self.request.method, &self.request.message, count)
+        let shard_count = u32::try_from(pinned.shards.len()).unwrap_or(u32::MAX);
+        let shard = shard_for_key(&self.request.method, &self.request.message, shard_count)
             .map_err(|_| MissingReason::NoReplica)?;
         let router = &self.request.service.router;
         let now = router.now();
@@ -273,13 +273,13 @@
     async fn release_and_refuse(mut self, reason: Reason) {
         let answer = self.refusal(reason);
         let one_call_deadline = Instant::now() + self.environment.timing.ledger_call_timeout();
-        let answer_by = one_call_deadline.min(self.request.deadline());
+        let answer_deadline = one_call_deadline.min(self.request.deadline());
         let early_answer = answer.clone();
         let release_deadline = Instant::now() + self.environment.timing.settle_timeout();
         let releasing = self.ledger.release(release_deadline);
         let released = self
             .responder
-            .answer_by(answer_by, || early_answer, releasing)
+            .answer_by(answer_deadline, || early_answer, releasing)
             .await;
         self.responder.answer(answer);
         if !released {
--- a/crates/sablehaven-agent/src/plan.rs
+++ b/crates/sablehaven-agent/src/plan.rs
@@ -157,13 +157,13 @@
             snapshot: &configuration.snapshot,
             agents: view.agents_per_service.get(name).copied().unwrap_or(1),
         });
-        let wanted = service.router.lock().policy.connections();
-        let wanted: Vec<_> = backends
+        let required = service.router.lock().policy.connections();
+        let required: Vec<_> = backends
             .iter()
-            .filter(|record| wanted.binary_search(&record.id).is_ok())
+            .filter(|record| required.binary_search(&record.id).is_ok())
             .map(|record| (record.id.clone(), record.address))
             .collect();
-        service.connections.reconcile(&wanted)
+        service.connections.reconcile(&required)
     }
 
     fn service_plan(
--- a/crates/sablehaven-agent/src/query.rs
+++ b/crates/sablehaven-agent/src/query.rs
@@ -113,8 +113,8 @@
         if matches!(self.method.kind, MethodKind::Query { .. }) {
             return pinned.shards.iter().map(|entry| entry.shard).collect();
         }
-        let count = u32::try_from(pinned.shards.len()).unwrap_or(u32::MAX);
-        let shard = shard_for_key(self.method, self.message, count);
+        let shard_count = u32::try_from(pinned.shards.len()).unwrap_or(u32::MAX);
+        let shard = shard_for_key(self.method, self.message, shard_count);
         shard.into_iter().collect()
     }
 
--- a/crates/sablehaven-agent/src/query/crashes.rs
+++ b/crates/sablehaven-agent/src/query/crashes.rs
@@ -16,8 +16,8 @@
 use tokio::{sync::Notify, time::timeout};
 
 /// Maximum time for which a sub-request that lost its connection waits for the other sub-requests of
-/// the query. Their results show sooner than an attempt at another back end whether the query crashes
-/// back ends. Longer than most queries take, so that the wait usually ends with a reply.
+/// the query. These show whether the query crashes back ends, and sooner than a new attempt at another
+/// back end would. Longer than most queries take, so that the wait usually ends with their replies.
 const SIBLING_REPLY_WAIT: Duration = Duration::from_millis(100);
 
 /// The table of queries that are known or suspected to crash back ends, shared by all queries of an
--- a/crates/sablehaven-agent/src/query/fan_out.rs
+++ b/crates/sablehaven-agent/src/query/fan_out.rs
@@ -44,14 +44,14 @@
         .collect();
     let mut results = BTreeMap::new();
     let mut snapshot_lost = false;
-    while let Ok(Some((shard, end))) = timeout_at(shared.deadline.into(), running.next()).await {
-        snapshot_lost |= matches!(end, ShardResult::Missing(MissingReason::SnapshotGone));
-        // Checked after each result, because the agent may learn of the new snapshot only after a
-        // shard has reported the old one as gone.
+    while let Ok(Some((shard, result))) = timeout_at(shared.deadline.into(), running.next()).await {
+        snapshot_lost |= matches!(result, ShardResult::Missing(MissingReason::SnapshotGone));
+        // Checked after each further result too, because the agent may learn of the new snapshot only
+        // after a shard has reported the old one as gone. The check after the last result is final.
         if snapshot_lost && limits.may_restart && is_replaced(shared) {
             return FanOutResult::SnapshotReplaced;
         }
-        results.insert(shard, end);
+        results.insert(shard, result);
     }
     FanOutResult::Finished(results)
 }
--- a/crates/sablehaven-agent/src/query/shard.rs
+++ b/crates/sablehaven-agent/src/query/shard.rs
@@ -27,7 +27,7 @@
     let mut sub_request = SubRequest::new(shard, max_attempts);
     let mut attempts = FuturesUnordered::new();
     let mut hedge_at = None;
-    let mut latest = None;
+    let mut latest_chosen = None;
     let mut trial = match next_turn(shared).await {
         Turn::Send => None,
         Turn::Trial(trial) => Some(trial),
@@ -40,7 +40,7 @@
                 chosen,
                 hedge_after,
             } => {
-                latest = Some(chosen.clone());
+                latest_chosen = Some(chosen.clone());
                 attempts.push(run_attempt(shared, shard, chosen));
                 hedge_at = deadline_after(hedge_after);
             }
@@ -52,7 +52,7 @@
                 Ok(reply) => return ShardResult::Answered(reply),
                 Err(failure) => {
                     if let Some(trial) = trial.take() {
-                        end_trial(shared, failure, latest.as_ref()).await;
+                        end_trial(shared, failure, latest_chosen.as_ref()).await;
                         drop(trial);
                     }
                     if attempts.is_empty() {
@@ -119,14 +119,14 @@
     }
 }
 
-fn deadline_after(after: Option<Duration>) -> Option<Instant> {
-    after.map(|after| Instant::now() + after)
+fn deadline_after(delay: Option<Duration>) -> Option<Instant> {
+    delay.map(|delay| Instant::now() + delay)
 }
 
 /// Waits until the given time, or forever if there is none.
-async fn wait_until(moment: Option<Instant>) {
-    match moment {
-        Some(moment) => sleep_until(moment.into()).await,
+async fn wait_until(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => sleep_until(deadline.into()).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/sablehaven-agent/src/role.rs
+++ b/crates/sablehaven-agent/src/role.rs
@@ -146,7 +146,7 @@
                 format!("the server for callers on {} ended: {result:?}", self.address)
             }
             result = &mut self.update_task => {
-                result.unwrap_or_else(|error| format!("the task that applies configuration updates failed: {error}"))
+                result.unwrap_or_else(|error| format!("the configuration update task failed: {error}"))
             }
         }
     }
@@ -158,7 +158,7 @@
         if timeout(limit, self.agent.once_tasks.wait()).await.is_err() {
             let left = self.agent.once_tasks.len();
             log::error!(
-                "planned stop: {left} at-most-once requests did not finish within {limit:?}; their outcomes may not be recorded"
+                "planned stop: outcomes of {left} requests may be unrecorded after {limit:?}"
             );
         }
     }
--- a/crates/sablehaven-agent/src/routing/attempt_guard.rs
+++ b/crates/sablehaven-agent/src/routing/attempt_guard.rs
@@ -18,7 +18,7 @@
     backend: BackendId,
     sent_at: Instant,
     deadline: Instant,
-    is_unreported: bool,
+    is_in_flight: bool,
 }
 
 impl AttemptGuard {
@@ -29,7 +29,7 @@
             backend,
             sent_at: Instant::now(),
             deadline,
-            is_unreported: true,
+            is_in_flight: true,
         }
     }
 
@@ -39,7 +39,7 @@
     }
 
     fn report(&mut self, outcome: AttemptOutcome, signals: ServerSignals) {
-        self.is_unreported = false;
+        self.is_in_flight = false;
         let load = signals.load.map(|(running_and_queued, age)| LoadReport {
             running_and_queued,
             age,
@@ -56,7 +56,7 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if !self.is_unreported {
+        if !self.is_in_flight {
             return;
         }
         let outcome = if Instant::now() >= self.deadline {
--- a/crates/sablehaven-agent/src/routing/shared.rs
+++ b/crates/sablehaven-agent/src/routing/shared.rs
@@ -24,7 +24,7 @@
 /// The state protected by the lock.
 ///
 /// Policy and snapshot are updated together under one lock. A request that pinned a snapshot and then
-/// uses the policy can therefore tell whether the policy has been updated since.
+/// uses the policy sees both either as of before or as of after an update, and can tell which.
 pub struct PolicyState {
     /// The routing policy.
     pub policy: Box<dyn RoutingPolicy>,
--- a/crates/sablehaven-agent/src/transport/client.rs
+++ b/crates/sablehaven-agent/src/transport/client.rs
@@ -111,7 +111,7 @@
         let _ = self.client.execute(Request::new(Method::HEAD, url)).await;
     }
 
-    /// Returns whether the back end refuses connections, which shows that its process has ended.
+    /// Returns whether the back end refuses connections, as it does after its process has ended.
     pub async fn refuses_connections(&self) -> bool {
         let Ok(url) = self.url("/health/live") else {
             return false;
