--- a/crates/sablehaven-agent/src/agent.rs
+++ b/crates/sablehaven-agent/src/agent.rs
@@ -35,7 +35,7 @@
     pub once_tasks: TaskTracker,
     plan: ArcSwap<AgentPlan>,
     plan_revision: watch::Sender<u64>,
-    stopping: AtomicBool,
+    is_stopping: AtomicBool,
 }
 
 impl Agent {
@@ -49,7 +49,7 @@
             once_tasks: TaskTracker::new(),
             plan: ArcSwap::default(),
             plan_revision: watch::Sender::new(0),
-            stopping: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
         }
     }
 
@@ -91,12 +91,12 @@
 
     /// Returns whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
-        self.stopping.load(Ordering::Acquire)
+        self.is_stopping.load(Ordering::Acquire)
     }
 
     /// Begins a planned stop: from now on HTTP/1 responses ask callers to close the connection.
     pub fn begin_stop(&self) {
-        self.stopping.store(true, Ordering::Release);
+        self.is_stopping.store(true, Ordering::Release);
     }
 
     /// Returns what an at-most-once request needs from the agent.
--- a/crates/sablehaven-agent/src/interface/handler.rs
+++ b/crates/sablehaven-agent/src/interface/handler.rs
@@ -140,7 +140,7 @@
     /// Runs the request in a separate task. If the caller disconnects, the task still records the
     /// outcome of the claim in the ledger.
     async fn serve_once(&self, call: DecodedCall<'_>, request: &Request) -> Answer {
-        let headers = match OnceHeaders::read(request.headers()) {
+        let headers = match OnceHeaders::parse(request.headers()) {
             Ok(headers) => headers,
             Err(reason) => return Answer::without_reply(reason),
         };
--- a/crates/sablehaven-agent/src/lib.rs
+++ b/crates/sablehaven-agent/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! The decision logic performs no I/O, so that it can be tested without sockets: the next step of a
 //! sub-request ([`query::SubRequest`]), whether a reply belongs to its attempt
-//! ([`transport::check_reply_head`]), the coverage of an answer ([`query::split`]), and the steps of
+//! ([`transport::check_reply_head`]), the coverage of an answer ([`query::split_results`]), and the steps of
 //! an at-most-once request ([`once::after_claim`], [`once::DispatchCheck`],
 //! [`once::after_dispatch`]).
 
--- a/crates/sablehaven-agent/src/once/key.rs
+++ b/crates/sablehaven-agent/src/once/key.rs
@@ -21,7 +21,7 @@
 
 impl OnceHeaders {
     /// Parses the headers. The error names the first header that is missing or invalid.
-    pub fn read(headers: &HeaderMap) -> Result<Self, Reason> {
+    pub fn parse(headers: &HeaderMap) -> Result<Self, Reason> {
         let caller = id_header(headers, http::CALLER)?;
         let request = id_header(headers, http::REQUEST_ID)?;
         let issued_at = text_header(headers, http::ISSUED_AT_MS)?;
--- a/crates/sablehaven-agent/src/query.rs
+++ b/crates/sablehaven-agent/src/query.rs
@@ -18,7 +18,7 @@
 use sablehaven_schema::{MethodKind, MethodSchema, encode_protobuf, merge, shard_for_key};
 use sablehaven_types::{Coverage, IndexSnapshot, MissingReason, ShardId};
 
-pub use coverage::{ShardResult, combined_reason, may_have_run, split};
+pub use coverage::{ShardResult, combined_reason, may_have_run, split_results};
 pub use crashes::QueryCrashes;
 pub use sub_request::{AttemptFailure, Step, SubRequest};
 
@@ -79,7 +79,7 @@
             };
             match fan_out(shared, &shards, limits).await {
                 FanOutResult::Finished(results) => {
-                    let (replies, coverage) = split(&shards, results);
+                    let (replies, coverage) = split_results(&shards, results);
                     self.metrics.record_missing_shards(&coverage);
                     let answer = self.answer(replies, coverage);
                     return answer.with_snapshot(pinned.id);
--- a/crates/sablehaven-agent/src/query/coverage.rs
+++ b/crates/sablehaven-agent/src/query/coverage.rs
@@ -18,7 +18,7 @@
 ///
 /// A shard of `requested` that has no result is reported as missing with the reason `Deadline`,
 /// because the fan-out stops waiting only at the deadline.
-pub fn split<Reply>(
+pub fn split_results<Reply>(
     requested: &[ShardId],
     mut results: BTreeMap<ShardId, ShardResult<Reply>>,
 ) -> (BTreeMap<ShardId, Reply>, Coverage) {
--- a/crates/sablehaven-agent/src/transport/client.rs
+++ b/crates/sablehaven-agent/src/transport/client.rs
@@ -168,7 +168,7 @@
         message: &AttemptMessage<'_>,
         response: Response,
     ) -> AttemptReport {
-        let signals = ServerSignals::read(response.headers());
+        let signals = ServerSignals::parse(response.headers());
         let verdict = check_reply_head(&message.identity, response.status(), response.headers());
         let end = match verdict {
             ReplyVerdict::Accepted => self.read_body(message.accept_until, response).await,
--- a/crates/sablehaven-agent/src/transport/reply.rs
+++ b/crates/sablehaven-agent/src/transport/reply.rs
@@ -160,7 +160,7 @@
 
 impl ServerSignals {
     /// Reads the signals. Invalid headers are treated as absent.
-    pub fn read(headers: &HeaderMap) -> Self {
+    pub fn parse(headers: &HeaderMap) -> Self {
         let age = parse_header(headers, http::LOAD_AGE_MS).unwrap_or(0);
         let load = parse_header(headers, http::LOAD);
         Self {
--- a/crates/sablehaven-agent/tests/agent/coverage_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/coverage_rules.rs
@@ -6,7 +6,7 @@
     prelude::*,
     test_runner::{Config as ProptestConfig, RngSeed, TestRunner},
 };
-use sablehaven_agent::query::{ShardResult, combined_reason, may_have_run, split};
+use sablehaven_agent::query::{ShardResult, combined_reason, may_have_run, split_results};
 use sablehaven_types::{Coverage, MissingReason, MissingShard, ShardId};
 
 const REASONS: [MissingReason; 6] = [
@@ -42,7 +42,7 @@
             };
             Some((*shard, end))
         });
-        let (replies, coverage) = split(&asked, known.collect());
+        let (replies, coverage) = split_results(&asked, known.collect());
         let expected: BTreeMap<_, _> = asked
             .iter()
             .zip(&ends)
@@ -68,7 +68,7 @@
 #[test]
 fn a_reply_of_a_shard_that_was_not_asked_is_in_neither() {
     let ends = BTreeMap::from([(ShardId(9), ShardResult::Answered("foreign"))]);
-    let (replies, coverage) = split(&[ShardId(0)], ends);
+    let (replies, coverage) = split_results(&[ShardId(0)], ends);
     assert!(replies.is_empty());
     assert_eq!(coverage.shard_count(), 1);
 }
--- a/crates/sablehaven-agent/tests/agent/reply_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/reply_rules.rs
@@ -114,7 +114,7 @@
         (http::INCARNATION, "9"),
         (http::DRAINING, "1"),
     ]);
-    let signals = ServerSignals::read(&good);
+    let signals = ServerSignals::parse(&good);
     assert_eq!(
         signals.load,
         Some((4, std::time::Duration::from_millis(250)))
@@ -126,5 +126,5 @@
         (http::INCARNATION, "x"),
         (http::DRAINING, "no"),
     ]);
-    assert_eq!(ServerSignals::read(&bad), ServerSignals::default());
+    assert_eq!(ServerSignals::parse(&bad), ServerSignals::default());
 }
