--- a/crates/sablehaven-gateway/src/answer_margin.rs
+++ b/crates/sablehaven-gateway/src/answer_margin.rs
@@ -26,19 +26,19 @@
 /// The least and the largest margin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MarginBounds {
-    pub(crate) least: Duration,
-    pub(crate) most: Duration,
+    pub(crate) min: Duration,
+    pub(crate) max: Duration,
 }
 
 impl MarginBounds {
     /// Whether there is anything to learn.
     pub(crate) fn is_adaptive(self) -> bool {
-        self.most > self.least
+        self.max > self.min
     }
 
     /// The largest margin for an aim.
-    fn most_for(self, aim: Duration) -> Duration {
-        self.most.min(aim.mul_f64(LARGEST_PART)).max(self.least)
+    fn max_for(self, aim: Duration) -> Duration {
+        self.max.min(aim.mul_f64(LARGEST_PART)).max(self.min)
     }
 }
 
@@ -74,10 +74,10 @@
         aim: Duration,
         spent: Duration,
     ) -> Duration {
-        let room = bounds.least / ROOM_DIVISOR;
+        let room = bounds.min / ROOM_DIVISOR;
         let measured = self.overrun(now) + spent;
-        let margin = bounds.least + measured.saturating_sub(room);
-        margin.min(bounds.most_for(aim))
+        let margin = bounds.min + measured.saturating_sub(room);
+        margin.min(bounds.max_for(aim))
     }
 
     /// What most recent overruns stay within. The largest never counts: one alone says nothing of the next.
--- a/crates/sablehaven-gateway/src/answer_margin/tests.rs
+++ b/crates/sablehaven-gateway/src/answer_margin/tests.rs
@@ -5,8 +5,8 @@
 const AIM: Duration = Duration::from_millis(100);
 const NONE: Duration = Duration::ZERO;
 const BOUNDS: MarginBounds = MarginBounds {
-    least: ms(21),
-    most: ms(200),
+    min: ms(21),
+    max: ms(200),
 };
 
 const fn ms(milliseconds: u64) -> Duration {
@@ -85,8 +85,8 @@
     let mut margin = AnswerMargin::default();
     let now = replay(&mut margin, ms(0), &[30; 10]);
     let bounds = MarginBounds {
-        least: ms(21),
-        most: ms(21),
+        min: ms(21),
+        max: ms(21),
     };
     assert!(!bounds.is_adaptive());
     assert_eq!(margin.margin(now, bounds, AIM, NONE), ms(21));
@@ -107,8 +107,8 @@
     assert_eq!(margin.margin(now, BOUNDS, AIM, ms(24)), ms(41));
     assert_eq!(margin.margin(now, BOUNDS, AIM, ms(90)), ms(50));
     let constant = MarginBounds {
-        least: ms(21),
-        most: ms(21),
+        min: ms(21),
+        max: ms(21),
     };
     assert_eq!(margin.margin(now, constant, AIM, ms(24)), ms(21));
 }
--- a/crates/sablehaven-gateway/src/caller.rs
+++ b/crates/sablehaven-gateway/src/caller.rs
@@ -26,13 +26,13 @@
 
 /// What a later version says of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallerStanding {
+pub(crate) enum CallerValidity {
     /// The same; its request may be sent to servers.
-    Holds,
+    Valid,
     /// The request is another tenant's now, or nobody's, or a key is needed now. Its caller may come again.
     Changed,
     /// No tenant has its key any more.
-    KeyGone,
+    KeyRevoked,
 }
 
 impl Caller {
@@ -62,35 +62,35 @@
     }
 
     /// What the version in force says of the caller.
-    pub(crate) fn standing(&self, in_force: &RouteTable) -> CallerStanding {
+    pub(crate) fn check_validity(&self, in_force: &RouteTable) -> CallerValidity {
         let version = in_force.document().version;
         if self.version.get() == version {
-            return CallerStanding::Holds;
+            return CallerValidity::Valid;
         }
         let standing = self.look_up(in_force.tenants());
-        if standing == CallerStanding::Holds {
+        if standing == CallerValidity::Valid {
             self.version.set(version);
         }
         standing
     }
 
-    fn look_up(&self, tenants: &TenantTable) -> CallerStanding {
+    fn look_up(&self, tenants: &TenantTable) -> CallerValidity {
         if tenants.is_empty() {
-            return CallerStanding::Holds;
+            return CallerValidity::Valid;
         }
         let Some(key) = self.key else {
             return match self.is_public && self.has_tenants {
-                true => CallerStanding::Holds,
-                false => CallerStanding::Changed,
+                true => CallerValidity::Valid,
+                false => CallerValidity::Changed,
             };
         };
         let name = |tenant: &KnownTenant| tenant.tenant().name.clone();
         match tenants.find(key) {
             Some(found) if Some(name(&found)) == self.tenant.as_ref().map(name) => {
-                CallerStanding::Holds
+                CallerValidity::Valid
             }
-            None if !self.is_public => CallerStanding::KeyGone,
-            Some(_) | None => CallerStanding::Changed,
+            None if !self.is_public => CallerValidity::KeyRevoked,
+            Some(_) | None => CallerValidity::Changed,
         }
     }
 
--- a/crates/sablehaven-gateway/src/caller/tests.rs
+++ b/crates/sablehaven-gateway/src/caller/tests.rs
@@ -5,7 +5,7 @@
 use hyper::header::{AUTHORIZATION, HeaderMap, HeaderValue};
 use sablehaven_types::{AllowedRegions, KeyDigest, RouteDocument, Tenant};
 
-use super::{Caller, CallerStanding};
+use super::{Caller, CallerValidity};
 use crate::{names::HeaderNames, route_table::RouteTable};
 
 /// A version with one key for each of these tenants.
@@ -56,26 +56,26 @@
 fn a_key_that_goes_ends_the_standing() {
     let before = table(1, &[("a", "k")]);
     let caller = Caller::find(&before, false, key("k")).expect("a caller");
-    assert_eq!(caller.standing(&before), CallerStanding::Holds);
+    assert_eq!(caller.check_validity(&before), CallerValidity::Valid);
     let kept = table(2, &[("b", "other"), ("a", "k")]);
-    assert_eq!(caller.standing(&kept), CallerStanding::Holds);
+    assert_eq!(caller.check_validity(&kept), CallerValidity::Valid);
     let gone = table(3, &[("a", "k-new")]);
-    assert_eq!(caller.standing(&gone), CallerStanding::KeyGone);
+    assert_eq!(caller.check_validity(&gone), CallerValidity::KeyRevoked);
     let back = table(4, &[("a", "k")]);
-    assert_eq!(caller.standing(&back), CallerStanding::Holds);
+    assert_eq!(caller.check_validity(&back), CallerValidity::Valid);
     let moved = table(5, &[("b", "k")]);
-    assert_eq!(caller.standing(&moved), CallerStanding::Changed);
+    assert_eq!(caller.check_validity(&moved), CallerValidity::Changed);
     let nobody = table(6, &[]);
-    assert_eq!(caller.standing(&nobody), CallerStanding::Holds);
+    assert_eq!(caller.check_validity(&nobody), CallerValidity::Valid);
 }
 
 #[test]
 fn a_caller_without_a_key_is_looked_up_anew_when_keys_are_needed() {
     let before = table(1, &[]);
     let caller = Caller::find(&before, false, None).expect("a caller");
-    assert_eq!(caller.standing(&table(2, &[])), CallerStanding::Holds);
+    assert_eq!(caller.check_validity(&table(2, &[])), CallerValidity::Valid);
     let needed = table(3, &[("a", "k")]);
-    assert_eq!(caller.standing(&needed), CallerStanding::Changed);
+    assert_eq!(caller.check_validity(&needed), CallerValidity::Changed);
 }
 
 #[test]
@@ -84,8 +84,8 @@
     let nobody = Caller::find(&before, true, None).expect("a caller");
     let tenant = Caller::find(&before, true, key("k")).expect("a caller");
     let gone = table(2, &[("a", "k-new")]);
-    assert_eq!(nobody.standing(&gone), CallerStanding::Holds);
-    assert_eq!(tenant.standing(&gone), CallerStanding::Changed);
+    assert_eq!(nobody.check_validity(&gone), CallerValidity::Valid);
+    assert_eq!(tenant.check_validity(&gone), CallerValidity::Changed);
 }
 
 #[test]
--- a/crates/sablehaven-gateway/src/config.rs
+++ b/crates/sablehaven-gateway/src/config.rs
@@ -133,8 +133,8 @@
 
     pub(crate) fn margin_bounds(&self) -> MarginBounds {
         MarginBounds {
-            least: Duration::from_millis(self.answer_margin_ms),
-            most: Duration::from_millis(self.max_answer_margin_ms),
+            min: Duration::from_millis(self.answer_margin_ms),
+            max: Duration::from_millis(self.max_answer_margin_ms),
         }
     }
 }
--- a/crates/sablehaven-gateway/src/gateway.rs
+++ b/crates/sablehaven-gateway/src/gateway.rs
@@ -21,7 +21,7 @@
 use crate::{
     Config,
     admission::Admission,
-    caller::{Caller, CallerStanding},
+    caller::{Caller, CallerValidity},
     control_links::ControlLinks,
     crashes::log_quarantine,
     load::LoadMeter,
@@ -124,11 +124,11 @@
     }
 
     /// What the version in force says of a caller who was looked up in it or an earlier one.
-    pub(crate) fn standing(&self, caller: &Caller) -> CallerStanding {
+    pub(crate) fn standing(&self, caller: &Caller) -> CallerValidity {
         let routes = self.routes.borrow();
-        let standing = routes.as_ref().map(|table| caller.standing(table));
+        let standing = routes.as_ref().map(|table| caller.check_validity(table));
         // There are always routes once a caller was looked up in them.
-        standing.unwrap_or(CallerStanding::Holds)
+        standing.unwrap_or(CallerValidity::Valid)
     }
 
     /// The limits in force.
--- a/crates/sablehaven-gateway/src/pace.rs
+++ b/crates/sablehaven-gateway/src/pace.rs
@@ -38,7 +38,7 @@
     }
 
     /// A part is in; its server took so long, without the way.
-    pub(crate) fn arrived(&self, taken: Duration) {
+    pub(crate) fn record(&self, taken: Duration) {
         let mut all = self.taken.borrow_mut();
         let position = all.partition_point(|each| *each <= taken);
         all.insert(position, taken);
@@ -62,7 +62,7 @@
     }
 
     /// Waits until the pace becomes known; for ever when it is known already.
-    pub(crate) async fn becomes_known(&self) {
+    pub(crate) async fn wait_until_known(&self) {
         if self.median.get().is_some() {
             std::future::pending::<()>().await;
         }
--- a/crates/sablehaven-gateway/src/request/authorize.rs
+++ b/crates/sablehaven-gateway/src/request/authorize.rs
@@ -8,7 +8,7 @@
 
 use super::refusal::Refusal;
 use crate::{
-    caller::{Caller, CallerStanding},
+    caller::{Caller, CallerValidity},
     gateway::Gateway,
     route_table::PlannedRoute,
 };
@@ -48,8 +48,8 @@
     caller: Caller,
 ) -> Result<Caller, Refusal> {
     match gateway.standing(&caller) {
-        CallerStanding::Holds => Ok(caller),
-        CallerStanding::Changed | CallerStanding::KeyGone => find_caller(gateway, planned, head),
+        CallerValidity::Valid => Ok(caller),
+        CallerValidity::Changed | CallerValidity::KeyRevoked => find_caller(gateway, planned, head),
     }
 }
 
--- a/crates/sablehaven-gateway/src/request/mod.rs
+++ b/crates/sablehaven-gateway/src/request/mod.rs
@@ -39,7 +39,7 @@
     refusal::Refusal,
 };
 use crate::{
-    caller::{Caller, CallerStanding},
+    caller::{Caller, CallerValidity},
     crashes::{CrashWatch, fingerprint},
     gateway::Gateway,
     metrics::Outcome,
@@ -259,7 +259,7 @@
     }
 
     fn caller_holds(&self) -> bool {
-        self.gateway.standing(&self.outgoing.caller) == CallerStanding::Holds
+        self.gateway.standing(&self.outgoing.caller) == CallerValidity::Valid
     }
 
     /// The refusal as its caller is told it. Where no server has run the request because its key was taken away, that is
@@ -267,8 +267,8 @@
     fn explain(&self, refusal: Refusal) -> Refusal {
         let is_not_run = matches!(refusal, Refusal::NoServers | Refusal::NotRun);
         match self.gateway.standing(&self.outgoing.caller) {
-            CallerStanding::KeyGone if is_not_run => Refusal::UnknownKey,
-            CallerStanding::Changed if is_not_run => Refusal::NotRun,
+            CallerValidity::KeyRevoked if is_not_run => Refusal::UnknownKey,
+            CallerValidity::Changed if is_not_run => Refusal::NotRun,
             _ => refusal,
         }
     }
--- a/crates/sablehaven-gateway/src/request/sub_request.rs
+++ b/crates/sablehaven-gateway/src/request/sub_request.rs
@@ -144,7 +144,7 @@
                 ended = next_ended(&mut self.in_flight) => {
                     match ended.result {
                         Ok(reply) => {
-                            self.accepted.outgoing.pace.arrived(ended.taken);
+                            self.accepted.outgoing.pace.record(ended.taken);
                             return Ok(reply);
                         }
                         Err(failure) => self.take_failure(failure, ended.trial)?,
@@ -167,7 +167,7 @@
                         None => self.hedge_if_due(),
                     }
                 }
-                () = self.accepted.outgoing.pace.becomes_known() => {}
+                () = self.accepted.outgoing.pace.wait_until_known() => {}
             }
         }
     }
--- a/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
@@ -13,7 +13,7 @@
 use sablehaven_http::WholeBody;
 
 use super::{AttemptFailure, OutgoingRequest, Server, ServerReply, connect_limit};
-use crate::{caller::CallerStanding, gateway::Gateway, servers::connection_pool::InUse};
+use crate::{caller::CallerValidity, gateway::Gateway, servers::connection_pool::InUse};
 
 /// The largest body of an answer, in bytes.
 const MAXIMUM_ANSWER_BYTES: usize = 8 * 1024 * 1024;
@@ -79,7 +79,7 @@
             "send to {address}: the server is to get nothing new"
         )));
     }
-    if gateway.standing(&request.caller) != CallerStanding::Holds {
+    if gateway.standing(&request.caller) != CallerValidity::Valid {
         return Err(not_sent(format!(
             "send to {address}: the caller's key does not hold any more"
         )));
