--- a/crates/sablehaven-gateway/src/admission.rs
+++ b/crates/sablehaven-gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! How many requests are answered at the same time, and who goes first when there are too many.
+//! Limits how many requests are open at the same time, and prefers urgent ones when there are too many.
 
 use std::{
     cell::{Cell, RefCell},
@@ -9,23 +9,23 @@
 
 use crate::{resends::CallerTry, servers::KindOfRequest, urgency::Urgency};
 
-/// Part of the room that requests of the most urgent rank may fill; each further rank gets
-/// [`RANK_STEP`] less.
-const FIRST_RANK_PART: f64 = 1.0;
-/// Room that a rank leaves to the one before it.
-const RANK_STEP: f64 = 0.15;
-/// The least part of the room for any rank.
-const LEAST_PART: f64 = 0.4;
-/// First tries of one kind that may be open beyond their aim; while there are more, new ones would be
-/// late as well, and would make the others later.
-const OVERDUE_LIMIT: usize = 24;
+/// Fraction of the limit that requests of the most urgent level may use. Each further level may use
+/// [`FRACTION_PER_LEVEL`] less.
+const TOP_LEVEL_FRACTION: f64 = 1.0;
+/// Fraction of the limit that each level leaves to the level before it.
+const FRACTION_PER_LEVEL: f64 = 0.15;
+/// Minimum fraction of the limit for any level.
+const MIN_FRACTION: f64 = 0.4;
+/// Number of first tries of one kind that may be open past their latency target. While there are this many, a new one
+/// would be late as well, and would delay the others further.
+const MAX_OVERDUE: usize = 24;
 
-/// What the admission needs to know of a request.
+/// The properties of a request that the admission uses.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmissionClass {
     pub(crate) urgency: Urgency,
     pub(crate) kind: KindOfRequest,
-    /// Until when it is worth most.
+    /// When its latency target ends.
     pub(crate) due: Duration,
     pub(crate) caller_try: CallerTry,
 }
@@ -34,14 +34,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub(crate) enum NotAdmitted {
     /// too many requests
-    NoRoom,
-    /// requests of this kind are late
+    LimitReached,
+    /// too many requests of this kind are past their latency target
     Overdue,
-    /// most requests of this kind come to nothing
+    /// most requests of this kind fail or are late
     Throttled,
 }
 
-/// The room for requests; cheap to clone.
+/// The admission limit of one gateway; cheap to clone.
 #[derive(Clone)]
 pub(crate) struct Admission {
     shared: Rc<Shared>,
@@ -51,15 +51,15 @@
     limit: usize,
     open: Cell<usize>,
     admitted: Cell<u64>,
-    /// When each open request of a kind is due, with its number.
+    /// When each open request is due, with its number, by kind.
     due: RefCell<HashMap<usize, BTreeSet<(Duration, u64)>>>,
 }
 
-/// A request's place; given back when it is dropped.
+/// The slot of an admitted request, which is released when this is dropped.
 pub(crate) struct Admitted {
     shared: Rc<Shared>,
     kind: KindOfRequest,
-    /// Absent for a second try.
+    /// `None` for a resend.
     due: Option<(Duration, u64)>,
 }
 
@@ -76,23 +76,24 @@
         }
     }
 
-    /// A place for a request. A second try has none after it: it is refused only for want of room.
+    /// Reserves a slot for a request. A resend is the caller's last try, so it is refused only if the limit is
+    /// reached.
     ///
     /// # Errors
-    /// [`NotAdmitted`], at once: a refusal must come early.
+    /// [`NotAdmitted`], without waiting, so that the caller learns of the refusal early.
     pub(crate) fn admit(
         &self,
         now: Duration,
         class: AdmissionClass,
     ) -> Result<Admitted, NotAdmitted> {
         let shared = &self.shared;
-        let part = FIRST_RANK_PART - RANK_STEP * class.urgency.steps();
-        let room = shared.limit as f64 * part.max(LEAST_PART);
-        if shared.open.get() as f64 >= room {
-            return Err(NotAdmitted::NoRoom);
+        let fraction = TOP_LEVEL_FRACTION - FRACTION_PER_LEVEL * class.urgency.level();
+        let available = shared.limit as f64 * fraction.max(MIN_FRACTION);
+        if shared.open.get() as f64 >= available {
+            return Err(NotAdmitted::LimitReached);
         }
         let due = match class.caller_try {
-            CallerTry::First => Some(shared.count_first(now, &class)?),
+            CallerTry::First => Some(shared.track_due(now, &class)?),
             CallerTry::Resend => None,
         };
         shared.open.set(shared.open.get() + 1);
@@ -103,23 +104,23 @@
         })
     }
 
-    /// Requests that are being answered.
+    /// Number of open requests.
     pub(crate) fn open(&self) -> usize {
         self.shared.open.get()
     }
 }
 
 impl Shared {
-    /// Counts a first try among those of its kind, unless too many of them are late.
-    fn count_first(
+    /// Tracks when a first try is due, unless too many of its kind are overdue.
+    fn track_due(
         &self,
         now: Duration,
         class: &AdmissionClass,
     ) -> Result<(Duration, u64), NotAdmitted> {
-        let mut all = self.due.borrow_mut();
-        let of_kind = all.entry(class.kind.0).or_default();
+        let mut due_by_kind = self.due.borrow_mut();
+        let of_kind = due_by_kind.entry(class.kind.0).or_default();
         let overdue = of_kind.iter().take_while(|(due, _)| *due < now);
-        if overdue.take(OVERDUE_LIMIT).count() == OVERDUE_LIMIT {
+        if overdue.take(MAX_OVERDUE).count() == MAX_OVERDUE {
             return Err(NotAdmitted::Overdue);
         }
         let number = self.admitted.get() + 1;
@@ -135,11 +136,11 @@
         let Some(due) = self.due else {
             return;
         };
-        let mut all = self.shared.due.borrow_mut();
-        if let Some(of_kind) = all.get_mut(&self.kind.0) {
+        let mut due_by_kind = self.shared.due.borrow_mut();
+        if let Some(of_kind) = due_by_kind.get_mut(&self.kind.0) {
             of_kind.remove(&due);
             if of_kind.is_empty() {
-                all.remove(&self.kind.0);
+                due_by_kind.remove(&self.kind.0);
             }
         }
     }
--- a/crates/sablehaven-gateway/src/admission/tests.rs
+++ b/crates/sablehaven-gateway/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the room for requests.
+//! Tests of the admission limit.
 
 use std::time::Duration;
 
@@ -19,37 +19,37 @@
 }
 
 #[test]
-fn urgent_requests_find_room_where_others_do_not() {
+fn urgent_requests_are_admitted_when_others_are_not() {
     let admission = Admission::new(10);
-    let mut held = Vec::new();
+    let mut slots = Vec::new();
     while let Ok(admitted) = admission.admit(NOW, first(2, KIND, LATER)) {
-        held.push(admitted);
+        slots.push(admitted);
     }
-    assert_eq!(held.len(), 7);
+    assert_eq!(slots.len(), 7);
     assert!(admission.admit(NOW, first(1, KIND, LATER)).is_ok());
     while let Ok(admitted) = admission.admit(NOW, first(0, KIND, LATER)) {
-        held.push(admitted);
+        slots.push(admitted);
     }
-    assert_eq!(held.len(), 10);
+    assert_eq!(slots.len(), 10);
     let full = admission.admit(NOW, first(0, KIND, LATER)).err();
-    assert_eq!(full, Some(NotAdmitted::NoRoom));
-    held.clear();
+    assert_eq!(full, Some(NotAdmitted::LimitReached));
+    slots.clear();
     assert_eq!(admission.open(), 0);
 }
 
 #[test]
-fn a_kind_of_which_many_are_late_takes_no_more_until_they_are_done() {
+fn a_kind_with_many_overdue_requests_admits_no_more_until_some_end() {
     let admission = Admission::new(1_000);
-    let mut held: Vec<_> = (0..24)
+    let mut slots: Vec<_> = (0..24)
         .map(|_| admission.admit(NOW, first(1, KIND, LATER)))
         .collect();
-    assert!(held.iter().all(Result::is_ok));
+    assert!(slots.iter().all(Result::is_ok));
     let after = LATER + Duration::from_millis(1);
     let refused = admission.admit(after, first(1, KIND, after)).err();
     assert_eq!(refused, Some(NotAdmitted::Overdue));
     let other = KindOfRequest(2);
     assert!(admission.admit(after, first(2, other, after)).is_ok());
-    held.pop();
+    slots.pop();
     assert!(
         admission
             .admit(after, first(1, KIND, after + LATER))
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_second_try_is_refused_only_for_want_of_room() {
+fn a_resend_is_refused_only_if_the_limit_is_reached() {
     let admission = Admission::new(30);
     let late: Vec<_> = (0..24)
         .map(|_| admission.admit(NOW, first(0, KIND, NOW)))
@@ -74,7 +74,7 @@
     let resends: Vec<_> = (0..6).map(|_| admission.admit(after, resend)).collect();
     assert!(resends.iter().all(Result::is_ok));
     let full = admission.admit(after, resend).err();
-    assert_eq!(full, Some(NotAdmitted::NoRoom));
+    assert_eq!(full, Some(NotAdmitted::LimitReached));
     drop((late, resends));
     assert_eq!(admission.open(), 0);
     assert!(admission.admit(after, first(0, KIND, LATER)).is_ok());
--- a/crates/sablehaven-gateway/src/answer_margin.rs
+++ b/crates/sablehaven-gateway/src/answer_margin.rs
@@ -1,29 +1,32 @@
-//! How long before its aim an answer must leave, as a pure module.
+//! Computes how long before its latency target a response must be sent. The module is pure.
 //!
-//! Load: queries over dozens of shards with an aim of a few hop times, on a machine with a part of a
-//! core. A timer that fires while the processor is elsewhere, merging and writing then take a good part
-//! of the aim, and an answer that was decided on in time leaves late. How much later than planned a
-//! gateway acts is observed at its own timers and answers; what most of the recent ones stay within,
-//! and what had passed before a request arrived, come on top of the least margin as far as its room does not cover them.
+//! The margin is made for queries over dozens of shards with a latency target of a few network hops, on a machine
+//! that has only a fraction of a core. There, a timer that fires while the processor runs something else, merging and
+//! writing use up a good part of the latency target, and a response that was decided on in time is sent late.
+//!
+//! Therefore a gateway observes at its own timers and responses how much later than planned it acts. The margin is
+//! the configured minimum, plus a quantile of the recent overruns and the time that had passed before the request
+//! arrived, less the allowance that the minimum already includes for them.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// The most overruns that are kept, so that memory and the work for a margin are bounded.
-const MAXIMUM_SAMPLES: usize = 64;
-/// Time for which an overrun counts. The share of a core and the load change within seconds; a caller should not
-/// lose coverage for what has passed.
+/// Maximum number of overruns that are kept, which bounds the memory and the work for a margin.
+const MAX_SAMPLES: usize = 64;
+/// Time for which an overrun counts. The share of a core and the load change within seconds, and a caller should not
+/// lose coverage for a delay that is over.
 const WINDOW: Duration = Duration::from_secs(3);
-/// The part of the overruns, 0 to 1, that the margin covers.
+/// Quantile of the overruns that the margin covers.
 const QUANTILE: f64 = 0.9;
-/// The part of an aim, 0 to 1, that a margin may take, so that the parts of a query have time.
-const LARGEST_PART: f64 = 0.5;
+/// Maximum fraction of a latency target for the margin, so that the parts of a query have enough time.
+const MAX_FRACTION: f64 = 0.5;
 
-/// The least margin divided by this is room for what is measured here; the rest is for the way to the caller.
-const ROOM_DIVISOR: u32 = 3;
-/// The resolution of timers: what is later by less was in time.
+/// The minimum margin divided by this is its allowance for the measured delays; the rest covers the network path to
+/// the caller.
+const ALLOWANCE_DIVISOR: u32 = 3;
+/// Resolution of timers. A smaller overrun counts as none.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// The least and the largest margin.
+/// Minimum and maximum of the margin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MarginBounds {
     pub(crate) min: Duration,
@@ -31,18 +34,20 @@
 }
 
 impl MarginBounds {
-    /// Whether there is anything to learn.
+    /// Whether the margin adapts to observed overruns.
     pub(crate) fn is_adaptive(self) -> bool {
         self.max > self.min
     }
 
-    /// The largest margin for an aim.
-    fn max_for(self, aim: Duration) -> Duration {
-        self.max.min(aim.mul_f64(LARGEST_PART)).max(self.min)
+    /// The maximum margin for a latency target.
+    fn max_for(self, latency_target: Duration) -> Duration {
+        self.max
+            .min(latency_target.mul_f64(MAX_FRACTION))
+            .max(self.min)
     }
 }
 
-/// The recent overruns of one route, in the order in which they were observed. Times count from any fixed
+/// The recent overruns of one route, in the order in which they were observed. Times are relative to any fixed
 /// moment.
 #[derive(Debug, Default)]
 pub(crate) struct AnswerMargin {
@@ -56,34 +61,35 @@
 }
 
 impl AnswerMargin {
-    /// Takes in how much later than planned something was done.
+    /// Records how much later than planned something was done.
     pub(crate) fn observe(&mut self, now: Duration, overrun: Duration) {
-        if self.samples.len() == MAXIMUM_SAMPLES {
+        if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
         let overrun = overrun.saturating_sub(TIMER_RESOLUTION);
         self.samples.push_back(Sample { at: now, overrun });
     }
 
-    /// How long before `aim`, counted from a request's arrival, its answer must leave where `spent` of the aim had
-    /// passed by then.
+    /// How long before `latency_target` a response must be sent. The target counts from the request's arrival, and
+    /// `spent` of it had already passed by then.
     pub(crate) fn margin(
         &self,
         now: Duration,
         bounds: MarginBounds,
-        aim: Duration,
+        latency_target: Duration,
         spent: Duration,
     ) -> Duration {
-        let room = bounds.min / ROOM_DIVISOR;
+        let allowance = bounds.min / ALLOWANCE_DIVISOR;
         let measured = self.overrun(now) + spent;
-        let margin = bounds.min + measured.saturating_sub(room);
-        margin.min(bounds.max_for(aim))
+        let margin = bounds.min + measured.saturating_sub(allowance);
+        margin.min(bounds.max_for(latency_target))
     }
 
-    /// What most recent overruns stay within. The largest never counts: one alone says nothing of the next.
+    /// The quantile of the recent overruns. The largest one never counts, since a single outlier does not predict the
+    /// next overrun.
     fn overrun(&self, now: Duration) -> Duration {
         let is_recent = |sample: &&Sample| now.saturating_sub(sample.at) < WINDOW;
-        let mut recent = [Duration::ZERO; MAXIMUM_SAMPLES];
+        let mut recent = [Duration::ZERO; MAX_SAMPLES];
         let mut count = 0;
         for sample in self.samples.iter().filter(is_recent) {
             recent[count] = sample.overrun;
--- a/crates/sablehaven-gateway/src/caller.rs
+++ b/crates/sablehaven-gateway/src/caller.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether that still holds.
+//! The caller of a request, and whether its identity is still valid in later versions of the configuration.
 
 use std::cell::Cell;
 
@@ -11,32 +11,32 @@
     tenant_table::{KnownTenant, TenantTable},
 };
 
-/// Whose request it is, as the configuration says that was in force when the caller was looked up.
+/// The caller of a request, as the configuration identified it that was in force when it was looked up.
 pub(crate) struct Caller {
-    /// The latest version that is known to say so.
+    /// The latest configuration version in which this caller is known to be valid.
     version: Cell<u64>,
-    /// The key with which the tenant was found.
+    /// The key that identified the tenant.
     key: Option<KeyDigest>,
     tenant: Option<KnownTenant>,
     /// Whether the route needs no key.
     is_public: bool,
-    /// Whether there were tenants.
+    /// Whether the configuration had any tenants.
     has_tenants: bool,
 }
 
-/// What a later version says of a caller.
+/// Whether a caller is still valid in a later version of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerValidity {
-    /// The same; its request may be sent to servers.
+    /// Unchanged: its request may be sent to servers.
     Valid,
-    /// The request is another tenant's now, or nobody's, or a key is needed now. Its caller may come again.
+    /// The key belongs to another tenant or to none now, or a key is needed now. The caller may retry.
     Changed,
-    /// No tenant has its key any more.
+    /// No tenant has the key any more.
     KeyRevoked,
 }
 
 impl Caller {
-    /// The caller of a request with this key; `None` where it needs one that is known.
+    /// Finds the caller of a request with this key; `None` if the route needs a known key.
     pub(crate) fn find(
         table: &RouteTable,
         is_public: bool,
@@ -56,25 +56,25 @@
         })
     }
 
-    /// The caller's tenant; `None` where it needs no key.
+    /// The caller's tenant; `None` if it was not identified by a key.
     pub(crate) fn tenant(&self) -> Option<&Tenant> {
         self.tenant.as_ref().map(KnownTenant::tenant)
     }
 
-    /// What the version in force says of the caller.
-    pub(crate) fn check_validity(&self, in_force: &RouteTable) -> CallerValidity {
-        let version = in_force.document().version;
+    /// Checks whether the caller is still valid in the version of the configuration that `table` holds.
+    pub(crate) fn check_validity(&self, table: &RouteTable) -> CallerValidity {
+        let version = table.document().version;
         if self.version.get() == version {
             return CallerValidity::Valid;
         }
-        let standing = self.look_up(in_force.tenants());
-        if standing == CallerValidity::Valid {
+        let validity = self.validity_in(table.tenants());
+        if validity == CallerValidity::Valid {
             self.version.set(version);
         }
-        standing
+        validity
     }
 
-    fn look_up(&self, tenants: &TenantTable) -> CallerValidity {
+    fn validity_in(&self, tenants: &TenantTable) -> CallerValidity {
         if tenants.is_empty() {
             return CallerValidity::Valid;
         }
@@ -94,8 +94,9 @@
         }
     }
 
-    /// Writes the tenant into the headers that go to servers, and takes out the key.
-    pub(crate) fn mark(&self, headers: &mut HeaderMap, names: &HeaderNames) {
+    /// Prepares the headers for servers: replaces any tenant header that the caller sent by its tenant, and removes
+    /// the key if there are tenants.
+    pub(crate) fn rewrite_tenant_headers(&self, headers: &mut HeaderMap, names: &HeaderNames) {
         headers.remove(&names.tenant);
         if self.has_tenants {
             headers.remove(AUTHORIZATION);
--- a/crates/sablehaven-gateway/src/pace/tests.rs
+++ b/crates/sablehaven-gateway/src/pace/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is learned from the parts that are in.
+//! Tests of the service-time estimate.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 }
 
 #[test]
-fn the_pace_is_known_once_two_fifths_of_the_parts_are_in() {
+fn the_estimate_is_available_once_two_fifths_of_the_parts_have_arrived() {
     let pace = Pace::new(10);
-    for taken in [20, 22, 18] {
-        pace.record(ms(taken));
+    for service_time in [20, 22, 18] {
+        pace.record(ms(service_time));
         assert_eq!(pace.late_after(), None);
     }
     pace.record(ms(21));
@@ -20,17 +20,17 @@
 }
 
 #[test]
-fn one_part_says_nothing_about_another() {
+fn a_single_part_gives_no_estimate() {
     let pace = Pace::new(2);
     pace.record(ms(20));
     assert_eq!(pace.late_after(), None);
 }
 
 #[test]
-fn a_slow_part_that_came_in_moves_the_pace_little() {
+fn a_slow_part_barely_changes_the_estimate() {
     let pace = Pace::new(5);
-    for taken in [10, 10, 10, 200] {
-        pace.record(ms(taken));
+    for service_time in [10, 10, 10, 200] {
+        pace.record(ms(service_time));
     }
     assert_eq!(pace.late_after(), Some(ms(20)));
 }
--- a/crates/sablehaven-gateway/src/request/admit.rs
+++ b/crates/sablehaven-gateway/src/request/admit.rs
@@ -1,4 +1,5 @@
-//! Admission of a request: its place among the open ones, and the token of its tenant's quota.
+//! Admission of a request: reserves one of the gateway's slots for open requests and takes a token from the tenant's
+//! quota.
 
 use std::time::Duration;
 
@@ -23,42 +24,44 @@
     urgency::Urgency,
 };
 
-/// Who decides which requests are refused while most of their kind come to nothing.
+/// Which component decides whether to shed a request while most requests of its kind fail or are late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Throttling {
-    /// A request that was refused already passes.
-    Nobody,
-    /// Where nobody knows whose it is, this gateway by lot.
-    Lot,
-    /// The control replica that is asked for a token, by what the tenant has had.
-    Replica,
+enum ThrottleDecider {
+    /// The request is a resend, which is never shed.
+    Exempt,
+    /// The request has no tenant, so this gateway sheds a random share.
+    Gateway,
+    /// The request has a tenant, so the control replica that is asked for a token decides by how much the tenant has
+    /// used.
+    ControlReplica,
 }
 
-/// Admits a request: gives it a place, which it has until the returned value is dropped, and takes its tenant's token.
+/// Admits a request: reserves a slot for it, which is released when the returned value is dropped, and takes a token
+/// of its tenant.
 ///
 /// # Errors
-/// [`Refusal::TooMany`] where there is no room for it; otherwise see [`take_token`].
+/// [`Refusal::TooManyRequests`] if no slot is free or the request is shed; otherwise see [`take_token`].
 pub(super) async fn admit(
     gateway: &Gateway,
     received: &ReceivedRequest,
 ) -> Result<Admitted, Refusal> {
     let class = throttle_class(&received.planned, received.caller.tenant());
-    let throttling = throttling(received.caller.tenant(), received.caller_try);
-    let admitted = take_place(gateway, received, class, throttling)?;
+    let throttle_decider = throttle_decider(received.caller.tenant(), received.caller_try);
+    let admitted = admit_or_refuse(gateway, received, class, throttle_decider)?;
     if let Some(tenant) = received.caller.tenant() {
-        let shed_share = shed_share(gateway, class, throttling);
-        take_tenant_token(gateway, received, tenant, shed_share).await?;
+        let shed_share = shed_share(gateway, class, throttle_decider);
+        acquire_tenant_token(gateway, received, tenant, shed_share).await?;
     }
     Ok(admitted)
 }
 
-fn take_place(
+fn admit_or_refuse(
     gateway: &Gateway,
     received: &ReceivedRequest,
     class: ThrottleClass<'_>,
-    throttling: Throttling,
+    throttle_decider: ThrottleDecider,
 ) -> Result<Admitted, Refusal> {
-    find_place(gateway, received, class, throttling).map_err(|reason| {
+    try_admit(gateway, received, class, throttle_decider).map_err(|reason| {
         log::warn!(
             event = "refused", request:% = id_text(&received.request_id), reason:% = reason,
             open = gateway.admission.open(), route = received.planned.route().name.as_str();
@@ -70,19 +73,19 @@
             Outcome::Refused,
             received.arrived,
         );
-        Refusal::TooMany
+        Refusal::TooManyRequests
     })
 }
 
-/// A place for a request, unless there are too many or most of its kind come to nothing.
-fn find_place(
+/// Reserves a slot for a request unless too many are open or the request is shed.
+fn try_admit(
     gateway: &Gateway,
     received: &ReceivedRequest,
     class: ThrottleClass<'_>,
-    throttling: Throttling,
+    throttle_decider: ThrottleDecider,
 ) -> Result<Admitted, NotAdmitted> {
     let now = gateway.clock.now();
-    if throttling == Throttling::Lot {
+    if throttle_decider == ThrottleDecider::Gateway {
         let throttle = gateway.throttle.borrow();
         if !throttle.may_pass(now, class, rand::random()) {
             return Err(NotAdmitted::Throttled);
@@ -97,7 +100,7 @@
     gateway.admission.admit(now, class)
 }
 
-async fn take_tenant_token(
+async fn acquire_tenant_token(
     gateway: &Gateway,
     received: &ReceivedRequest,
     tenant: &Tenant,
@@ -116,28 +119,33 @@
         caller_try: *caller_try,
         wait: TokenWait::new(*caller_try, caller_time(gateway, &received.head)),
     };
-    let taken = take_token(gateway, need).await;
-    if taken.is_err() {
+    let result = take_token(gateway, need).await;
+    if result.is_err() {
         record_outcome(gateway, planned, Outcome::Refused, received.arrived);
     }
-    taken
+    result
 }
 
-fn throttling(tenant: Option<&Tenant>, caller_try: CallerTry) -> Throttling {
+fn throttle_decider(tenant: Option<&Tenant>, caller_try: CallerTry) -> ThrottleDecider {
     match (caller_try, tenant) {
-        (CallerTry::First, None) => Throttling::Lot,
-        (CallerTry::First, Some(_)) => Throttling::Replica,
-        _ => Throttling::Nobody,
+        (CallerTry::First, None) => ThrottleDecider::Gateway,
+        (CallerTry::First, Some(_)) => ThrottleDecider::ControlReplica,
+        _ => ThrottleDecider::Exempt,
     }
 }
 
-/// The share of such requests of tenants that is to be refused.
-fn shed_share(gateway: &Gateway, class: ThrottleClass<'_>, throttling: Throttling) -> f64 {
-    if throttling != Throttling::Replica {
+/// Share of the requests of this class that is to be shed, as reported to control replicas. It is 0 unless a replica
+/// decides.
+fn shed_share(
+    gateway: &Gateway,
+    class: ThrottleClass<'_>,
+    throttle_decider: ThrottleDecider,
+) -> f64 {
+    if throttle_decider != ThrottleDecider::ControlReplica {
         return 0.0;
     }
     let throttle = gateway.throttle.borrow();
-    throttle.share(gateway.clock.now(), class)
+    throttle.shed_share(gateway.clock.now(), class)
 }
 
 fn throttle_class<'a>(planned: &'a PlannedRoute, tenant: Option<&Tenant>) -> ThrottleClass<'a> {
@@ -149,27 +157,28 @@
     }
 }
 
-/// Refuses a request that is known to crash servers, before it takes anybody's place.
+/// Refuses a quarantined request, which is known to crash servers, before it occupies a slot.
 pub(super) fn refuse_quarantined(
     gateway: &Gateway,
     received: &ReceivedRequest,
 ) -> Result<(), Refusal> {
     let watch = &received.crash_watch;
-    let Standing::Quarantined { left } = watch.standing(gateway.clock.now()) else {
+    let Standing::Quarantined { left: retry_in } = watch.standing(gateway.clock.now()) else {
         return Ok(());
     };
     gateway.metrics.quarantined_requests.inc();
     log::warn!(
         event = "refused", request:% = id_text(&received.request_id), reason = "it has crashed servers",
-        target = watch.fingerprint_text().as_str(), left_ms = left.as_millis() as u64;
+        target = watch.fingerprint_text().as_str(), left_ms = retry_in.as_millis() as u64;
         "request"
     );
-    Err(Refusal::Quarantined { left })
+    Err(Refusal::Quarantined { retry_in })
 }
 
-/// Tells the throttle of an answer, and whether it came in time. One whose request is known to crash servers says
-/// nothing of how pressed they are, and must not have the others of its kind refused.
-pub(super) fn note_answer(accepted: &Accepted, outcome: Outcome) {
+/// Records in the throttle whether a response was useful, that is, served within the latency target. A request that
+/// has crashed servers is left out: its failure is no sign of overload, and counting it would shed other requests of
+/// its kind.
+pub(super) fn record_response(accepted: &Accepted, outcome: Outcome) {
     let Accepted {
         gateway,
         planned,
@@ -181,10 +190,10 @@
     if outgoing.crash_watch.has_crashed_servers(now) {
         return;
     }
-    let aim = Duration::from_millis(planned.route().aim_ms);
+    let latency_target = Duration::from_millis(planned.route().aim_ms);
     let is_served = matches!(outcome, Outcome::Whole | Outcome::Partial);
-    let is_useful = is_served && arrived.elapsed() <= aim;
+    let is_useful = is_served && arrived.elapsed() <= latency_target;
     let class = throttle_class(planned, outgoing.caller.tenant());
     let mut throttle = gateway.throttle.borrow_mut();
-    throttle.answered(now, class, is_useful);
+    throttle.record(now, class, is_useful);
 }
--- a/crates/sablehaven-gateway/src/request/attempt_plan.rs
+++ b/crates/sablehaven-gateway/src/request/attempt_plan.rs
@@ -1,103 +1,105 @@
-//! Which parts of a query get an extra attempt, as a pure decision.
+//! Decides which failed parts of a query get an extra attempt. The decision is a pure function.
 //!
-//! The load that it answers: many servers lose answers while traffic is high, and the budget does not bear an extra
-//! attempt for each lost answer. Where every part takes for itself, each query gets some and none gets enough. So a
-//! query decides for all of its parts: it takes what it still needs to be answered, or nothing.
+//! It is made for the case that many servers lose responses while traffic is high, so that the retry budget does not
+//! cover an extra attempt for each lost response. If every part took from the budget on its own, each query would get
+//! some attempts and none would get enough. Therefore a query decides for all of its parts together: it takes all the
+//! attempts that it still needs to be answered, or none.
 
 use crate::servers::budget::BudgetLevel;
 
-/// Share of a budget that is left by attempts without which the query is answered too: those that hasten it, and those
-/// that only complete it. Where nothing fails, most of the budget is still theirs.
-const DECIDING_RESERVE: f64 = 0.25;
+/// Share of a budget that optional and speculative attempts leave to required ones. The query is answered without
+/// them: they only add coverage or reduce latency. While nothing fails, they can still use most of the budget.
+const REQUIRED_RESERVE: f64 = 0.25;
 
-/// What an extra attempt is for.
+/// Purpose of an extra attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptPurpose {
-    /// Without it the query is not answered.
-    Decides,
-    /// The query is answered without it, but less completely.
-    Completes,
-    /// Its part is still under way elsewhere.
-    Hastens,
+    /// The query cannot be answered without it.
+    Required,
+    /// The query can be answered without it, but with fewer shards.
+    Optional,
+    /// Another attempt of the same part is still running; this one may return sooner.
+    Speculative,
 }
 
 impl AttemptPurpose {
-    /// The share of a budget that such an attempt leaves to more important ones.
+    /// Share of the budget that an attempt with this purpose leaves to required attempts.
     pub(super) fn reserve(self) -> f64 {
         match self {
-            Self::Decides => 0.0,
-            Self::Completes | Self::Hastens => DECIDING_RESERVE,
+            Self::Required => 0.0,
+            Self::Optional | Self::Speculative => REQUIRED_RESERVE,
         }
     }
 }
 
-/// How far the parts of a query are.
+/// Progress of the parts of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueryParts {
-    /// All shards that it asks.
+    /// Number of shards in the query.
     pub(super) shards: usize,
-    /// The least number of shards that makes an answer.
-    pub(super) least: usize,
-    /// Parts that have come.
+    /// Minimum number of shards for a response.
+    pub(super) min_shards: usize,
+    /// Parts with a reply.
     pub(super) arrived: usize,
-    /// Parts that will not come.
+    /// Parts that were given up.
     pub(super) lost: usize,
-    /// Parts whose attempts have failed, and that may get another.
+    /// Parts whose attempts have all failed and that may get another one.
     pub(super) failed: usize,
 }
 
 impl QueryParts {
-    /// The failed parts that must come for the query to be answered.
+    /// Number of failed parts that must still succeed for the query to be answered.
     pub(super) fn needed(&self) -> usize {
-        let dispensable = self.shards.saturating_sub(self.least + self.lost);
-        self.failed.saturating_sub(dispensable)
+        let tolerated_failures = self.shards.saturating_sub(self.min_shards + self.lost);
+        self.failed.saturating_sub(tolerated_failures)
     }
 
-    fn has_attempts_under_way(&self) -> bool {
+    fn has_running_attempts(&self) -> bool {
         self.arrived + self.lost + self.failed < self.shards
     }
 }
 
-/// What becomes of one failed part now.
+/// Decision on one failed part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PartVerdict {
-    /// It gets an attempt, out of the budget.
+pub(super) enum PartDecision {
+    /// Send another attempt and charge it to the budget.
     Send,
-    /// It waits for what becomes of the others.
+    /// Wait for the outcome of the other parts.
     Wait,
-    /// It gets no attempt any more.
+    /// Give up the part.
     GiveUp,
 }
 
-/// Decides on all failed parts at once. `levels` are the budgets of their services, in the order of the verdicts.
+/// Decides on all failed parts at once. `levels` holds the budget level of each part's service, in the order of the
+/// returned decisions.
 ///
-/// What the query needs is taken from the fullest budgets. Where they do not bear all of it, nothing is taken and
-/// every part is given up, so that the query ends now and leaves the budgets to queries that can still be answered.
-pub(super) fn decide(parts: &QueryParts, levels: &[BudgetLevel]) -> Vec<PartVerdict> {
+/// Required attempts are taken from the fullest budgets. If the budgets don't cover all of them, nothing is taken and
+/// every part is given up: the query ends now and leaves the budgets to queries that can still be answered.
+pub(super) fn decide(parts: &QueryParts, levels: &[BudgetLevel]) -> Vec<PartDecision> {
     let needed = parts.needed();
     let affordable = levels
         .iter()
-        .filter(|level| level.bears(AttemptPurpose::Decides.reserve()));
+        .filter(|level| level.bears(AttemptPurpose::Required.reserve()));
     if affordable.count() < needed {
-        return vec![PartVerdict::GiveUp; levels.len()];
+        return vec![PartDecision::GiveUp; levels.len()];
     }
-    let otherwise = if parts.has_attempts_under_way() || needed > 0 {
-        PartVerdict::Wait
+    let default_decision = if parts.has_running_attempts() || needed > 0 {
+        PartDecision::Wait
     } else {
-        PartVerdict::GiveUp
+        PartDecision::GiveUp
     };
-    let mut verdicts = vec![otherwise; levels.len()];
-    for (place, position) in fullest_first(levels).into_iter().enumerate() {
-        let purpose = if place < needed {
-            AttemptPurpose::Decides
+    let mut decisions = vec![default_decision; levels.len()];
+    for (rank, position) in fullest_first(levels).into_iter().enumerate() {
+        let purpose = if rank < needed {
+            AttemptPurpose::Required
         } else {
-            AttemptPurpose::Completes
+            AttemptPurpose::Optional
         };
         if levels[position].bears(purpose.reserve()) {
-            verdicts[position] = PartVerdict::Send;
+            decisions[position] = PartDecision::Send;
         }
     }
-    verdicts
+    decisions
 }
 
 fn fullest_first(levels: &[BudgetLevel]) -> Vec<usize> {
--- a/crates/sablehaven-gateway/src/request/authorize.rs
+++ b/crates/sablehaven-gateway/src/request/authorize.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, by the key that its caller presents.
+//! Authentication of a request: finds the caller by the key in the `Authorization` header.
 
 use hyper::{
     header::{AUTHORIZATION, HeaderMap},
@@ -13,14 +13,15 @@
     route_table::PlannedRoute,
 };
 
-/// The scheme under which a key is presented, in any case.
+/// The authentication scheme of a key, compared case-insensitively.
 const SCHEME: &str = "bearer";
 
-/// Whose request it is, by the configuration in force. A key that is known counts on a public route too; any other one
-/// is as good as none there.
+/// Finds the caller of a request in the configuration in force. A known key also identifies the tenant on a public
+/// route; any other key is ignored there.
 ///
 /// # Errors
-/// [`Refusal::UnknownKey`] where a key is needed and is absent, malformed or not known.
+/// [`Refusal::UnknownKey`] if the route needs a key and it is missing, malformed or unknown; [`Refusal::NoRoutes`] if
+/// no configuration is in force.
 pub(super) fn find_caller(
     gateway: &Gateway,
     planned: &PlannedRoute,
@@ -28,8 +29,8 @@
 ) -> Result<Caller, Refusal> {
     let age = gateway.clock.now();
     let table = gateway.routes().ok_or(Refusal::NoRoutes { age })?;
-    let needs_look = !table.tenants().is_empty();
-    let key = needs_look.then(|| presented_key(&head.headers)).flatten();
+    let has_tenants = !table.tenants().is_empty();
+    let key = has_tenants.then(|| presented_key(&head.headers)).flatten();
     let caller = Caller::find(&table, planned.route().is_public, key);
     caller.ok_or_else(|| {
         gateway.metrics.unknown_key_requests.inc();
@@ -37,11 +38,11 @@
     })
 }
 
-/// The caller of a request that has waited, by the configuration in force now.
+/// Finds the caller of a request that has waited, in the configuration that is in force now.
 ///
 /// # Errors
 /// See [`find_caller`].
-pub(super) fn find_again(
+pub(super) fn revalidate_caller(
     gateway: &Gateway,
     planned: &PlannedRoute,
     head: &Parts,
@@ -53,19 +54,20 @@
     }
 }
 
-/// The digest of the key that a caller presents; `None` where there is none, more than one, or one of another scheme.
+/// The digest of the caller's key; `None` if there is no `Authorization` header, more than one, or one that holds no
+/// single bearer token.
 fn presented_key(headers: &HeaderMap) -> Option<KeyDigest> {
-    let mut presented = headers.get_all(AUTHORIZATION).iter();
-    let (only, None) = (presented.next()?, presented.next()) else {
+    let mut values = headers.get_all(AUTHORIZATION).iter();
+    let (value, None) = (values.next()?, values.next()) else {
         return None;
     };
-    let text = only.as_bytes().trim_ascii();
-    let (scheme, rest) = text.split_at_checked(SCHEME.len())?;
-    let key = rest.trim_ascii_start();
-    let is_apart = key.len() < rest.len();
-    let is_key = !key.is_empty() && !key.iter().any(u8::is_ascii_whitespace);
+    let text = value.as_bytes().trim_ascii();
+    let (scheme, remainder) = text.split_at_checked(SCHEME.len())?;
+    let key = remainder.trim_ascii_start();
+    let has_separator = key.len() < remainder.len();
+    let is_single_token = !key.is_empty() && !key.iter().any(u8::is_ascii_whitespace);
     let is_bearer = scheme.eq_ignore_ascii_case(SCHEME.as_bytes());
-    (is_bearer && is_apart && is_key).then(|| KeyDigest::of(key))
+    (is_bearer && has_separator && is_single_token).then(|| KeyDigest::of(key))
 }
 
 #[cfg(test)]
--- a/crates/sablehaven-gateway/src/request/authorize/tests.rs
+++ b/crates/sablehaven-gateway/src/request/authorize/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of what counts as a key.
+//! Tests of reading the key from the `Authorization` header.
 
 use hyper::header::{AUTHORIZATION, HeaderMap, HeaderValue};
 use sablehaven_types::KeyDigest;
 
 use super::presented_key;
 
-fn key_of(headers: &[&'static str]) -> Option<KeyDigest> {
+fn presented_key_in(headers: &[&'static str]) -> Option<KeyDigest> {
     let mut map = HeaderMap::new();
     for header in headers {
         map.append(AUTHORIZATION, HeaderValue::from_static(header));
@@ -14,15 +14,15 @@
 }
 
 #[test]
-fn a_key_is_what_follows_the_scheme_in_any_case() {
+fn the_scheme_is_case_insensitive() {
     let key = Some(KeyDigest::of(b"k-1"));
     for header in ["Bearer k-1", "bearer k-1", "BEARER   k-1", " Bearer k-1 "] {
-        assert_eq!(key_of(&[header]), key, "{header}");
+        assert_eq!(presented_key_in(&[header]), key, "{header}");
     }
 }
 
 #[test]
-fn what_is_not_one_key_is_none() {
+fn malformed_or_repeated_keys_are_ignored() {
     for header in [
         "",
         "Bearer",
@@ -32,8 +32,8 @@
         "k-1",
         "Bearer k-1 k-2",
     ] {
-        assert_eq!(key_of(&[header]), None, "{header}");
+        assert_eq!(presented_key_in(&[header]), None, "{header}");
     }
-    assert_eq!(key_of(&[]), None);
-    assert_eq!(key_of(&["Bearer k-1", "Bearer k-1"]), None);
+    assert_eq!(presented_key_in(&[]), None);
+    assert_eq!(presented_key_in(&["Bearer k-1", "Bearer k-1"]), None);
 }
--- a/crates/sablehaven-gateway/src/request/gather.rs
+++ b/crates/sablehaven-gateway/src/request/gather.rs
@@ -1,4 +1,5 @@
-//! A query over many shards: one server of each, and an answer from what is in when it is due.
+//! Queries over many shards: asks one server per shard and merges the replies that have arrived when the response is
+//! due.
 
 use std::{
     cmp::Reverse,
@@ -17,38 +18,39 @@
 
 use super::{
     Accepted,
-    hedge_timer::BUDGET_PAUSE,
+    hedge_timer::BUDGET_RETRY_INTERVAL,
     lateness::{AnswerBody, SendObserver, TimerProbe},
     merge::greatest_records,
-    query_attempts::{PartPlace, QueryAttempts, settle},
+    query_attempts::{PartHandle, QueryAttempts, decide_failed_parts},
     refusal::Refusal,
     sub_request::{PartFailure, SubRequest, Tried},
-    wait::{Next, Progress, next},
+    wait::{NextStep, Progress, next_step},
 };
 use crate::{metrics::Outcome, servers::ServerReply};
 
-/// What has come of the shards so far.
+/// Results of the shards so far.
 #[derive(Default)]
 struct Parts {
     replies: Vec<ServerReply>,
     missing: Vec<(String, PartFailure)>,
-    /// Shards without a result yet, with the servers that were asked.
+    /// Shards without a result yet, with the servers that were tried.
     awaited: Vec<(ServiceName, Tried)>,
     extra: u32,
     unaffordable: u32,
-    /// Whether a server may have run a part.
+    /// Whether a server may have executed a part of the query.
     may_have_run: bool,
 }
 
 impl Parts {
-    /// Whether parts are missing because servers end when they run the request.
+    /// Whether parts are missing because the request is quarantined for crashing servers.
     fn is_quarantined(&self) -> bool {
         let mut failures = self.missing.iter().map(|(_, failure)| failure);
         failures.any(|failure| matches!(failure, PartFailure::Quarantined))
     }
 }
 
-/// The refusal when too many shards will not come. Only where no server may have run a part does it say so.
+/// The refusal of a query that can't reach its minimum number of shards. It only says that the request has not run if
+/// no server may have executed any part.
 fn failure(accepted: &Accepted, parts: &Parts, may_have_run: bool) -> Refusal {
     if parts.is_quarantined() {
         return Refusal::after_crashes(accepted, may_have_run);
@@ -59,8 +61,8 @@
     Refusal::NotRun
 }
 
-/// Asks one server of every shard of the pinned version, and answers when the answer is whole, or
-/// when waiting longer would cost more than the shards that are missing.
+/// Asks one server of every shard of the pinned version. Responds when all shards have replied, or when waiting
+/// longer would cost more than the missing shards are worth.
 pub(super) async fn answer(
     accepted: &Accepted,
     gather: &Gather,
@@ -68,18 +70,18 @@
     let servable = servable_shards(accepted, gather);
     if servable < gather.min_shards() {
         log_unservable(accepted, gather, servable);
-        return Err(Refusal::NoServers);
+        return Err(Refusal::NoServerAvailable);
     }
     let mut parts = Parts::default();
     let query = QueryAttempts::new(gather.shards.len(), gather.min_shards());
-    let mut running: FuturesUnordered<_> = in_order(accepted, gather)
+    let mut running: FuturesUnordered<_> = ordered_shards(accepted, gather)
         .into_iter()
         .enumerate()
         .map(|(number, shard)| {
             let service = accepted.gateway.registry.service(shard);
             let query = Rc::clone(&query);
-            let place = PartPlace { query, number };
-            let part = SubRequest::new(accepted, service, Some(place));
+            let handle = PartHandle { query, number };
+            let part = SubRequest::new(accepted, service, Some(handle));
             parts.awaited.push((shard.clone(), part.tried()));
             async move { (shard, part.run().await) }
         })
@@ -87,17 +89,17 @@
     let mut probe = TimerProbe::start(accepted);
     let mut planned_at = accepted.outgoing.deadline;
     let outcome = loop {
-        probe.look(accepted);
-        settle(accepted, &query);
+        probe.check(accepted);
+        decide_failed_parts(accepted, &query);
         let progress = progress(accepted, gather, &parts);
-        let wait_until = match next(&progress) {
-            Next::Answer => break Ok(()),
-            Next::Fail => {
+        let wait_until = match next_step(&progress) {
+            NextStep::Answer => break Ok(()),
+            NextStep::Fail => {
                 let may_have_run = parts.may_have_run || !running.is_empty();
                 break Err(failure(accepted, &parts, may_have_run));
             }
-            Next::OutOfTime => break Err(Refusal::OutOfTime),
-            Next::WaitUntil(at) => accepted.arrived + at,
+            NextStep::DeadlineExceeded => break Err(Refusal::DeadlineExceeded),
+            NextStep::WaitUntil(at) => accepted.arrived + at,
         };
         planned_at = wait_until;
         tokio::select! {
@@ -108,33 +110,33 @@
                 parts.may_have_run |= part.may_have_run || part.result.is_ok();
                 match part.result {
                     Ok(reply) => {
-                        query.arrived();
+                        query.record_arrived();
                         parts.replies.push(reply);
                     }
                     Err(failure) => {
-                        query.lost();
+                        query.record_lost();
                         parts.missing.push((shard.to_string(), failure));
                     }
                 }
             }
-            () = sleep(BUDGET_PAUSE), if query.has_failed_parts() => {}
+            () = sleep(BUDGET_RETRY_INTERVAL), if query.has_failed_parts() => {}
             () = sleep_until(probe.wake_at(wait_until).into()) => {}
         }
     };
-    log_unusual(accepted, gather, &parts, outcome.as_ref().err());
+    log_if_incomplete_or_late(accepted, gather, &parts, outcome.as_ref().err());
     let is_whole = parts.replies.len() == gather.shards.len();
-    let kind = if is_whole {
+    let success_outcome = if is_whole {
         Outcome::Whole
     } else {
         Outcome::Partial
     };
     let observer = SendObserver::new(accepted, planned_at.min(Instant::now()));
-    outcome.map(|()| (respond(accepted, gather, &parts, observer), kind))
+    outcome.map(|()| (respond(accepted, gather, &parts, observer), success_outcome))
 }
 
-/// The shards in the order in which they are asked: those with most servers to spare first where the first may be a
-/// trial that costs its server.
-fn in_order<'a>(accepted: &Accepted, gather: &'a Gather) -> Vec<&'a ServiceName> {
+/// The shards in the order in which they are asked. If the first attempt may crash its server, the shards with the
+/// most spare servers come first.
+fn ordered_shards<'a>(accepted: &Accepted, gather: &'a Gather) -> Vec<&'a ServiceName> {
     let mut shards: Vec<&ServiceName> = gather.shards.iter().collect();
     let now = accepted.gateway.clock.now();
     if accepted.outgoing.crash_watch.is_clear(now) {
@@ -146,8 +148,8 @@
     shards
 }
 
-/// The shards of which some server may take the request. With too few of them there can be no answer, and
-/// asking the others would only be work for nothing.
+/// Number of shards with a server that can take the request. If there are too few, the query can't be answered and
+/// asking the others would be wasted work.
 fn servable_shards(accepted: &Accepted, gather: &Gather) -> usize {
     let registry = &accepted.gateway.registry;
     let allowed = accepted.allowed_regions();
@@ -157,7 +159,7 @@
 
 fn log_unservable(accepted: &Accepted, gather: &Gather, servable: usize) {
     log::warn!(
-        event = "refused", request:% = accepted.id(), reason = "too few shards have a server that may answer",
+        event = "refused", request:% = accepted.id(), reason = "too few shards have an available server",
         route = accepted.planned.route().name.as_str(), version = accepted.planned.version,
         shards = gather.shards.len(), servable = servable;
         "request"
@@ -165,16 +167,16 @@
 }
 
 fn progress(accepted: &Accepted, gather: &Gather, parts: &Parts) -> Progress {
-    let aim = Duration::from_millis(accepted.planned.route().aim_ms);
-    let held = accepted.outgoing.deadline;
+    let latency_target = Duration::from_millis(accepted.planned.route().aim_ms);
+    let deadline = accepted.outgoing.deadline;
     Progress {
         shards: gather.shards.len(),
-        least: gather.min_shards(),
+        min_shards: gather.min_shards(),
         arrived: parts.replies.len(),
         failed: parts.missing.len(),
         elapsed: accepted.arrived.elapsed(),
-        due: aim.saturating_sub(accepted.answer_margin()),
-        limit: held.saturating_duration_since(accepted.arrived),
+        due: latency_target.saturating_sub(accepted.answer_margin()),
+        limit: deadline.saturating_duration_since(accepted.arrived),
     }
 }
 
@@ -189,31 +191,36 @@
     let records = greatest_records(bodies, gather.top_k);
     let mut response = Response::new(AnswerBody::new(WholeBody::new(records), observer));
     let headers = response.headers_mut();
-    let octets = HeaderValue::from_static("application/octet-stream");
-    headers.insert(CONTENT_TYPE, octets);
+    let content_type = HeaderValue::from_static("application/octet-stream");
+    headers.insert(CONTENT_TYPE, content_type);
     headers.insert(&names.request_id, accepted.outgoing.request_id.clone());
     let stamps = parts
         .replies
         .iter()
         .filter_map(|reply| reply.stamp.as_ref());
-    let joined = stamps
+    let stamp_list = stamps
         .map(HeaderValue::as_bytes)
         .collect::<Vec<_>>()
         .join(&b", "[..]);
-    if let Ok(joined) = HeaderValue::from_bytes(&joined) {
-        headers.insert(&names.part_stamps, joined);
+    if let Ok(stamp_list) = HeaderValue::from_bytes(&stamp_list) {
+        headers.insert(&names.part_stamps, stamp_list);
     }
     let missing = gather.shards.len() - parts.replies.len();
     headers.insert(&names.missing_parts, HeaderValue::from(missing));
     response
 }
 
-/// A query that is whole and in time is not worth a line.
-fn log_unusual(accepted: &Accepted, gather: &Gather, parts: &Parts, refusal: Option<&Refusal>) {
-    let taken = accepted.arrived.elapsed();
+/// Logs a query that failed, is incomplete or is late. Complete queries in time are not logged.
+fn log_if_incomplete_or_late(
+    accepted: &Accepted,
+    gather: &Gather,
+    parts: &Parts,
+    refusal: Option<&Refusal>,
+) {
+    let elapsed = accepted.arrived.elapsed();
     let route = accepted.planned.route();
     let is_whole = parts.replies.len() == gather.shards.len();
-    let is_late = taken > Duration::from_millis(route.aim_ms);
+    let is_late = elapsed > Duration::from_millis(route.aim_ms);
     if is_whole && !is_late && refusal.is_none() {
         return;
     }
@@ -225,26 +232,26 @@
     log::warn!(
         event = event, request:% = accepted.id(), route = route.name.as_str(),
         version = accepted.planned.version, shards = gather.shards.len(),
-        arrived = parts.replies.len(), extra = parts.extra + still_extra(&parts.awaited),
+        arrived = parts.replies.len(), extra = parts.extra + running_extra_attempts(&parts.awaited),
         unaffordable = parts.unaffordable,
-        after_ms = taken.as_millis() as u64,
+        after_ms = elapsed.as_millis() as u64,
         left_ms = accepted.outgoing.deadline.saturating_duration_since(Instant::now()).as_millis() as u64,
         target = accepted.outgoing.crash_watch.fingerprint_text().as_str(),
         lost = accepted.outgoing.crash_watch.lost_text().as_str(),
-        missing = missing_text(&parts.missing).as_str(),
-        awaited = awaited_text(&parts.awaited).as_str();
+        missing = missing_shards_text(&parts.missing).as_str(),
+        awaited = awaited_shards_text(&parts.awaited).as_str();
         "request"
     );
 }
 
-fn missing_text(missing: &[(String, PartFailure)]) -> String {
+fn missing_shards_text(missing: &[(String, PartFailure)]) -> String {
     let each = missing
         .iter()
         .map(|(shard, failure)| format!("{shard}: {failure}"));
     each.collect::<Vec<_>>().join("; ")
 }
 
-fn awaited_text(awaited: &[(ServiceName, Tried)]) -> String {
+fn awaited_shards_text(awaited: &[(ServiceName, Tried)]) -> String {
     let each = awaited.iter().map(|(shard, tried)| {
         let tried = tried.borrow();
         let tried: Vec<&str> = tried
@@ -256,8 +263,8 @@
     each.collect::<Vec<_>>().join("; ")
 }
 
-/// Second attempts of the shards that are still awaited.
-fn still_extra(awaited: &[(ServiceName, Tried)]) -> u32 {
-    let beyond_first = |tried: &Tried| tried.borrow().len().saturating_sub(1) as u32;
-    awaited.iter().map(|(_, tried)| beyond_first(tried)).sum()
+/// Extra attempts of the shards that have no result yet.
+fn running_extra_attempts(awaited: &[(ServiceName, Tried)]) -> u32 {
+    let extra_attempts = |tried: &Tried| tried.borrow().len().saturating_sub(1) as u32;
+    awaited.iter().map(|(_, tried)| extra_attempts(tried)).sum()
 }
--- a/crates/sablehaven-gateway/src/request/head.rs
+++ b/crates/sablehaven-gateway/src/request/head.rs
@@ -1,4 +1,4 @@
-//! What the head of a request says of its caller: where it sends, and how long it waits.
+//! Values in a request's head that describe its caller: the host that it asks for and how long it waits.
 
 use std::time::Duration;
 
@@ -6,47 +6,51 @@
 
 use crate::{gateway::Gateway, resends::CallerTry, route_table::PlannedRoute};
 
-/// Time before the caller's own deadline at which it is told that there is no answer.
+/// How long before the caller's own deadline the gateway stops waiting and responds.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
-/// Part of its caller's time for which a second try waits for what its gateway lacks.
+/// Fraction of the caller's remaining time for which a resend waits for routes, servers or quota tokens.
 pub(super) const RESEND_WAIT_SHARE: f64 = 0.4;
 
-/// Whether the caller asks for the first time, by the time that it says it has left, and what it spent before
-/// if so. The aim of a second try has passed or nearly so; it is answered as if it were a first.
+/// Classifies a request as a first try or a resend by the time that its caller has left. For a first try it also
+/// returns how much of the caller's time was spent before it arrived. For a resend that is zero: its latency target
+/// has passed or almost passed, so it is timed like a first try.
 pub(super) fn caller_try(gateway: &Gateway, head: &Parts) -> (CallerTry, Duration) {
-    let Some(left) = caller_time(gateway, head) else {
+    let Some(time_left) = caller_time(gateway, head) else {
         return (CallerTry::First, Duration::ZERO);
     };
     let path = head.uri.path();
-    let folder = path.rsplit_once('/').map_or("", |(folder, _)| folder);
-    let place = format!("{}{folder}", host(head).unwrap_or_default());
+    let parent_path = path
+        .rsplit_once('/')
+        .map_or("", |(parent_path, _)| parent_path);
+    let resend_key = format!("{}{parent_path}", host(head).unwrap_or_default());
     let now = gateway.clock.now();
     let mut resends = gateway.resends.borrow_mut();
-    match resends.observe(now, &place, left) {
-        CallerTry::First => (CallerTry::First, resends.spent(&place, left)),
+    match resends.observe(now, &resend_key, time_left) {
+        CallerTry::First => (CallerTry::First, resends.spent(&resend_key, time_left)),
         CallerTry::Resend => (CallerTry::Resend, Duration::ZERO),
     }
 }
 
-/// The time for which the caller waits, where it says so.
+/// The time for which the caller still waits, if the request says so.
 pub(super) fn caller_time(gateway: &Gateway, head: &Parts) -> Option<Duration> {
     let value = head.headers.get(&gateway.names.deadline_ms)?;
     let text = value.to_str().ok()?;
     text.trim().parse().ok().map(Duration::from_millis)
 }
 
-/// The host that the caller names.
+/// The requested host.
 pub(super) fn host(head: &Parts) -> Option<&str> {
     let header = head.headers.get(HOST);
-    let named = header.and_then(|host| host.to_str().ok());
-    named.or_else(|| head.uri.host())
+    let header_value = header.and_then(|host| host.to_str().ok());
+    header_value.or_else(|| head.uri.host())
 }
 
-/// The time for which a request is held: the route's, or the caller's own where it is shorter.
+/// How long the gateway works on a request: the timeout of the route, or the caller's remaining time if it is
+/// shorter.
 pub(super) fn time_left(gateway: &Gateway, planned: &PlannedRoute, head: &Parts) -> Duration {
-    let held = Duration::from_millis(planned.route().timeout_ms);
+    let limit = Duration::from_millis(planned.route().timeout_ms);
     match caller_time(gateway, head) {
-        Some(caller) => held.min(caller.saturating_sub(DEADLINE_MARGIN)),
-        None => held,
+        Some(caller_limit) => limit.min(caller_limit.saturating_sub(DEADLINE_MARGIN)),
+        None => limit,
     }
 }
--- a/crates/sablehaven-gateway/src/request/hedge_timer.rs
+++ b/crates/sablehaven-gateway/src/request/hedge_timer.rs
@@ -1,44 +1,45 @@
-//! When one attempt was sent, and how long its hedge is put off.
+//! Timing of one attempt: when it was sent, and until when its hedge is postponed.
 
 use std::time::{Duration, Instant};
 
-/// Pause before the retry budget is asked again.
-pub(super) const BUDGET_PAUSE: Duration = Duration::from_millis(25);
+/// Delay before the retry budget is tried again.
+pub(super) const BUDGET_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The times of one attempt. A hedge that is put off leaves the time at which the attempt was sent as it
-/// is: the pace of the whole query is measured from it.
+/// Timing of one attempt. Postponing its hedge does not change the time at which it was sent, since the service times
+/// of the whole query are measured from it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HedgeTimer {
     sent_at: Instant,
-    put_off_until: Option<Instant>,
+    postponed_until: Option<Instant>,
 }
 
 impl HedgeTimer {
-    /// The attempt is sent now.
+    /// Starts the timing of an attempt that is sent at `now`.
     pub(super) fn start(now: Instant) -> Self {
         Self {
             sent_at: now,
-            put_off_until: None,
+            postponed_until: None,
         }
     }
 
-    /// When the attempt was sent.
+    /// The time at which the attempt was sent.
     pub(super) fn sent_at(&self) -> Instant {
         self.sent_at
     }
 
-    /// No hedge can be sent now; the next look is a little later.
-    pub(super) fn put_off(&mut self, now: Instant) {
-        self.put_off_until = Some(now + BUDGET_PAUSE);
+    /// Postpones the hedge because none can be sent now.
+    pub(super) fn postpone(&mut self, now: Instant) {
+        self.postponed_until = Some(now + BUDGET_RETRY_INTERVAL);
     }
 
-    /// The time at which a hedge that is due at `due_at` may be looked at.
-    pub(super) fn not_before(&self, due_at: Instant) -> Instant {
-        self.put_off_until.map_or(due_at, |until| due_at.max(until))
+    /// The earliest time for a hedge that is due at `due_at`.
+    pub(super) fn earliest_hedge(&self, due_at: Instant) -> Instant {
+        self.postponed_until
+            .map_or(due_at, |until| due_at.max(until))
     }
 
-    /// What the server took for an attempt that ends now, without the way there and back.
-    pub(super) fn taken(&self, now: Instant, round_trip: Duration) -> Duration {
+    /// The service time of an attempt that ends now, excluding the network round trip.
+    pub(super) fn service_time(&self, now: Instant, round_trip: Duration) -> Duration {
         now.saturating_duration_since(self.sent_at)
             .saturating_sub(round_trip)
     }
--- a/crates/sablehaven-gateway/src/request/hedge_timer/tests.rs
+++ b/crates/sablehaven-gateway/src/request/hedge_timer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the times of one attempt.
+//! Tests of the timing of one attempt.
 
 use std::time::{Duration, Instant};
 
@@ -9,21 +9,21 @@
 }
 
 #[test]
-fn a_hedge_that_is_put_off_does_not_shorten_what_the_server_took() {
+fn postponing_a_hedge_does_not_change_the_service_time() {
     let sent = Instant::now();
     let mut timer = HedgeTimer::start(sent);
     for refused in [40, 65, 90] {
-        timer.put_off(sent + ms(refused));
+        timer.postpone(sent + ms(refused));
     }
-    assert_eq!(timer.taken(sent + ms(200), ms(4)), ms(196));
+    assert_eq!(timer.service_time(sent + ms(200), ms(4)), ms(196));
 }
 
 #[test]
-fn a_hedge_is_looked_at_again_a_little_after_it_was_put_off() {
+fn a_postponed_hedge_is_retried_after_a_short_delay() {
     let sent = Instant::now();
     let mut timer = HedgeTimer::start(sent);
-    assert_eq!(timer.not_before(sent + ms(40)), sent + ms(40));
-    timer.put_off(sent + ms(41));
-    assert!(timer.not_before(sent + ms(40)) > sent + ms(41));
-    assert_eq!(timer.not_before(sent + ms(400)), sent + ms(400));
+    assert_eq!(timer.earliest_hedge(sent + ms(40)), sent + ms(40));
+    timer.postpone(sent + ms(41));
+    assert!(timer.earliest_hedge(sent + ms(40)) > sent + ms(41));
+    assert_eq!(timer.earliest_hedge(sent + ms(400)), sent + ms(400));
 }
--- a/crates/sablehaven-gateway/src/request/lateness.rs
+++ b/crates/sablehaven-gateway/src/request/lateness.rs
@@ -1,4 +1,4 @@
-//! How much later than planned a query is acted on, as its gateway sees it.
+//! Measures how late the gateway acts on a query compared with its plan. The overruns feed the route's answer margin.
 
 use std::{
     rc::Rc,
@@ -10,13 +10,13 @@
 use super::Accepted;
 use crate::{gateway::Gateway, route_table::RouteProfile};
 
-/// The body of an answer to a caller.
+/// Response body that reports when it is sent.
 pub(crate) type AnswerBody = ObservedBody<SendObserver>;
 
-/// Moments within the time of a query at which its timer is looked at.
-const PROBES: u32 = 8;
+/// Number of times that the timer is checked within a query's latency target.
+const PROBES_PER_LATENCY_TARGET: u32 = 8;
 
-/// Observes when the body of an answer is on its way.
+/// Observes when a response body is taken for sending.
 pub(crate) struct SendObserver {
     gateway: Rc<Gateway>,
     profile: Rc<RouteProfile>,
@@ -24,7 +24,7 @@
 }
 
 impl SendObserver {
-    /// An observer of an answer that was to be made at this moment; `None` where nothing is learned.
+    /// Observes a response that was planned for `planned_at`; `None` if the answer margin is not adaptive.
     pub(super) fn new(accepted: &Accepted, planned_at: Instant) -> Option<Self> {
         let bounds = accepted.gateway.config.margin_bounds();
         bounds.is_adaptive().then(|| Self {
@@ -42,37 +42,37 @@
     }
 }
 
-/// Looks at a timer at even moments while a query waits for its parts.
+/// Checks a timer at regular intervals while a query waits for its parts.
 pub(super) struct TimerProbe {
-    step: Duration,
+    interval: Duration,
     next_at: Option<Instant>,
 }
 
 impl TimerProbe {
     pub(super) fn start(accepted: &Accepted) -> Self {
-        let aim = Duration::from_millis(accepted.planned.route().aim_ms);
-        let step = aim / PROBES;
+        let latency_target = Duration::from_millis(accepted.planned.route().aim_ms);
+        let interval = latency_target / PROBES_PER_LATENCY_TARGET;
         let bounds = accepted.gateway.config.margin_bounds();
-        let is_used = bounds.is_adaptive() && !step.is_zero();
+        let is_enabled = bounds.is_adaptive() && !interval.is_zero();
         Self {
-            step,
-            next_at: is_used.then(|| Instant::now() + step),
+            interval,
+            next_at: is_enabled.then(|| Instant::now() + interval),
         }
     }
 
-    /// The next moment at which to wake, or `other` where that is sooner.
+    /// The time of the next check, or `other` if it is sooner.
     pub(super) fn wake_at(&self, other: Instant) -> Instant {
-        self.next_at.map_or(other, |at| at.min(other))
+        self.next_at.map_or(other, |due_at| due_at.min(other))
     }
 
-    /// Observes how late the timer is, where its moment is over.
-    pub(super) fn look(&mut self, accepted: &Accepted) {
+    /// Records how late the timer is, if its next check is due.
+    pub(super) fn check(&mut self, accepted: &Accepted) {
         let now = Instant::now();
-        let Some(at) = self.next_at.filter(|at| *at <= now) else {
+        let Some(due_at) = self.next_at.filter(|due_at| *due_at <= now) else {
             return;
         };
         let profile = &accepted.planned.profile;
-        profile.overran(accepted.gateway.clock.now(), now - at);
-        self.next_at = Some(now + self.step);
+        profile.overran(accepted.gateway.clock.now(), now - due_at);
+        self.next_at = Some(now + self.interval);
     }
 }
--- a/crates/sablehaven-gateway/src/request/merge/tests.rs
+++ b/crates/sablehaven-gateway/src/request/merge/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the merge.
+//! Tests of merging records.
 
 use super::greatest_records;
 
@@ -9,16 +9,16 @@
 }
 
 #[test]
-fn the_greatest_records_come_first_and_equal_ones_all_count() {
-    let one = [record(3), record(9), record(1)].concat();
-    let other = [record(9), record(200)].concat();
-    let merged = greatest_records([&one[..], &other[..]].into_iter(), 4);
+fn records_are_sorted_in_descending_order_and_duplicates_are_kept() {
+    let first = [record(3), record(9), record(1)].concat();
+    let second = [record(9), record(200)].concat();
+    let merged = greatest_records([&first[..], &second[..]].into_iter(), 4);
     let expected = [record(200), record(9), record(9), record(3)].concat();
     assert_eq!(merged[..], expected[..]);
 }
 
 #[test]
-fn a_remainder_is_no_record_and_fewer_records_than_asked_for_are_all_given() {
+fn remainders_are_ignored_and_short_results_are_complete() {
     let mut body = record(5).to_vec();
     body.extend_from_slice(&[255; 7]);
     let merged = greatest_records([&body[..], &[]].into_iter(), 20);
--- a/crates/sablehaven-gateway/src/request/mod.rs
+++ b/crates/sablehaven-gateway/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! The way of one request: route, admission, servers, answer.
+//! Handles one request: finds its route and caller, admits it, asks servers, and responds.
 
 mod admit;
 mod attempt_plan;
@@ -31,8 +31,8 @@
 use sablehaven_types::{RouteTarget, ServiceName, Tenant, WeightedService};
 
 use self::{
-    admit::{admit, note_answer, refuse_quarantined},
-    authorize::{find_again, find_caller},
+    admit::{admit, record_response, refuse_quarantined},
+    authorize::{find_caller, revalidate_caller},
     first_routes::find_route_or_wait,
     head::{caller_try, host, time_left},
     lateness::AnswerBody,
@@ -50,14 +50,14 @@
     serving_regions::ServingRegions,
 };
 
-/// A request that was read whole, before it is admitted.
+/// A request that was read completely and is not admitted yet.
 struct ReceivedRequest {
     arrived: Instant,
     head: Parts,
     body: Bytes,
     request_id: HeaderValue,
     planned: Rc<PlannedRoute>,
-    /// Its caller when the request came.
+    /// The caller when the request arrived.
     caller: Caller,
     caller_try: CallerTry,
     /// See [`Accepted::spent`].
@@ -65,66 +65,67 @@
     crash_watch: Rc<CrashWatch>,
 }
 
-/// A request of a caller that has a route; the version of the routes stays as it was when it came.
+/// An admitted request. It uses the version of the routes that was in force when it arrived.
 pub(crate) struct Accepted {
     pub(crate) gateway: Rc<Gateway>,
     pub(crate) planned: Rc<PlannedRoute>,
-    /// Where its servers may be.
+    /// Regions in which it may be served.
     regions: ServingRegions,
     pub(crate) outgoing: Rc<OutgoingRequest>,
     pub(crate) arrived: Instant,
-    /// The part of its aim that had passed by then, as far as its caller shows it.
+    /// How much of the latency target had passed when the request arrived, as far as the caller's time limit shows
+    /// it.
     pub(crate) spent: Duration,
 }
 
-/// Answers a request in five phases: find its route, find its tenant, read its body, admit it, and ask its servers.
-/// The future is dropped when the caller leaves, and every attempt with it.
+/// Answers a request in five steps: finds its route, finds its tenant, reads its body, admits it, and asks its
+/// servers. If the caller disconnects, this future is dropped and every attempt with it.
 pub(crate) async fn answer(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    match take(&gateway, request).await {
+    match handle(&gateway, request).await {
         Ok(response) => response,
         Err(refusal) => unobserved(refusal.response()),
     }
 }
 
-/// The answer to a request, or why it has none.
-async fn take(
+/// Handles a request and returns the response, or the refusal if no server's response can be returned.
+async fn handle(
     gateway: &Rc<Gateway>,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let received = receive(gateway, request).await?;
     refuse_quarantined(gateway, &received)?;
-    // Its place is free again once the request is answered or its caller has left.
+    // Holds the request's slot until it is answered or its caller disconnects.
     let _admitted = admit(gateway, &received).await?;
     let accepted = accept(gateway, received)?;
     let answer = ask_servers(&accepted).await;
-    let answer = answer.map_err(|refusal| accepted.explain(refusal));
+    let answer = answer.map_err(|refusal| accepted.final_refusal(refusal));
     let outcome = answer
         .as_ref()
         .map_or(Outcome::Failed, |(_, outcome)| *outcome);
-    note_answer(&accepted, outcome);
+    record_response(&accepted, outcome);
     record_outcome(gateway, &accepted.planned, outcome, accepted.arrived);
     answer.map(|(response, _)| response)
 }
 
-/// Finds a request's route and its caller, and reads its body.
+/// Finds the route and the caller of a request, and reads its body.
 async fn receive(
     gateway: &Gateway,
     request: Request<Incoming>,
 ) -> Result<ReceivedRequest, Refusal> {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    // Only a gateway that is still starting looks at the try before the caller is known: what callers without a key send
-    // says nothing of the others.
-    let first_look = (!gateway.has_routes()).then(|| caller_try(gateway, &head));
-    let known_try = first_look.map(|(caller_try, _)| caller_try);
-    let planned = find_route_or_wait(gateway, &head, known_try).await?;
+    // Only a starting gateway classifies the try before the caller is authenticated. Otherwise, requests without a
+    // valid key would distort what is learned from the others.
+    let early_try = (!gateway.has_routes()).then(|| caller_try(gateway, &head));
+    let early_caller_try = early_try.map(|(caller_try, _)| caller_try);
+    let planned = find_route_or_wait(gateway, &head, early_caller_try).await?;
     let caller = find_caller(gateway, &planned, &head)?;
-    let (caller_try, spent) = first_look.unwrap_or_else(|| caller_try(gateway, &head));
+    let (caller_try, spent) = early_try.unwrap_or_else(|| caller_try(gateway, &head));
     let request_id = head.headers.get(&gateway.names.request_id).cloned();
-    let request_id = request_id.ok_or(Refusal::NoRequestId)?;
+    let request_id = request_id.ok_or(Refusal::MissingRequestId)?;
     let body = read_body(body, gateway.limits().max_body_bytes).await?;
     let crash_watch = CrashWatch::new(
         fingerprint(&head, host(&head).unwrap_or_default(), &body),
@@ -143,13 +144,13 @@
     })
 }
 
-/// Makes a request ready to be sent to servers, for its caller as it stands now.
+/// Prepares a request for sending to servers, for its caller as known by the configuration that is in force now.
 fn accept(gateway: &Rc<Gateway>, received: ReceivedRequest) -> Result<Accepted, Refusal> {
     let ReceivedRequest { head, planned, .. } = received;
-    let caller = find_again(gateway, &planned, &head, received.caller)?;
+    let caller = revalidate_caller(gateway, &planned, &head, received.caller)?;
     let regions = regions(&planned, caller.tenant());
-    let mut headers = headers::passed_on(&head.headers, &gateway.names);
-    caller.mark(&mut headers, &gateway.names);
+    let mut headers = headers::request_headers_to_forward(&head.headers, &gateway.names);
+    caller.rewrite_tenant_headers(&mut headers, &gateway.names);
     let deadline = received.arrived + time_left(gateway, &planned, &head);
     let outgoing = Rc::new(OutgoingRequest {
         caller,
@@ -160,7 +161,7 @@
         body: received.body,
         deadline,
         profile: Rc::clone(&planned.profile),
-        pace: Pace::new(parts(&planned.route().target)),
+        pace: Pace::new(part_count(&planned.route().target)),
         crash_watch: received.crash_watch,
     });
     Ok(Accepted {
@@ -173,11 +174,13 @@
     })
 }
 
-/// Has the servers of the request's route answer it.
+/// Asks the servers of the request's route.
 async fn ask_servers(accepted: &Accepted) -> Result<(Response<AnswerBody>, Outcome), Refusal> {
     match &accepted.planned.route().target {
         RouteTarget::Service(service) => answer_single(accepted, service).await,
-        RouteTarget::Split(parts) => answer_single(accepted, draw(parts, rand::random())).await,
+        RouteTarget::Split(parts) => {
+            answer_single(accepted, pick_weighted(parts, rand::random())).await
+        }
         RouteTarget::Gather(gather) => gather::answer(accepted, gather).await,
     }
 }
@@ -190,12 +193,12 @@
     Ok((unobserved(response), outcome))
 }
 
-/// An answer whose sending is not observed: it was not due at a planned moment.
+/// Wraps a response whose sending is not observed because it was not planned for a certain time.
 fn unobserved(response: Response<WholeBody>) -> Response<AnswerBody> {
     response.map(|body| AnswerBody::new(body, None))
 }
 
-/// Where a request may be served: where both its route and its tenant allow.
+/// Regions that both the route and the tenant allow.
 fn regions(planned: &PlannedRoute, tenant: Option<&Tenant>) -> ServingRegions {
     match tenant {
         Some(tenant) => planned.regions.within(&tenant.allowed_regions),
@@ -203,15 +206,15 @@
     }
 }
 
-/// Counts a request that has ended, and the time that it took.
+/// Records the outcome and the duration of a request in the metrics.
 fn record_outcome(gateway: &Gateway, planned: &PlannedRoute, outcome: Outcome, arrived: Instant) {
     let is_gather = matches!(planned.route().target, RouteTarget::Gather(_));
     let seconds = arrived.elapsed().as_secs_f64();
     gateway.metrics.request_ended(is_gather, outcome, seconds);
 }
 
-/// The number of parts whose servers do the same work.
-fn parts(target: &RouteTarget) -> usize {
+/// Number of parts of a request whose servers do the same work.
+fn part_count(target: &RouteTarget) -> usize {
     match target {
         RouteTarget::Gather(gather) => gather.shards.len(),
         RouteTarget::Service(_) | RouteTarget::Split(_) => 1,
@@ -222,21 +225,21 @@
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
-        Err(_) => Err(Refusal::BodyCutOff),
+        Err(_) => Err(Refusal::IncompleteBody),
     }
 }
 
-/// The part of a split that a draw (0 to 1) falls on.
-fn draw(parts: &[WeightedService], draw: f64) -> &ServiceName {
+/// The service that `draw` (uniform, 0 to 1) selects by weight.
+fn pick_weighted(parts: &[WeightedService], draw: f64) -> &ServiceName {
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
-    let mut left = draw * sum;
+    let mut remaining = draw * sum;
     for part in parts {
-        left -= part.weight;
-        if left < 0.0 {
+        remaining -= part.weight;
+        if remaining < 0.0 {
             return &part.service;
         }
     }
-    // Rounding only: valid routes have weights that sum to more than 0.
+    // Only reached through rounding: in valid routes the weights sum to more than 0.
     &parts[parts.len() - 1].service
 }
 
@@ -245,7 +248,7 @@
 }
 
 impl Drop for Accepted {
-    /// Tells the other gateways what became of the request's servers, also when its caller has left.
+    /// Reports servers that crashed under the request to the other gateways, even if the caller has disconnected.
     fn drop(&mut self) {
         let fingerprint = self.outgoing.crash_watch.fingerprint();
         self.gateway.report_crashes(fingerprint);
@@ -253,33 +256,33 @@
 }
 
 impl Accepted {
-    /// The regions in which its servers may be.
+    /// Regions in which its servers may be.
     fn allowed_regions(&self) -> &ServingRegions {
         &self.regions
     }
 
-    fn caller_holds(&self) -> bool {
+    fn is_caller_valid(&self) -> bool {
         self.gateway.standing(&self.outgoing.caller) == CallerValidity::Valid
     }
 
-    /// The refusal as its caller is told it. Where no server has run the request because its key was taken away, that is
-    /// the reason; where it is another tenant's by now, the caller may come again.
-    fn explain(&self, refusal: Refusal) -> Refusal {
-        let is_not_run = matches!(refusal, Refusal::NoServers | Refusal::NotRun);
+    /// The refusal that the caller gets. If no server has run the request and its key was revoked meanwhile, the
+    /// refusal says so. If the key belongs to another tenant now, the caller is told that it may retry.
+    fn final_refusal(&self, refusal: Refusal) -> Refusal {
+        let has_not_run = matches!(refusal, Refusal::NoServerAvailable | Refusal::NotRun);
         match self.gateway.standing(&self.outgoing.caller) {
-            CallerValidity::KeyRevoked if is_not_run => Refusal::UnknownKey,
-            CallerValidity::Changed if is_not_run => Refusal::NotRun,
+            CallerValidity::KeyRevoked if has_not_run => Refusal::UnknownKey,
+            CallerValidity::Changed if has_not_run => Refusal::NotRun,
             _ => refusal,
         }
     }
 
-    /// How long before its aim its answer must leave.
+    /// How long before its latency target the response must be sent.
     fn answer_margin(&self) -> Duration {
-        let aim = Duration::from_millis(self.planned.route().aim_ms);
+        let latency_target = Duration::from_millis(self.planned.route().aim_ms);
         let now = self.gateway.clock.now();
         let bounds = self.gateway.config.margin_bounds();
         let margin = self.planned.profile.answer_margin();
-        margin.margin(now, bounds, aim, self.spent)
+        margin.margin(now, bounds, latency_target, self.spent)
     }
 
     fn id(&self) -> String {
--- a/crates/sablehaven-gateway/src/request/query_attempts.rs
+++ b/crates/sablehaven-gateway/src/request/query_attempts.rs
@@ -1,4 +1,4 @@
-//! The failed parts of one query that wait for another attempt; shared by its parts.
+//! Coordinates the extra attempts of one query: its failed parts wait here until the query decides on all of them.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,72 +11,72 @@
 
 use super::{
     Accepted,
-    attempt_plan::{PartVerdict, QueryParts, decide},
+    attempt_plan::{PartDecision, QueryParts, decide},
 };
 use crate::servers::ServicePool;
 
-/// A part that waits for its verdict.
+/// A failed part that waits for a decision.
 struct FailedPart {
     number: usize,
     service: Rc<ServicePool>,
 }
 
-/// What is known of the parts of one query, as far as extra attempts depend on it.
+/// The state of a query's parts that decisions on extra attempts depend on. It is shared by the parts.
 pub(super) struct QueryAttempts {
     shards: usize,
-    least: usize,
+    min_shards: usize,
     arrived: Cell<usize>,
     lost: Cell<usize>,
     failed: RefCell<Vec<FailedPart>>,
-    /// Verdicts that their parts have not taken yet.
-    verdicts: RefCell<Vec<(usize, PartVerdict)>>,
+    /// Decisions that their parts have not taken yet.
+    decisions: RefCell<Vec<(usize, PartDecision)>>,
     decided: Notify,
 }
 
 impl QueryAttempts {
-    /// A query over `shards`, of which `least` make an answer.
-    pub(super) fn new(shards: usize, least: usize) -> Rc<Self> {
+    /// A query over `shards` shards, of which `min_shards` are needed for a response.
+    pub(super) fn new(shards: usize, min_shards: usize) -> Rc<Self> {
         Rc::new(Self {
             shards,
-            least,
+            min_shards,
             arrived: Cell::default(),
             lost: Cell::default(),
             failed: RefCell::default(),
-            verdicts: RefCell::default(),
+            decisions: RefCell::default(),
             decided: Notify::new(),
         })
     }
 
-    /// A part is in.
-    pub(super) fn arrived(&self) {
+    /// Records a part with a reply.
+    pub(super) fn record_arrived(&self) {
         self.arrived.set(self.arrived.get() + 1);
     }
 
-    /// A part will not come.
-    pub(super) fn lost(&self) {
+    /// Records a part that was given up.
+    pub(super) fn record_lost(&self) {
         self.lost.set(self.lost.get() + 1);
     }
 
-    /// All attempts of a part have failed, and it may get another.
-    pub(super) fn failed(&self, number: usize, service: Rc<ServicePool>) {
+    /// Records a part whose attempts have all failed and that may get another one.
+    pub(super) fn record_failed(&self, number: usize, service: Rc<ServicePool>) {
         let mut failed = self.failed.borrow_mut();
         failed.push(FailedPart { number, service });
     }
 
-    /// Whether any part waits for its verdict.
+    /// Whether any part waits for a decision.
     pub(super) fn has_failed_parts(&self) -> bool {
         !self.failed.borrow().is_empty()
     }
 
-    /// Decides on the failed parts and takes from the budgets what they get.
-    pub(super) fn settle(&self, now: Duration, gateways: Option<u32>) {
+    /// Decides on the failed parts and charges their new attempts to the budgets.
+    pub(super) fn decide_failed_parts(&self, now: Duration, gateways: Option<u32>) {
         let mut failed = self.failed.borrow_mut();
         if failed.is_empty() {
             return;
         }
         let parts = QueryParts {
             shards: self.shards,
-            least: self.least,
+            min_shards: self.min_shards,
             arrived: self.arrived.get(),
             lost: self.lost.get(),
             failed: failed.len(),
@@ -85,15 +85,15 @@
             .iter()
             .map(|part| part.service.budget_level(now, gateways))
             .collect();
-        let verdicts = decide(&parts, &levels);
-        let mut verdict = verdicts.iter();
-        let mut decided = self.verdicts.borrow_mut();
+        let decisions = decide(&parts, &levels);
+        let mut remaining = decisions.iter();
+        let mut decided = self.decisions.borrow_mut();
         failed.retain(|part| {
-            let verdict = *verdict.next().unwrap_or(&PartVerdict::Wait);
-            match verdict {
-                PartVerdict::Wait => return true,
-                PartVerdict::Send if !part.service.take_extra(now, gateways, 0.0) => return true,
-                PartVerdict::Send | PartVerdict::GiveUp => decided.push((part.number, verdict)),
+            let decision = *remaining.next().unwrap_or(&PartDecision::Wait);
+            match decision {
+                PartDecision::Wait => return true,
+                PartDecision::Send if !part.service.take_extra(now, gateways, 0.0) => return true,
+                PartDecision::Send | PartDecision::GiveUp => decided.push((part.number, decision)),
             }
             false
         });
@@ -102,41 +102,43 @@
         }
     }
 
-    /// Waits for the verdict on a failed part: whether it may send an attempt, which is paid for.
-    pub(super) async fn may_send(&self, number: usize) -> bool {
+    /// Waits for the decision on a failed part. Returns whether it may send an attempt, which has already been
+    /// charged to the budget.
+    pub(super) async fn wait_for_decision(&self, number: usize) -> bool {
         loop {
-            if let Some(verdict) = self.take_verdict(number) {
-                return verdict == PartVerdict::Send;
+            if let Some(decision) = self.take_decision(number) {
+                return decision == PartDecision::Send;
             }
             self.decided.notified().await;
         }
     }
 
-    fn take_verdict(&self, number: usize) -> Option<PartVerdict> {
-        let mut verdicts = self.verdicts.borrow_mut();
-        let position = verdicts.iter().position(|(each, _)| *each == number)?;
-        Some(verdicts.swap_remove(position).1)
+    fn take_decision(&self, number: usize) -> Option<PartDecision> {
+        let mut decisions = self.decisions.borrow_mut();
+        let position = decisions.iter().position(|(part, _)| *part == number)?;
+        Some(decisions.swap_remove(position).1)
     }
 }
 
-/// Decides which failed parts get another attempt, by what is known of all parts now.
-pub(super) fn settle(accepted: &Accepted, query: &QueryAttempts) {
+/// Decides which failed parts of a query get another attempt.
+pub(super) fn decide_failed_parts(accepted: &Accepted, query: &QueryAttempts) {
     let gateway = &accepted.gateway;
     let gateways = gateway.registry.sharer_count();
-    query.settle(gateway.clock.now(), gateways);
+    query.decide_failed_parts(gateway.clock.now(), gateways);
 }
 
-/// One part's place in its query.
+/// Identifies one part of a query.
 #[derive(Clone)]
-pub(super) struct PartPlace {
+pub(super) struct PartHandle {
     pub(super) query: Rc<QueryAttempts>,
     pub(super) number: usize,
 }
 
-/// Waits for the verdict on a part that has failed; for ever where it is not asked for.
-pub(super) async fn verdict(place: Option<&PartPlace>) -> bool {
-    match place {
-        Some(place) => place.query.may_send(place.number).await,
+/// Waits for the decision on a failed part, see [`QueryAttempts::wait_for_decision`]. Never returns if the part does
+/// not belong to a query.
+pub(super) async fn wait_for_decision(handle: Option<&PartHandle>) -> bool {
+    match handle {
+        Some(handle) => handle.query.wait_for_decision(handle.number).await,
         None => pending().await,
     }
 }
--- a/crates/sablehaven-gateway/src/request/refusal.rs
+++ b/crates/sablehaven-gateway/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Refusals: responses that the gateway makes itself.
 
 use std::time::Duration;
 
@@ -12,122 +12,129 @@
 
 use super::Accepted;
 
-/// Time that a gateway usually needs from its start until it has routes and servers: an election of
-/// the control replicas, when all of them were stopped too.
-const USUAL_START: Duration = Duration::from_millis(1_100);
-/// The least time after which to come back while the gateway has no routes yet.
-const LEAST_START_PAUSE: Duration = Duration::from_millis(250);
-/// When to come back after a refusal under pressure.
-const PRESSURE_PAUSE: Duration = Duration::from_millis(200);
-/// When to come back when no server may take the request: about when the list of servers is read again.
-const NO_SERVER_PAUSE: Duration = Duration::from_millis(1_000);
-/// When to come back when no server ran the request.
-const NOT_RUN_PAUSE: Duration = Duration::from_millis(100);
+/// Typical time from a gateway's start until it has routes and servers. It includes an election of the control
+/// replicas, in case all of them were stopped too.
+const TYPICAL_STARTUP: Duration = Duration::from_millis(1_100);
+/// Minimum retry delay while the gateway has no routes yet.
+const MIN_STARTUP_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Retry delay after a refusal under overload.
+const OVERLOAD_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Retry delay when no server is available: about the time until the list of servers is read again.
+const NO_SERVER_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// Retry delay when no server ran the request.
+const NOT_RUN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why a request has no answer of a server. 429 and 503 are a promise that it has not run and never will;
-/// 502 and 504 promise nothing.
+/// Why a request gets no response of a server. Status codes 429 and 503 promise that the request has not run and
+/// never will; 502 and 504 promise nothing.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub(super) enum Refusal {
     /// this gateway has no routes yet
     NoRoutes {
-        /// Time since its start.
+        /// Time since the gateway started.
         age: Duration,
     },
-    /// the request names no host
-    NoHost,
-    /// no route has this host and path
+    /// the request has no host
+    MissingHost,
+    /// no route matches this host and path
     UnknownRoute,
-    /// no key of a tenant is presented, or one that is not known
+    /// the tenant key is missing or unknown
     UnknownKey,
-    /// the request has no id
-    NoRequestId,
-    /// the body is larger than allowed
+    /// the request has no request ID
+    MissingRequestId,
+    /// the request body exceeds the size limit
     BodyTooLarge,
-    /// the body ended early
-    BodyCutOff,
+    /// the request body is incomplete
+    IncompleteBody,
     /// too many requests
-    TooMany,
-    /// the tenant's quota is used up
+    TooManyRequests,
+    /// the tenant's quota is exhausted
     OverQuota {
-        /// Until a token is there for this caller.
-        left: Duration,
+        /// Time until a token is available for this caller.
+        retry_in: Duration,
     },
-    /// no control replica says in time whether the tenant's quota bears the request
+    /// no control replica confirmed the tenant's quota in time
     NoTokens,
-    /// no server may take the request; it has not run
-    NoServers,
-    /// no server took the request; it has not run
+    /// no server is available for the request; it has not run
+    NoServerAvailable,
+    /// no server accepted the request; it has not run
     NotRun,
-    /// the servers failed; whether the request has run is not known
+    /// the servers failed; it is unknown whether the request has run
     Failed,
     /// too few shards answered
     TooFewShards,
-    /// servers ended when they ran the request; it is tried again later
+    /// servers crashed while running the request; it may be retried later
     CrashesServers {
-        /// Until it may be tried.
-        left: Duration,
+        /// Time until the request may be retried.
+        retry_in: Duration,
     },
-    /// the request has crashed servers and is not sent to any for a while; it has not run
+    /// the request is quarantined because it has crashed servers; it has not run
     Quarantined {
-        /// Until it may be tried.
-        left: Duration,
+        /// Time until the request may be retried.
+        retry_in: Duration,
     },
-    /// the time is over
-    OutOfTime,
+    /// deadline exceeded
+    DeadlineExceeded,
 }
 
 impl Refusal {
-    /// The refusal of a request that ends the servers that run it, whether or not one has run it this time.
+    /// The refusal of a request that crashes servers, depending on whether a server may have run it this time.
     pub(super) fn after_crashes(accepted: &Accepted, may_have_run: bool) -> Self {
         let now = accepted.gateway.clock.now();
-        let left = match accepted.outgoing.crash_watch.standing(now) {
+        let retry_in = match accepted.outgoing.crash_watch.standing(now) {
             Standing::Quarantined { left } => left,
             Standing::Clear | Standing::Suspect => Duration::ZERO,
         };
         if may_have_run {
-            Self::CrashesServers { left }
+            Self::CrashesServers { retry_in }
         } else {
-            Self::Quarantined { left }
+            Self::Quarantined { retry_in }
         }
     }
 
     pub(super) fn status(&self) -> StatusCode {
         match self {
-            Self::NoHost | Self::NoRequestId | Self::BodyCutOff => StatusCode::BAD_REQUEST,
+            Self::MissingHost | Self::MissingRequestId | Self::IncompleteBody => {
+                StatusCode::BAD_REQUEST
+            }
             Self::UnknownRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::OverQuota { .. } => StatusCode::TOO_MANY_REQUESTS,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::NoRoutes { .. }
-            | Self::TooMany
+            | Self::TooManyRequests
             | Self::NoTokens
-            | Self::NoServers
+            | Self::NoServerAvailable
             | Self::NotRun
             | Self::Quarantined { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Self::Failed | Self::TooFewShards | Self::CrashesServers { .. } => {
                 StatusCode::BAD_GATEWAY
             }
-            Self::OutOfTime => StatusCode::GATEWAY_TIMEOUT,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
     fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::NoRoutes { age } => Some(USUAL_START.saturating_sub(*age).max(LEAST_START_PAUSE)),
-            Self::TooMany | Self::NoTokens => Some(PRESSURE_PAUSE),
-            Self::OverQuota { left } => Some(*left),
-            Self::NoServers => Some(NO_SERVER_PAUSE),
-            Self::NotRun | Self::Failed | Self::TooFewShards => Some(NOT_RUN_PAUSE),
-            Self::CrashesServers { left } | Self::Quarantined { left } => {
-                Some((*left).max(NOT_RUN_PAUSE))
+            Self::NoRoutes { age } => Some(
+                TYPICAL_STARTUP
+                    .saturating_sub(*age)
+                    .max(MIN_STARTUP_RETRY_DELAY),
+            ),
+            Self::TooManyRequests | Self::NoTokens => Some(OVERLOAD_RETRY_DELAY),
+            Self::OverQuota { retry_in } => Some(*retry_in),
+            Self::NoServerAvailable => Some(NO_SERVER_RETRY_DELAY),
+            Self::NotRun | Self::Failed | Self::TooFewShards => Some(NOT_RUN_RETRY_DELAY),
+            Self::CrashesServers { retry_in } | Self::Quarantined { retry_in } => {
+                Some((*retry_in).max(NOT_RUN_RETRY_DELAY))
             }
             _ => None,
         }
     }
 
-    /// The least part of the pause after which a caller is told to come back. Pauses are spread, so that callers that
-    /// were refused together do not come back together; before its token is there, a caller would be refused again.
-    fn least_spread(&self) -> f64 {
+    /// The minimum jitter factor for the retry delay. Delays are jittered so that callers that were refused together
+    /// do not retry together. For an exhausted quota the factor is at least 1, since a caller that retries before its
+    /// token is available would be refused again.
+    fn min_jitter_factor(&self) -> f64 {
         match self {
             Self::OverQuota { .. } => 1.0,
             _ => 0.75,
@@ -140,12 +147,12 @@
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if *self == Self::UnknownKey {
-            // A 401 must say how to do better (RFC 9110, section 11.6.1).
+            // A 401 response must name an authentication scheme (RFC 9110, section 11.6.1).
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
         }
-        if let Some(pause) = self.retry_after() {
-            let spread = self.least_spread() + 0.5 * rand::random::<f64>();
-            let hundredths = (pause.as_secs_f64() * spread * 100.0).ceil();
+        if let Some(delay) = self.retry_after() {
+            let jitter_factor = self.min_jitter_factor() + 0.5 * rand::random::<f64>();
+            let hundredths = (delay.as_secs_f64() * jitter_factor * 100.0).ceil();
             let seconds = format!("{:.2}", hundredths / 100.0);
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 headers.insert(RETRY_AFTER, value);
--- a/crates/sablehaven-gateway/src/request/single.rs
+++ b/crates/sablehaven-gateway/src/request/single.rs
@@ -1,4 +1,4 @@
-//! A request that one server answers.
+//! Requests that are answered by one server.
 
 use hyper::{Response, StatusCode};
 use sablehaven_http::WholeBody;
@@ -14,8 +14,7 @@
     servers::{AttemptFailure, ServerReply},
 };
 
-/// Answers from one server of the service. A server's own answer, a failure too, is handed back as it
-/// came.
+/// Asks one server of the service. The server's response is forwarded unchanged, even if it reports a failure.
 pub(super) async fn answer(
     accepted: &Accepted,
     service: &ServiceName,
@@ -26,9 +25,11 @@
         Err(failure @ PartFailure::Quarantined) => {
             (Refusal::after_crashes(accepted, part.may_have_run), failure)
         }
-        Ok(reply) => return Ok((hand_back(reply), Outcome::Whole)),
-        Err(PartFailure::Attempt(AttemptFailure::Answered(reply))) if !is_promise(reply.status) => {
-            return Ok((hand_back(reply), Outcome::ServerFailed));
+        Ok(reply) => return Ok((forward_reply(reply), Outcome::Whole)),
+        Err(PartFailure::Attempt(AttemptFailure::Answered(reply)))
+            if !promises_not_run(reply.status) =>
+        {
+            return Ok((forward_reply(reply), Outcome::ServerFailed));
         }
         Err(failure) => (refusal(&part, failure), failure),
     };
@@ -44,19 +45,20 @@
     Err(refusal)
 }
 
-/// 503 promises that the request has not run and never will, so it needs that no server has it.
+/// Maps a failure to a refusal. Status code 503 promises that the request has not run and never will, so it is only
+/// used if no server may have run it.
 fn refusal(part: &PartResult, failure: &PartFailure) -> Refusal {
     match failure {
-        PartFailure::OutOfTime => Refusal::OutOfTime,
-        PartFailure::NoServer => Refusal::NoServers,
+        PartFailure::DeadlineExceeded => Refusal::DeadlineExceeded,
+        PartFailure::NoServerAvailable => Refusal::NoServerAvailable,
         _ if part.may_have_run => Refusal::Failed,
         _ => Refusal::NotRun,
     }
 }
 
-/// Statuses by which a gateway promises that a request has not run. A server that gives one without
-/// its word that it did not run the request promises nothing.
-fn is_promise(status: StatusCode) -> bool {
+/// Status codes by which a gateway promises that a request has not run. A server's response with such a code, but
+/// without the header that says that the request was not executed, promises nothing; so it is not forwarded.
+fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE
@@ -66,9 +68,9 @@
     )
 }
 
-fn hand_back(reply: &ServerReply) -> Response<WholeBody> {
+fn forward_reply(reply: &ServerReply) -> Response<WholeBody> {
     let mut response = Response::new(WholeBody::new(reply.body.clone()));
     *response.status_mut() = reply.status;
-    *response.headers_mut() = headers::handed_back(&reply.headers);
+    *response.headers_mut() = headers::response_headers_to_forward(&reply.headers);
     response
 }
--- a/crates/sablehaven-gateway/src/request/sub_request.rs
+++ b/crates/sablehaven-gateway/src/request/sub_request.rs
@@ -1,4 +1,4 @@
-//! One server's part of a request: first attempt, hedge and retry.
+//! One part of a request: its first attempt, hedges and retries at the servers of one service.
 
 use std::{
     cell::RefCell,
@@ -13,84 +13,84 @@
     Accepted,
     attempt_plan::AttemptPurpose,
     in_flight::{InFlight, next_ended},
-    query_attempts::{PartPlace, settle, verdict},
+    query_attempts::{PartHandle, decide_failed_parts, wait_for_decision},
 };
 use crate::{
     crashes::{Trial, Turn, WaitingPlace},
     servers::{Attempt, AttemptFailure, Server, ServerReply, ServicePool},
 };
 
-/// Attempts that may come to nothing before a server has run the request.
-const MAXIMUM_FALSE_STARTS: u32 = 4;
+/// Maximum number of attempts that ended unexecuted for another one to be sent.
+const MAX_UNEXECUTED_ATTEMPTS: u32 = 4;
 
 /// Why a part is missing.
 #[derive(Clone, Debug, displaydoc::Display)]
 pub(super) enum PartFailure {
-    /// no server that may answer takes work
-    NoServer,
+    /// no server is available
+    NoServerAvailable,
     /// {0}
     Attempt(AttemptFailure),
-    /// servers end when they run the request
+    /// servers crash when they run the request
     Quarantined,
-    /// the time is over
-    OutOfTime,
+    /// deadline exceeded
+    DeadlineExceeded,
 }
 
-/// What came of the attempts.
+/// Result of a part's attempts.
 pub(super) struct PartResult {
     pub(super) result: Result<ServerReply, PartFailure>,
-    /// Whether a server may have run the request.
+    /// Whether a server may have executed the request.
     pub(super) may_have_run: bool,
-    /// Extra attempts that were sent.
+    /// Number of extra attempts that were sent.
     pub(super) extra: u32,
-    /// Extra attempts that the budget did not bear.
+    /// Number of extra attempts that the budget did not cover.
     pub(super) unaffordable: u32,
 }
 
-/// Attempts for one service on behalf of one request.
+/// The attempts at one service on behalf of one request.
 pub(super) struct SubRequest<'a> {
     accepted: &'a Accepted,
     service: Rc<ServicePool>,
     in_flight: Vec<InFlight>,
     tried: Tried,
-    /// Servers that may have run it.
+    /// Number of attempts that may have been executed or still may be.
     dispatched: u32,
-    false_starts: u32,
+    unexecuted_attempts: u32,
     extra: u32,
     unaffordable: u32,
     may_have_run: bool,
-    /// What is sent when the request's other parts let it.
-    waiting: Option<Waiting>,
-    /// Where it is a part of a query over shards.
-    place: Option<PartPlace>,
-    /// How it failed, while its query decides whether it gets another attempt.
+    /// An attempt that waits until the crash watch allows it.
+    deferred: Option<DeferredAttempt>,
+    /// Set if this is a part of a query over shards.
+    handle: Option<PartHandle>,
+    /// The last failure, while the query decides whether this part gets another attempt.
     failed: Option<AttemptFailure>,
 }
 
-/// What pays for an extra attempt.
+/// How an extra attempt is charged to the retry budget.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Payment {
-    /// Nothing: no server was reached, so it is no extra load on any.
-    Free,
-    /// The budget has been charged already.
-    Paid,
-    /// The budget, as far as such attempts may use it.
+    /// Not charged: no server was reached, so the attempt adds no load.
+    Uncharged,
+    /// The budget was charged when the query decided.
+    AlreadyCharged,
+    /// Charged now, if the budget covers an attempt with this purpose.
     Budget(AttemptPurpose),
 }
 
-/// The servers that attempts went to, in order; shared with whoever explains what is still awaited.
+/// The servers that were tried, in order. Shared with the query, which logs them for shards without a result.
 pub(super) type Tried = Rc<RefCell<Vec<BackendId>>>;
 
-/// An attempt that a part has reason to send.
-enum Planned {
+/// An attempt that is to be sent.
+enum PlannedAttempt {
     First,
-    /// After this failure.
+    /// Follows this failure.
     Retry(AttemptFailure),
 }
 
-/// An attempt that the request's other parts do not let go yet.
-struct Waiting {
-    planned: Planned,
+/// An attempt that the crash watch does not allow yet.
+struct DeferredAttempt {
+    planned: PlannedAttempt,
     _place: WaitingPlace,
 }
 
@@ -98,7 +98,7 @@
     pub(super) fn new(
         accepted: &'a Accepted,
         service: Rc<ServicePool>,
-        place: Option<PartPlace>,
+        handle: Option<PartHandle>,
     ) -> Self {
         Self {
             accepted,
@@ -106,22 +106,22 @@
             in_flight: Vec::new(),
             tried: Tried::default(),
             dispatched: 0,
-            false_starts: 0,
+            unexecuted_attempts: 0,
             extra: 0,
             unaffordable: 0,
             may_have_run: false,
-            waiting: None,
-            place,
+            deferred: None,
+            handle,
             failed: None,
         }
     }
 
-    /// The servers that attempts go to.
+    /// The servers that are tried.
     pub(super) fn tried(&self) -> Tried {
         Rc::clone(&self.tried)
     }
 
-    /// Sends attempts until one has an answer or nothing more may be sent.
+    /// Sends attempts until one succeeds or no more may be sent.
     pub(super) async fn run(mut self) -> PartResult {
         let result = self.attempt_until_answered().await;
         PartResult {
@@ -134,36 +134,36 @@
 
     async fn attempt_until_answered(&mut self) -> Result<ServerReply, PartFailure> {
         self.service.need(self.accepted.gateway.clock.now());
-        self.send_in_turn(Planned::First)?;
+        self.send_when_allowed(PlannedAttempt::First)?;
         let deadline = self.accepted.outgoing.deadline;
         loop {
-            let look = self.next_look();
-            let look_at = look.unwrap_or(deadline).min(deadline);
+            let check_at = self.next_check_at();
+            let wake_at = check_at.unwrap_or(deadline).min(deadline);
             tokio::select! {
                 biased;
                 ended = next_ended(&mut self.in_flight) => {
                     match ended.result {
                         Ok(reply) => {
-                            self.accepted.outgoing.pace.record(ended.taken);
+                            self.accepted.outgoing.pace.record(ended.service_time);
                             return Ok(reply);
                         }
-                        Err(failure) => self.take_failure(failure, ended.trial)?,
+                        Err(failure) => self.handle_failure(failure, ended.trial)?,
                     }
                 }
-                may_send = verdict(self.place.as_ref()), if self.failed.is_some() => {
-                    self.take_verdict(may_send)?;
+                may_send = wait_for_decision(self.handle.as_ref()), if self.failed.is_some() => {
+                    self.apply_decision(may_send)?;
                 }
-                () = self.accepted.outgoing.crash_watch.changed(), if self.waiting.is_some() => {
-                    if let Some(Waiting { planned, .. }) = self.waiting.take() {
-                        self.send_in_turn(planned)?;
+                () = self.accepted.outgoing.crash_watch.changed(), if self.deferred.is_some() => {
+                    if let Some(DeferredAttempt { planned, .. }) = self.deferred.take() {
+                        self.send_when_allowed(planned)?;
                     }
                 }
-                () = sleep_until(look_at.into()) => {
+                () = sleep_until(wake_at.into()) => {
                     if Instant::now() >= deadline {
-                        return Err(PartFailure::OutOfTime);
+                        return Err(PartFailure::DeadlineExceeded);
                     }
-                    match self.waiting.take() {
-                        Some(Waiting { planned, .. }) => self.send_in_turn(planned)?,
+                    match self.deferred.take() {
+                        Some(DeferredAttempt { planned, .. }) => self.send_when_allowed(planned)?,
                         None => self.hedge_if_due(),
                     }
                 }
@@ -172,9 +172,9 @@
         }
     }
 
-    /// Sends an attempt now, or when the request's other parts let it: under a request that may take servers down there
-    /// is one attempt at a time, and none once it is known to.
-    fn send_in_turn(&mut self, planned: Planned) -> Result<(), PartFailure> {
+    /// Sends an attempt as soon as the crash watch allows it. A request that is suspected of crashing servers gets
+    /// one attempt at a time over all of its parts; a quarantined one gets none.
+    fn send_when_allowed(&mut self, planned: PlannedAttempt) -> Result<(), PartFailure> {
         let now = self.accepted.gateway.clock.now();
         let spare = || {
             let allowed = self.accepted.allowed_regions();
@@ -184,7 +184,7 @@
             Turn::Send => None,
             Turn::Trial(trial) => Some(trial),
             Turn::Wait(place) => {
-                self.waiting = Some(Waiting {
+                self.deferred = Some(DeferredAttempt {
                     planned,
                     _place: place,
                 });
@@ -193,36 +193,36 @@
             Turn::Never => return Err(PartFailure::Quarantined),
         };
         match planned {
-            Planned::First => {
-                let server = self.next_server().ok_or(PartFailure::NoServer)?;
+            PlannedAttempt::First => {
+                let server = self.next_server().ok_or(PartFailure::NoServerAvailable)?;
                 self.send(server, trial);
                 Ok(())
             }
-            Planned::Retry(failure) => self.retry(failure, trial),
+            PlannedAttempt::Retry(failure) => self.retry(failure, trial),
         }
     }
 
     fn retry(&mut self, failure: AttemptFailure, trial: Option<Trial>) -> Result<(), PartFailure> {
         let payment = match failure {
-            AttemptFailure::NotSent { .. } => Payment::Free,
-            _ => Payment::Budget(AttemptPurpose::Decides),
+            AttemptFailure::NotSent { .. } => Payment::Uncharged,
+            _ => Payment::Budget(AttemptPurpose::Required),
         };
         if self.send_extra(payment, trial) {
             return Ok(());
         }
-        self.give_up_unless_awaited(failure)
+        self.fail_unless_running(failure)
     }
 
-    fn give_up_unless_awaited(&self, failure: AttemptFailure) -> Result<(), PartFailure> {
+    fn fail_unless_running(&self, failure: AttemptFailure) -> Result<(), PartFailure> {
         if self.in_flight.is_empty() {
             return Err(PartFailure::Attempt(failure));
         }
         Ok(())
     }
 
-    /// The server for the next attempt; none once the caller's key does not hold any more.
+    /// Chooses the server for the next attempt; `None` if no server is left or the caller's key is no longer valid.
     fn next_server(&self) -> Option<Rc<Server>> {
-        if !self.accepted.caller_holds() {
+        if !self.accepted.is_caller_valid() {
             return None;
         }
         let now = self.accepted.gateway.clock.now();
@@ -241,8 +241,8 @@
         self.in_flight.push(InFlight::start(attempt, trial));
     }
 
-    /// Takes a failed attempt: waits for another one, sends the next, or gives up.
-    fn take_failure(
+    /// Handles a failed attempt: waits for a running one, sends the next, or gives up.
+    fn handle_failure(
         &mut self,
         failure: AttemptFailure,
         trial: Option<Trial>,
@@ -255,7 +255,7 @@
         match &failure {
             AttemptFailure::NotSent { .. } | AttemptFailure::NotExecuted { .. } => {
                 self.dispatched -= 1;
-                self.false_starts += 1;
+                self.unexecuted_attempts += 1;
             }
             AttemptFailure::Answered(_)
             | AttemptFailure::Lost { .. }
@@ -264,28 +264,29 @@
             }
         }
         let may_repeat = is_safe || !self.may_have_run;
-        let has_room = self.dispatched < self.accepted.planned.route().max_attempts
-            && self.false_starts <= MAXIMUM_FALSE_STARTS;
-        if may_repeat && has_room {
-            if self.is_for_query(&failure) {
-                return self.leave_to_query(failure);
+        let has_attempts_left = self.dispatched < self.accepted.planned.route().max_attempts
+            && self.unexecuted_attempts <= MAX_UNEXECUTED_ATTEMPTS;
+        if may_repeat && has_attempts_left {
+            if self.is_decided_by_query(&failure) {
+                return self.defer_to_query(failure);
             }
-            return self.send_in_turn(Planned::Retry(failure));
+            return self.send_when_allowed(PlannedAttempt::Retry(failure));
         }
-        self.give_up_unless_awaited(failure)
+        self.fail_unless_running(failure)
     }
 
-    /// Whether the query decides, for all of its parts together, if another attempt follows. A request that may take
-    /// servers down has its own order.
-    fn is_for_query(&self, failure: &AttemptFailure) -> bool {
+    /// Whether the query decides, for all of its parts together, if another attempt follows. A request that may crash
+    /// servers is ordered by the crash watch instead, and an attempt that reached no server is repeated without a
+    /// decision since it is free.
+    fn is_decided_by_query(&self, failure: &AttemptFailure) -> bool {
         let now = self.accepted.gateway.clock.now();
-        let is_free = matches!(failure, AttemptFailure::NotSent { .. });
+        let is_uncharged = matches!(failure, AttemptFailure::NotSent { .. });
         let is_undisturbed = self.accepted.outgoing.crash_watch.is_undisturbed(now);
-        self.place.is_some() && !is_free && is_undisturbed
+        self.handle.is_some() && !is_uncharged && is_undisturbed
     }
 
-    /// Waits for an attempt that is under way, or for the query's verdict.
-    fn leave_to_query(&mut self, failure: AttemptFailure) -> Result<(), PartFailure> {
+    /// Waits for a running attempt, or for the query's decision.
+    fn defer_to_query(&mut self, failure: AttemptFailure) -> Result<(), PartFailure> {
         if !self.in_flight.is_empty() {
             return Ok(());
         }
@@ -293,34 +294,35 @@
         if !self.service.has_other(allowed, &self.tried.borrow()) {
             return Err(PartFailure::Attempt(failure));
         }
-        if let Some(PartPlace { query, number }) = &self.place {
-            query.failed(*number, Rc::clone(&self.service));
-            settle(self.accepted, query);
+        if let Some(PartHandle { query, number }) = &self.handle {
+            query.record_failed(*number, Rc::clone(&self.service));
+            decide_failed_parts(self.accepted, query);
             self.failed = Some(failure);
         }
         Ok(())
     }
 
-    fn take_verdict(&mut self, may_send: bool) -> Result<(), PartFailure> {
+    fn apply_decision(&mut self, may_send: bool) -> Result<(), PartFailure> {
         let Some(failure) = self.failed.take() else {
             return Ok(());
         };
         let now = self.accepted.gateway.clock.now();
         if may_send && !self.accepted.outgoing.crash_watch.is_undisturbed(now) {
-            // Servers were lost since the query was asked: what may take more of them down goes one at a time.
-            return self.send_in_turn(Planned::Retry(failure));
+            // Servers were lost since the query asked for the decision. What may crash more of them is sent one at a
+            // time, so the crash watch decides when.
+            return self.send_when_allowed(PlannedAttempt::Retry(failure));
         }
         if !may_send {
             self.unaffordable += 1;
             self.accepted.gateway.metrics.unaffordable_attempts.inc();
         }
-        if may_send && self.send_extra(Payment::Paid, None) {
+        if may_send && self.send_extra(Payment::AlreadyCharged, None) {
             return Ok(());
         }
         Err(PartFailure::Attempt(failure))
     }
 
-    /// Sends one more attempt.
+    /// Sends another attempt if a server is available and the budget covers it. Returns whether it was sent.
     fn send_extra(&mut self, payment: Payment, trial: Option<Trial>) -> bool {
         let Some(server) = self.next_server() else {
             return false;
@@ -335,7 +337,7 @@
                 return false;
             }
         }
-        if payment != Payment::Free {
+        if payment != Payment::Uncharged {
             self.extra += 1;
             gateway.metrics.extra_attempts.inc();
         }
@@ -343,9 +345,9 @@
         true
     }
 
-    /// When a hedge may become due, or what waits may be sent; `None` when neither is known.
-    fn next_look(&self) -> Option<Instant> {
-        if self.waiting.is_some() {
+    /// When to check again whether a hedge is due or a deferred attempt may be sent; `None` if neither is known.
+    fn next_check_at(&self) -> Option<Instant> {
+        if self.deferred.is_some() {
             let now = self.accepted.gateway.clock.now();
             let held_until = self.accepted.outgoing.crash_watch.held_until(now)?;
             return Some(Instant::now() + held_until.saturating_sub(now));
@@ -357,21 +359,21 @@
         if !may_hedge {
             return None;
         }
-        let soonest = Instant::now() + Duration::from_millis(1);
-        Some(self.in_flight[0].hedge_due_at(self.accepted).max(soonest))
+        let earliest = Instant::now() + Duration::from_millis(1);
+        Some(self.in_flight[0].hedge_due_at(self.accepted).max(earliest))
     }
 
-    /// Hedges of a query's parts leave a reserve for its retries, unless the server of the attempt stands still: then
-    /// the hedge is the part's only hope, as a retry is.
+    /// Purpose of a hedge. Hedges of a query's parts leave a reserve for its retries. If the server of the running
+    /// attempt is stalled, however, the hedge is as necessary as a retry.
     fn hedge_purpose(&self) -> AttemptPurpose {
         let now = self.accepted.gateway.clock.now();
         let server = &self.in_flight[0].attempt.server;
-        let still_at = server.health.borrow().stands_still_at(now);
-        let stands_still = still_at.is_some_and(|at| at <= now);
-        if self.place.is_none() || stands_still {
-            return AttemptPurpose::Decides;
+        let stalled_at = server.health.borrow().stands_still_at(now);
+        let is_stalled = stalled_at.is_some_and(|at| at <= now);
+        if self.handle.is_none() || is_stalled {
+            return AttemptPurpose::Required;
         }
-        AttemptPurpose::Hastens
+        AttemptPurpose::Speculative
     }
 
     fn hedge_if_due(&mut self) {
@@ -380,7 +382,7 @@
         if !is_due {
             return;
         }
-        // Whoever comes next is sent elsewhere until the server answers something.
+        // Other requests avoid the server until it responds again.
         self.in_flight[0]
             .attempt
             .server
@@ -391,8 +393,8 @@
         let may_send = self.accepted.outgoing.crash_watch.is_clear(now);
         let payment = Payment::Budget(self.hedge_purpose());
         if !may_send || !self.send_extra(payment, None) {
-            // Nothing allows one now; the next look is a little later.
-            self.in_flight[0].timer.put_off(Instant::now());
+            // No hedge can be sent now; check again after a short delay.
+            self.in_flight[0].timer.postpone(Instant::now());
         }
     }
 }
--- a/crates/sablehaven-gateway/src/request/tests.rs
+++ b/crates/sablehaven-gateway/src/request/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the draw among the parts of a split.
+//! Tests of picking a service of a split route.
 
 use sablehaven_types::WeightedService;
 
-use super::draw;
+use super::pick_weighted;
 
 #[test]
-fn parts_are_drawn_by_weight_and_never_without_one() {
+fn services_are_picked_by_weight_and_never_with_weight_zero() {
     let part = |service: &str, weight| WeightedService {
         service: service.into(),
         weight,
@@ -13,8 +13,8 @@
     let parts = [part("a", 3.0), part("none", 0.0), part("b", 1.0)];
     let mut counts = std::collections::BTreeMap::new();
     for step in 0..1_000 {
-        let drawn = draw(&parts, f64::from(step) / 1_000.0);
-        *counts.entry(drawn.as_str().to_owned()).or_insert(0) += 1;
+        let picked = pick_weighted(&parts, f64::from(step) / 1_000.0);
+        *counts.entry(picked.as_str().to_owned()).or_insert(0) += 1;
     }
     assert_eq!(counts["a"], 750);
     assert_eq!(counts["b"], 250);
--- a/crates/sablehaven-gateway/src/request/token_wait.rs
+++ b/crates/sablehaven-gateway/src/request/token_wait.rs
@@ -1,48 +1,50 @@
-//! How long a request waits while no control replica has a part of the quotas, as a pure decision.
+//! Decides how long a request waits while no control replica can decide on its quota. The decision is a pure
+//! function.
 //!
-//! A first try is told at once when to come back: it may ask another gateway, which reaches a replica. A second try is
-//! its caller's last one, and replicas that were all stopped are back within about two seconds; so it waits for part of
-//! its caller's time, and has the rest for its servers.
+//! A first try is refused at once with the time after which to retry, since it may then reach a replica through
+//! another gateway. A resend is its caller's last try, and replicas that were all stopped are back within about two
+//! seconds. Therefore a resend waits for a fraction of its caller's time and leaves the rest for its servers.
 
 use std::time::Duration;
 
 use super::head::RESEND_WAIT_SHARE;
 use crate::resends::CallerTry;
 
-/// Time before replicas are asked again for the first time; doubled each time, so that many requests that wait do not
-/// press replicas that have just started.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time before replicas are asked again: a request loses no more of its time than this once one has a part.
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before replicas are asked again for the first time. It doubles each time, so that many waiting requests do
+/// not overload replicas that have just started.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay before replicas are asked again: once a replica can decide, a request loses no more time than this.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The wait of one request.
+/// Backoff of one request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TokenWait {
     limit: Duration,
-    pause: Duration,
+    delay: Duration,
 }
 
 impl TokenWait {
-    /// The wait of a request whose caller has `left`, where it says so.
-    pub(super) fn new(caller_try: CallerTry, left: Option<Duration>) -> Self {
-        let limit = match (caller_try, left) {
-            (CallerTry::Resend, Some(left)) => left.mul_f64(RESEND_WAIT_SHARE),
+    /// The backoff of a request whose caller has `time_left`, if the caller says so.
+    pub(super) fn new(caller_try: CallerTry, time_left: Option<Duration>) -> Self {
+        let limit = match (caller_try, time_left) {
+            (CallerTry::Resend, Some(time_left)) => time_left.mul_f64(RESEND_WAIT_SHARE),
             _ => Duration::ZERO,
         };
         Self {
             limit,
-            pause: FIRST_PAUSE,
+            delay: INITIAL_RETRY_DELAY,
         }
     }
 
-    /// How long to pause before replicas are asked again, `waited` after they first were; `None` where that is too late.
-    pub(super) fn next_pause(&mut self, waited: Duration) -> Option<Duration> {
-        let pause = self.pause;
-        if waited + pause > self.limit {
+    /// The delay before replicas are asked again, given the time `waited` since they were first asked; `None` if the
+    /// delay would exceed the limit.
+    pub(super) fn next_delay(&mut self, waited: Duration) -> Option<Duration> {
+        let delay = self.delay;
+        if waited + delay > self.limit {
             return None;
         }
-        self.pause = (2 * pause).min(LONGEST_PAUSE);
-        Some(pause)
+        self.delay = (2 * delay).min(MAX_RETRY_DELAY);
+        Some(delay)
     }
 }
 
--- a/crates/sablehaven-gateway/src/request/tokens.rs
+++ b/crates/sablehaven-gateway/src/request/tokens.rs
@@ -1,4 +1,4 @@
-//! A token of the tenant's quota for each request, before any server hears of it.
+//! Takes a token of the tenant's quota for each request before the request is sent to any server.
 
 use std::{
     net::SocketAddr,
@@ -17,11 +17,11 @@
     resends::CallerTry,
 };
 
-/// Part of the aim for which a request waits for a token: servers need the rest.
-const WAIT_PART_OF_AIM: f64 = 0.5;
-/// Part of the aim for which a replica may keep a request waiting for tokens that may not come: a caller that is refused
-/// then has lost little.
-const PATIENCE_PART_OF_AIM: f64 = 0.125;
+/// Fraction of the latency target for which a request waits for a token; servers need the rest.
+const MAX_WAIT_FRACTION: f64 = 0.5;
+/// Fraction of the latency target for which a replica may hold a token request while no tokens are available. It is
+/// small so that a caller that is refused in the end has lost little time.
+const PATIENCE_FRACTION: f64 = 0.125;
 
 impl TokenRequester for ControlLinks {
     fn connected(&self) -> Vec<(SocketAddr, Distance)> {
@@ -33,68 +33,68 @@
     }
 }
 
-/// A request that needs a token of its tenant's quota.
+/// The token that a request needs.
 pub(super) struct TokenNeed<'a> {
     pub(super) tenant: &'a Tenant,
     pub(super) route: &'a Route,
     pub(super) request_id: &'a HeaderValue,
-    /// Share of such requests that this gateway refuses lately for want of room, 0 to 1.
+    /// Share of the requests of this class (0 to 1) that this gateway currently sheds because servers are overloaded.
     pub(super) shed_share: f64,
     pub(super) caller_try: CallerTry,
-    /// How long replicas are asked again while none has a part of the quotas.
+    /// Backoff while no replica can decide.
     pub(super) wait: TokenWait,
 }
 
 /// Takes a token for a request.
 ///
 /// # Errors
-/// [`Refusal::OverQuota`] where the tenant's quota is used up, [`Refusal::TooMany`] where there is too little room and it
-/// has had its fair share, [`Refusal::NoTokens`] where no control replica says so in time.
+/// [`Refusal::OverQuota`] if the tenant's quota is exhausted, [`Refusal::TooManyRequests`] if servers are overloaded
+/// and the tenant has had its fair share, [`Refusal::NoTokens`] if no control replica decides in time.
 pub(super) async fn take_token(gateway: &Gateway, need: TokenNeed<'_>) -> Result<(), Refusal> {
     let TokenNeed {
         tenant, shed_share, ..
     } = need;
     let shed_permille = (shed_share * 1_000.0).round() as u16;
-    let is_pressed = shed_permille > 0;
-    if tenant.quota.is_none() && !is_pressed {
+    let is_overloaded = shed_permille > 0;
+    if tenant.quota.is_none() && !is_overloaded {
         return Ok(());
     }
-    // Who passes under pressure is decided for each request, by what the tenant has had.
-    if !is_pressed && gateway.tokens.spend(&tenant.name) {
+    // Under overload a replica decides on each request, since it knows how much the tenant has used.
+    if !is_overloaded && gateway.tokens.spend(&tenant.name) {
         gateway.metrics.tokens_spent("stock");
         return Ok(());
     }
     let started = Instant::now();
-    let aim = Duration::from_millis(need.route.aim_ms);
+    let latency_target = Duration::from_millis(need.route.aim_ms);
     let ask = || {
         let ask = TokenAsk {
             tenant: &tenant.name,
             shed_permille,
-            patience: aim.mul_f64(PATIENCE_PART_OF_AIM),
+            patience: latency_target.mul_f64(PATIENCE_FRACTION),
             is_resend: need.caller_try == CallerTry::Resend,
-            limit: aim.mul_f64(WAIT_PART_OF_AIM),
+            limit: latency_target.mul_f64(MAX_WAIT_FRACTION),
         };
         gateway.tokens.ask(&gateway.control_links, ask)
     };
     let outcome = if tenant.quota.is_some() {
-        ask_again(need.wait, ask).await
+        ask_until_decided(need.wait, ask).await
     } else {
         ask().await
     };
     let seconds = started.elapsed().as_secs_f64();
     gateway.metrics.token_wait_seconds.observe(seconds);
-    let decided = decide(outcome, tenant, shed_share, rand::random());
-    match &decided {
+    let result = decide(outcome, tenant, shed_share, rand::random());
+    match &result {
         Ok(()) => gateway.metrics.tokens_spent("asked"),
-        Err(refusal) => note_refusal(gateway, &need, refusal),
+        Err(refusal) => report_refusal(gateway, &need, refusal),
     }
-    decided
+    result
 }
 
-/// Asks until some replica decides or the wait is over.
-async fn ask_again<Asked: Future<Output = TokenOutcome>>(
+/// Asks replicas until one decides or the backoff ends.
+async fn ask_until_decided<AskFuture: Future<Output = TokenOutcome>>(
     mut wait: TokenWait,
-    ask: impl Fn() -> Asked,
+    ask: impl Fn() -> AskFuture,
 ) -> TokenOutcome {
     let started = Instant::now();
     loop {
@@ -102,15 +102,15 @@
         if outcome != TokenOutcome::Undecided {
             return outcome;
         }
-        let Some(pause) = wait.next_pause(started.elapsed()) else {
+        let Some(delay) = wait.next_delay(started.elapsed()) else {
             return outcome;
         };
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
 
-/// What becomes of a request by what replicas said. Where none did, the gateway refuses by lot as it does without
-/// tenants, and whatever needs a token of a quota. `draw` is uniform, 0 to 1.
+/// Decides on a request by the replicas' response. If no replica decided, the gateway refuses requests that need a
+/// quota token, and sheds a random share of the requests as it does without tenants. `draw` is uniform, 0 to 1.
 fn decide(
     outcome: TokenOutcome,
     tenant: &Tenant,
@@ -119,16 +119,16 @@
 ) -> Result<(), Refusal> {
     match outcome {
         TokenOutcome::Granted => Ok(()),
-        TokenOutcome::OverQuota(left) => Err(Refusal::OverQuota { left }),
-        TokenOutcome::OverFairShare => Err(Refusal::TooMany),
-        TokenOutcome::Undecided if draw < shed_share => Err(Refusal::TooMany),
+        TokenOutcome::OverQuota(retry_in) => Err(Refusal::OverQuota { retry_in }),
+        TokenOutcome::OverFairShare => Err(Refusal::TooManyRequests),
+        TokenOutcome::Undecided if draw < shed_share => Err(Refusal::TooManyRequests),
         TokenOutcome::Undecided if tenant.quota.is_some() => Err(Refusal::NoTokens),
         TokenOutcome::Undecided => Ok(()),
     }
 }
 
 /// Counts and logs a refusal.
-fn note_refusal(gateway: &Gateway, need: &TokenNeed<'_>, refusal: &Refusal) {
+fn report_refusal(gateway: &Gateway, need: &TokenNeed<'_>, refusal: &Refusal) {
     let reason = match refusal {
         Refusal::OverQuota { .. } => "over_quota",
         Refusal::NoTokens => "no_tokens",
--- a/crates/sablehaven-gateway/src/request/tokens/tests.rs
+++ b/crates/sablehaven-gateway/src/request/tokens/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of taking a token of a quota.
+
 use std::{cell::Cell, future::ready};
 
 use sablehaven_types::{AllowedRegions, RequestQuota};
@@ -23,18 +25,18 @@
 }
 
 #[test]
-fn what_a_replica_says_decides_whatever_the_lot() {
-    let left = Duration::from_secs(2);
+fn a_replicas_decision_overrides_random_shedding() {
+    let retry_in = Duration::from_secs(2);
     let tenant = limited();
     assert_eq!(decide(TokenOutcome::Granted, &tenant, 1.0, 0.0), Ok(()));
-    let refused = decide(TokenOutcome::OverQuota(left), &tenant, 0.0, 0.9);
-    assert_eq!(refused, Err(Refusal::OverQuota { left }));
+    let refused = decide(TokenOutcome::OverQuota(retry_in), &tenant, 0.0, 0.9);
+    assert_eq!(refused, Err(Refusal::OverQuota { retry_in }));
     let refused = decide(TokenOutcome::OverFairShare, &tenant, 0.1, 0.9);
-    assert_eq!(refused, Err(Refusal::TooMany));
+    assert_eq!(refused, Err(Refusal::TooManyRequests));
 }
 
 #[test]
-fn without_a_word_a_quota_is_kept_and_pressure_goes_by_lot() {
+fn without_a_decision_quotas_hold_and_shedding_is_random() {
     let refused = decide(TokenOutcome::Undecided, &limited(), 0.0, 0.5);
     assert_eq!(refused, Err(Refusal::NoTokens));
     let unlimited = tenant(None);
@@ -43,35 +45,35 @@
         Ok(())
     );
     let refused = decide(TokenOutcome::Undecided, &unlimited, 0.7, 0.5);
-    assert_eq!(refused, Err(Refusal::TooMany));
+    assert_eq!(refused, Err(Refusal::TooManyRequests));
 }
 
-/// Asks replicas that have no part the first `without` times.
-async fn asked_times(caller_try: CallerTry, without: u32) -> (TokenOutcome, u32) {
+/// Asks replicas that cannot decide the first `undecided` times. Returns the outcome and how often they were asked.
+async fn ask_undecided_replicas(caller_try: CallerTry, undecided: u32) -> (TokenOutcome, u32) {
     let asked = Cell::new(0);
     let wait = TokenWait::new(caller_try, Some(Duration::from_secs(1)));
-    let waited = ask_again(wait, || {
+    let outcome = ask_until_decided(wait, || {
         asked.set(asked.get() + 1);
-        ready(if asked.get() > without {
+        ready(if asked.get() > undecided {
             TokenOutcome::Granted
         } else {
             TokenOutcome::Undecided
         })
     });
-    (waited.await, asked.get())
+    (outcome.await, asked.get())
 }
 
 #[tokio::test]
-async fn a_second_try_asks_until_a_replica_has_a_part_again() {
-    let waited = asked_times(CallerTry::Resend, 2).await;
-    assert_eq!(waited, (TokenOutcome::Granted, 3));
+async fn a_resend_asks_until_a_replica_decides() {
+    let outcome = ask_undecided_replicas(CallerTry::Resend, 2).await;
+    assert_eq!(outcome, (TokenOutcome::Granted, 3));
 }
 
 #[tokio::test]
-async fn a_first_try_asks_once_and_a_second_one_not_for_ever() {
-    let waited = asked_times(CallerTry::First, 1).await;
-    assert_eq!(waited, (TokenOutcome::Undecided, 1));
-    let (waited, asked) = asked_times(CallerTry::Resend, 1_000).await;
-    assert_eq!(waited, TokenOutcome::Undecided);
+async fn a_first_try_asks_once_and_a_resend_stops_eventually() {
+    let outcome = ask_undecided_replicas(CallerTry::First, 1).await;
+    assert_eq!(outcome, (TokenOutcome::Undecided, 1));
+    let (outcome, asked) = ask_undecided_replicas(CallerTry::Resend, 1_000).await;
+    assert_eq!(outcome, TokenOutcome::Undecided);
     assert!((2..=4).contains(&asked), "{asked}");
 }
--- a/crates/sablehaven-gateway/src/request/wait.rs
+++ b/crates/sablehaven-gateway/src/request/wait.rs
@@ -1,58 +1,60 @@
-//! When a query over shards is answered, as a pure decision.
+//! Decides when a query over shards is answered. The decision is a pure function.
 //!
-//! An answer after its aim is worth little, one with a share of its shards the square of the share:
-//! so shortly before the aim what is in is answered, if it is enough to be an answer at all.
+//! A response after the latency target is worth little, and one with a fraction of its shards is worth the square of
+//! that fraction. Therefore the replies that have arrived shortly before the latency target are returned, if they
+//! reach the minimum number of shards.
 
 use std::time::Duration;
 
-/// How far a query is. Times count from its arrival.
+/// Progress of a query. Times are relative to its arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Progress {
     pub(super) shards: usize,
-    /// The least number of shards that makes an answer.
-    pub(super) least: usize,
+    /// Minimum number of shards for a response.
+    pub(super) min_shards: usize,
     pub(super) arrived: usize,
-    /// Shards that will not come.
+    /// Shards that were given up.
     pub(super) failed: usize,
     pub(super) elapsed: Duration,
-    /// When an answer must leave to be in time.
+    /// When a response must be sent to meet the latency target.
     pub(super) due: Duration,
     /// When the request is given up.
     pub(super) limit: Duration,
 }
 
-/// What to do.
+/// What the query does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Next {
-    /// Answer with what is in.
+pub(super) enum NextStep {
+    /// Respond with the replies that have arrived.
     Answer,
-    /// Too many shards will not come.
+    /// Refuse the query, since too many shards were given up.
     Fail,
-    /// The time is over with too few shards.
-    OutOfTime,
-    /// Wait for the next shard, but not longer than this.
+    /// Refuse the query, since the limit has passed with too few shards.
+    DeadlineExceeded,
+    /// Wait for the next shard, but no longer than this.
     WaitUntil(Duration),
 }
 
-pub(super) fn next(progress: &Progress) -> Next {
-    let is_enough = progress.arrived >= progress.least;
+/// Decides what a query does next.
+pub(super) fn next_step(progress: &Progress) -> NextStep {
+    let is_enough = progress.arrived >= progress.min_shards;
     let is_settled = progress.arrived + progress.failed >= progress.shards;
     if is_settled && is_enough {
-        return Next::Answer;
+        return NextStep::Answer;
     }
-    if progress.shards - progress.failed < progress.least {
-        return Next::Fail;
+    if progress.shards - progress.failed < progress.min_shards {
+        return NextStep::Fail;
     }
     if is_enough && progress.elapsed >= progress.due.min(progress.limit) {
-        return Next::Answer;
+        return NextStep::Answer;
     }
     if progress.elapsed >= progress.limit {
-        return Next::OutOfTime;
+        return NextStep::DeadlineExceeded;
     }
     if is_enough {
-        return Next::WaitUntil(progress.due.min(progress.limit));
+        return NextStep::WaitUntil(progress.due.min(progress.limit));
     }
-    Next::WaitUntil(progress.limit)
+    NextStep::WaitUntil(progress.limit)
 }
 
 #[cfg(test)]
--- a/crates/sablehaven-gateway/src/throttle/tests.rs
+++ b/crates/sablehaven-gateway/src/throttle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is refused while requests come to nothing.
+//! Tests of the share of refused requests.
 
 use std::time::Duration;
 
@@ -14,13 +14,14 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Asks every 50 ms for a while; one in `useful_of` that pass is useful. Answers the share refused.
-fn refused(
+/// Sends 200 requests, one every 50 ms. One in `requests_per_useful` has a useful response. Returns the share that
+/// was refused.
+fn refused_share(
     throttle: &mut RequestThrottle,
     from: u64,
     kind: KindOfRequest,
     service: &str,
-    useful_of: u64,
+    requests_per_useful: u64,
 ) -> f64 {
     let service = ServiceName::from(service);
     let class = ThrottleClass {
@@ -34,7 +35,7 @@
         let now = ms(from + request * 50);
         let draw = (request * 37 % 100) as f64 / 100.0;
         if throttle.may_pass(now, class, draw) {
-            throttle.answered(now, class, request % useful_of == 0);
+            throttle.record(now, class, request % requests_per_useful == 0);
         } else {
             refused += 1;
         }
@@ -43,21 +44,21 @@
 }
 
 #[test]
-fn nothing_is_refused_while_most_are_useful() {
+fn nothing_is_refused_while_most_responses_are_useful() {
     let mut throttle = RequestThrottle::new(0.7);
-    assert_eq!(refused(&mut throttle, 0, URGENT, "s", 1), 0.0);
-    assert_eq!(refused(&mut throttle, 10_000, URGENT, "s", 2), 0.0);
+    assert_eq!(refused_share(&mut throttle, 0, URGENT, "s", 1), 0.0);
+    assert_eq!(refused_share(&mut throttle, 10_000, URGENT, "s", 2), 0.0);
 }
 
 #[test]
-fn much_is_refused_while_few_are_useful_but_never_all() {
+fn many_but_not_all_requests_are_refused_while_few_responses_are_useful() {
     let mut throttle = RequestThrottle::new(0.7);
-    let share = refused(&mut throttle, 0, URGENT, "s", 1_000);
+    let share = refused_share(&mut throttle, 0, URGENT, "s", 1_000);
     assert!((0.5..0.75).contains(&share), "{share}");
 }
 
 #[test]
-fn a_few_that_come_to_nothing_are_no_reason() {
+fn a_few_useless_responses_refuse_nothing() {
     let mut throttle = RequestThrottle::new(0.7);
     let service = ServiceName::from("s");
     let class = ThrottleClass {
@@ -67,30 +68,30 @@
     };
     for request in 0..3 {
         assert!(throttle.may_pass(ms(request), class, 0.0), "{request}");
-        throttle.answered(ms(request), class, false);
+        throttle.record(ms(request), class, false);
     }
 }
 
 #[test]
-fn what_needs_the_same_servers_and_is_less_urgent_is_refused_as_often() {
+fn less_urgent_requests_for_the_same_servers_are_refused_as_often() {
     let mut throttle = RequestThrottle::new(0.7);
-    refused(&mut throttle, 0, URGENT, "s", 1_000);
-    let same = refused(&mut throttle.clone(), 10_000, OTHER, "s", 1);
-    let elsewhere = refused(&mut throttle, 10_000, OTHER, "t", 1);
+    refused_share(&mut throttle, 0, URGENT, "s", 1_000);
+    let same = refused_share(&mut throttle.clone(), 10_000, OTHER, "s", 1);
+    let elsewhere = refused_share(&mut throttle, 10_000, OTHER, "t", 1);
     assert!(same > 0.05, "{same}");
     assert_eq!(elsewhere, 0.0);
 }
 
 #[test]
-fn when_the_servers_are_well_again_everything_passes_soon() {
+fn all_requests_pass_soon_after_the_servers_recover() {
     let mut throttle = RequestThrottle::new(0.7);
-    refused(&mut throttle, 0, URGENT, "s", 1_000);
-    refused(&mut throttle, 10_000, URGENT, "s", 1);
-    assert_eq!(refused(&mut throttle, 20_000, URGENT, "s", 1), 0.0);
+    refused_share(&mut throttle, 0, URGENT, "s", 1_000);
+    refused_share(&mut throttle, 10_000, URGENT, "s", 1);
+    assert_eq!(refused_share(&mut throttle, 20_000, URGENT, "s", 1), 0.0);
 }
 
 #[test]
-fn kinds_of_former_routes_are_forgotten() {
+fn classes_of_removed_routes_are_dropped() {
     let mut throttle = RequestThrottle::new(0.7);
     let service = ServiceName::from("s");
     for kind in 0..10_000 {
@@ -99,33 +100,35 @@
             urgency: Urgency::new(None, 1),
             service: &service,
         };
-        throttle.answered(ms(kind as u64 * 1_000), class, true);
+        throttle.record(ms(kind as u64 * 1_000), class, true);
     }
     assert!(throttle.counts.len() <= 66, "{}", throttle.counts.len());
 }
 
 #[test]
-fn of_one_kind_the_requests_of_less_urgent_tenants_are_refused_first() {
+fn less_urgent_tenants_of_one_kind_are_refused_first() {
     let mut throttle = RequestThrottle::new(0.7);
     let service = ServiceName::from("s");
-    let class = |rank| ThrottleClass {
+    let class = |priority| ThrottleClass {
         kind: URGENT,
-        urgency: Urgency::new(Some(rank), 1),
+        urgency: Urgency::new(Some(priority), 1),
         service: &service,
     };
-    // Both ask in turn, so that neither's rank may stand for the other's; only the less urgent one's come to nothing.
+    // Requests of both tenants alternate, so that the priority of one can't stand for the other's. Only those of the
+    // less urgent tenant fail or are late.
     for request in 0..200 {
-        throttle.answered(ms(request * 50), class(0), true);
-        throttle.answered(ms(request * 50), class(3), false);
+        throttle.record(ms(request * 50), class(0), true);
+        throttle.record(ms(request * 50), class(3), false);
     }
     let now = ms(10_000);
     assert!(throttle.may_pass(now, class(0), 0.0));
     assert!(!throttle.may_pass(now, class(3), 0.5));
-    // When those of the more urgent one come to nothing, the less urgent are refused as often.
+    // When the requests of the more urgent tenant fail or are late, those of the less urgent one are refused as
+    // often.
     let mut throttle = RequestThrottle::new(0.7);
     for request in 0..200 {
-        throttle.answered(ms(request * 50), class(0), false);
-        throttle.answered(ms(request * 50), class(3), true);
+        throttle.record(ms(request * 50), class(0), false);
+        throttle.record(ms(request * 50), class(3), true);
     }
     assert!(!throttle.may_pass(now, class(0), 0.5));
     assert!(!throttle.may_pass(now, class(3), 0.5));
