--- a/crates/sablehaven-gateway/src/admission.rs
+++ b/crates/sablehaven-gateway/src/admission.rs
@@ -12,7 +12,7 @@
 /// Fraction of the limit that requests of the most urgent level may use. Each further level may use
 /// [`FRACTION_PER_LEVEL`] less.
 const TOP_LEVEL_FRACTION: f64 = 1.0;
-/// Fraction of the limit that each level leaves to the level before it.
+/// Fraction of the limit that each level leaves to more urgent ones.
 const FRACTION_PER_LEVEL: f64 = 0.15;
 /// Minimum fraction of the limit for any level.
 const MIN_FRACTION: f64 = 0.4;
--- a/crates/sablehaven-gateway/src/pace.rs
+++ b/crates/sablehaven-gateway/src/pace.rs
@@ -18,8 +18,8 @@
 /// Allowance for scheduling delays.
 const SCHEDULING_ALLOWANCE: Duration = Duration::from_millis(4);
 
-/// The service-time estimate of one query. It is shared by the parts of the query.
-pub(crate) struct Pace {
+/// An estimate of the service time of one query. It is shared by the parts of the query.
+pub(crate) struct ServiceTimeEstimate {
     parts: usize,
     /// Service times in ascending order, excluding the network round trip.
     service_times: RefCell<Vec<Duration>>,
@@ -27,7 +27,7 @@
     known: Notify,
 }
 
-impl Pace {
+impl ServiceTimeEstimate {
     pub(crate) fn new(parts: usize) -> Self {
         Self {
             parts,
--- a/crates/sablehaven-gateway/src/pace/tests.rs
+++ b/crates/sablehaven-gateway/src/pace/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Pace;
+use super::ServiceTimeEstimate;
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -10,27 +10,27 @@
 
 #[test]
 fn the_estimate_is_available_once_two_fifths_of_the_parts_have_arrived() {
-    let pace = Pace::new(10);
+    let estimate = ServiceTimeEstimate::new(10);
     for service_time in [20, 22, 18] {
-        pace.record(ms(service_time));
-        assert_eq!(pace.late_after(), None);
+        estimate.record(ms(service_time));
+        assert_eq!(estimate.late_after(), None);
     }
-    pace.record(ms(21));
-    assert_eq!(pace.late_after(), Some(ms(21).mul_f64(1.6) + ms(4)));
+    estimate.record(ms(21));
+    assert_eq!(estimate.late_after(), Some(ms(21).mul_f64(1.6) + ms(4)));
 }
 
 #[test]
 fn a_single_part_gives_no_estimate() {
-    let pace = Pace::new(2);
-    pace.record(ms(20));
-    assert_eq!(pace.late_after(), None);
+    let estimate = ServiceTimeEstimate::new(2);
+    estimate.record(ms(20));
+    assert_eq!(estimate.late_after(), None);
 }
 
 #[test]
 fn a_slow_part_barely_changes_the_estimate() {
-    let pace = Pace::new(5);
+    let estimate = ServiceTimeEstimate::new(5);
     for service_time in [10, 10, 10, 200] {
-        pace.record(ms(service_time));
+        estimate.record(ms(service_time));
     }
-    assert_eq!(pace.late_after(), Some(ms(20)));
+    assert_eq!(estimate.late_after(), Some(ms(20)));
 }
--- a/crates/sablehaven-gateway/src/request/admit.rs
+++ b/crates/sablehaven-gateway/src/request/admit.rs
@@ -55,6 +55,7 @@
     Ok(admitted)
 }
 
+/// Reserves a slot for a request, or logs and records why it is refused.
 fn admit_or_refuse(
     gateway: &Gateway,
     received: &ReceivedRequest,
--- a/crates/sablehaven-gateway/src/request/attempt_plan/replay.rs
+++ b/crates/sablehaven-gateway/src/request/attempt_plan/replay.rs
@@ -1,6 +1,6 @@
-//! Simulates the overload that the attempt plan is made for, without a network: 36 shards with 3 servers each. For
-//! four seconds, traffic is 1.7 times the usual and half of the servers lose four responses in ten. Before and
-//! shortly into that period, some responses are slow.
+//! Replays the overload that the attempt plan is made for in a simulation without a network: 36 shards with 3 servers
+//! each. For four seconds, traffic is 1.7 times the usual and half of the servers lose four responses in ten. Before
+//! that, and for its first second, some responses are slow.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
--- a/crates/sablehaven-gateway/src/request/mod.rs
+++ b/crates/sablehaven-gateway/src/request/mod.rs
@@ -43,7 +43,7 @@
     crashes::{CrashWatch, fingerprint},
     gateway::Gateway,
     metrics::Outcome,
-    pace::Pace,
+    pace::ServiceTimeEstimate,
     resends::CallerTry,
     route_table::PlannedRoute,
     servers::OutgoingRequest,
@@ -161,7 +161,7 @@
         body: received.body,
         deadline,
         profile: Rc::clone(&planned.profile),
-        pace: Pace::new(part_count(&planned.route().target)),
+        pace: ServiceTimeEstimate::new(part_count(&planned.route().target)),
         crash_watch: received.crash_watch,
     });
     Ok(Accepted {
--- a/crates/sablehaven-gateway/src/request/sub_request.rs
+++ b/crates/sablehaven-gateway/src/request/sub_request.rs
@@ -20,7 +20,7 @@
     servers::{Attempt, AttemptFailure, Server, ServerReply, ServicePool},
 };
 
-/// Maximum number of attempts that ended unexecuted for another one to be sent.
+/// A failed attempt is repeated only while at most this many attempts have ended without being executed by a server.
 const MAX_UNEXECUTED_ATTEMPTS: u32 = 4;
 
 /// Why a part is missing.
@@ -53,7 +53,7 @@
     service: Rc<ServicePool>,
     in_flight: Vec<InFlight>,
     tried: Tried,
-    /// Number of attempts that may have been executed or still may be.
+    /// Number of attempts sent, less those that were not executed.
     dispatched: u32,
     unexecuted_attempts: u32,
     extra: u32,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The servers that are tried.
+    /// The list of tried servers, which grows with each attempt.
     pub(super) fn tried(&self) -> Tried {
         Rc::clone(&self.tried)
     }
@@ -275,9 +275,9 @@
         self.fail_unless_running(failure)
     }
 
-    /// Whether the query decides, for all of its parts together, if another attempt follows. A request that may crash
-    /// servers is ordered by the crash watch instead, and an attempt that reached no server is repeated without a
-    /// decision since it is free.
+    /// Whether the query decides, for all of its parts together, if another attempt follows. This excludes requests
+    /// that may crash servers, which are left to the crash watch, and attempts that reached no server, since they are
+    /// repeated free of charge.
     fn is_decided_by_query(&self, failure: &AttemptFailure) -> bool {
         let now = self.accepted.gateway.clock.now();
         let is_uncharged = matches!(failure, AttemptFailure::NotSent { .. });
--- a/crates/sablehaven-gateway/src/servers/attempt.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt.rs
@@ -27,7 +27,8 @@
     health::{Ending, Taken},
 };
 use crate::{
-    caller::Caller, crashes::CrashWatch, gateway::Gateway, pace::Pace, route_table::RouteProfile,
+    caller::Caller, crashes::CrashWatch, gateway::Gateway, pace::ServiceTimeEstimate,
+    route_table::RouteProfile,
 };
 
 /// The least time that opening a connection may take.
@@ -49,7 +50,7 @@
     /// When the caller or the route gives up.
     pub(crate) deadline: Instant,
     pub(crate) profile: Rc<RouteProfile>,
-    pub(crate) pace: Pace,
+    pub(crate) pace: ServiceTimeEstimate,
     pub(crate) crash_watch: Rc<CrashWatch>,
 }
 
--- a/crates/sablehaven-gateway/src/throttle/tests.rs
+++ b/crates/sablehaven-gateway/src/throttle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the share of refused requests.
+//! Tests of adaptive throttling.
 
 use std::time::Duration;
 
