--- a/crates/sablehaven-gateway/src/answer_margin.rs
+++ b/crates/sablehaven-gateway/src/answer_margin.rs
@@ -1,4 +1,5 @@
-//! Computes how long before its latency target a response must be sent. The module is pure.
+//! Computes how long before its latency target a response must be sent. The computation is a pure function of the
+//! observed delays.
 //!
 //! The margin is made for queries over dozens of shards with a latency target of a few network hops, on a machine
 //! that has only a fraction of a core. There, a timer that fires while the processor runs something else, merging and
@@ -70,8 +71,8 @@
         self.samples.push_back(Sample { at: now, overrun });
     }
 
-    /// How long before `latency_target` a response must be sent. The target counts from the request's arrival, and
-    /// `spent` of it had already passed by then.
+    /// How long before the end of `latency_target`, counted from a request's arrival, its response must be sent.
+    /// `spent` is the time that the request had already used up at its caller and on its way before it arrived.
     pub(crate) fn margin(
         &self,
         now: Duration,
--- a/crates/sablehaven-gateway/src/caller.rs
+++ b/crates/sablehaven-gateway/src/caller.rs
@@ -11,7 +11,7 @@
     tenant_table::{KnownTenant, TenantTable},
 };
 
-/// The caller of a request, as the configuration identified it that was in force when it was looked up.
+/// The caller of a request, as identified by the configuration that was in force when it was looked up.
 pub(crate) struct Caller {
     /// The latest configuration version in which this caller is known to be valid.
     version: Cell<u64>,
--- a/crates/sablehaven-gateway/src/request/refusal.rs
+++ b/crates/sablehaven-gateway/src/request/refusal.rs
@@ -24,7 +24,7 @@
 /// Retry delay when no server ran the request.
 const NOT_RUN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why a request gets no response of a server. Status codes 429 and 503 promise that the request has not run and
+/// Why a request gets no response from a server. Status codes 429 and 503 promise that the request has not run and
 /// never will; 502 and 504 promise nothing.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub(super) enum Refusal {
