--- a/crates/sablehaven-agent/examples/agent_bench/baseline.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/baseline.rs
@@ -4,7 +4,8 @@
 
 use sablehaven_agent::routing::{PolicyFactory, RoutingPolicy};
 use sablehaven_routing::{
-    Admission, AttemptResult, Chosen, ExtraKind, RouterCounters, RouterState, ServiceUpdate,
+    Admission, AttemptResult, ChosenBackend, ExtraAttemptKind, RouterCounters, RouterState,
+    ServiceUpdate,
 };
 use sablehaven_types::{BackendId, MissingReason, Observation, ShardId};
 
@@ -13,7 +14,7 @@
 
 #[derive(Default)]
 struct RandomReplica {
-    replicas: BTreeMap<ShardId, Vec<Chosen>>,
+    replicas: BTreeMap<ShardId, Vec<ChosenBackend>>,
 }
 
 /// Makes a baseline for each service.
@@ -25,7 +26,7 @@
     fn update(&mut self, _now: Duration, update: ServiceUpdate<'_>) {
         let chosen = |id: &BackendId| {
             let record = update.backends.iter().find(|record| record.id == *id)?;
-            Some(Chosen {
+            Some(ChosenBackend {
                 backend: record.id.clone(),
                 address: record.address,
                 incarnation: record.incarnation,
@@ -42,7 +43,12 @@
         Admission::Admitted
     }
 
-    fn choose(&mut self, _now: Duration, shard: ShardId, exclude: &[BackendId]) -> Option<Chosen> {
+    fn choose(
+        &mut self,
+        _now: Duration,
+        shard: ShardId,
+        exclude: &[BackendId],
+    ) -> Option<ChosenBackend> {
         let replicas = self.replicas.get(&shard)?;
         let left: Vec<_> = replicas
             .iter()
@@ -73,7 +79,7 @@
         None
     }
 
-    fn take_extra(&mut self, _now: Duration, _kind: ExtraKind) -> bool {
+    fn take_extra(&mut self, _now: Duration, _kind: ExtraAttemptKind) -> bool {
         false
     }
 
--- a/crates/sablehaven-agent/src/once/dispatch.rs
+++ b/crates/sablehaven-agent/src/once/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Instant};
 
-use sablehaven_routing::{AttemptOutcome, Chosen};
+use sablehaven_routing::{AttemptOutcome, ChosenBackend};
 use sablehaven_schema::encode_protobuf;
 
 use super::flow::OnceRequest;
@@ -16,7 +16,7 @@
 /// The dispatch that a granted claim allows.
 pub struct Dispatch {
     /// To whom.
-    pub chosen: Chosen,
+    pub chosen: ChosenBackend,
     /// What the reply must echo.
     pub identity: AttemptIdentity,
 }
--- a/crates/sablehaven-agent/src/once/flow.rs
+++ b/crates/sablehaven-agent/src/once/flow.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use prost_reflect::DynamicMessage;
-use sablehaven_routing::{Admission, Chosen};
+use sablehaven_routing::{Admission, ChosenBackend};
 use sablehaven_schema::{MethodSchema, decode_reply, shard_for_key};
 use sablehaven_subscription::Subscription;
 use sablehaven_types::{
@@ -191,7 +191,7 @@
         })
     }
 
-    fn choose(&self, pinned: &IndexSnapshot) -> Result<(ShardId, Chosen), MissingReason> {
+    fn choose(&self, pinned: &IndexSnapshot) -> Result<(ShardId, ChosenBackend), MissingReason> {
         let count = u32::try_from(pinned.shards.len()).unwrap_or(u32::MAX);
         let shard = shard_for_key(&self.request.method, &self.request.message, count)
             .map_err(|_| MissingReason::NoReplica)?;
--- a/crates/sablehaven-agent/src/plan.rs
+++ b/crates/sablehaven-agent/src/plan.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Instant};
 
-use sablehaven_routing::{AgentSite, ServiceUpdate};
+use sablehaven_routing::{AgentLocation, ServiceUpdate};
 use sablehaven_schema::{DeploymentSchema, MethodSchema, SchemaProblem};
 use sablehaven_subscription::View;
 use sablehaven_types::{ConfigurationAge, SchemaSource, ServiceConfiguration, ServiceName};
@@ -67,7 +67,7 @@
 
 /// Builds plans, one from the other.
 pub struct PlanBuilder {
-    site: AgentSite,
+    site: AgentLocation,
     connections: ConnectionSettings,
     policies: PolicyFactory,
     observer: Observer,
@@ -88,7 +88,7 @@
 impl PlanBuilder {
     /// A builder that has built nothing yet.
     pub fn new(
-        site: AgentSite,
+        site: AgentLocation,
         connections: ConnectionSettings,
         policies: PolicyFactory,
         observer: Observer,
--- a/crates/sablehaven-agent/src/query.rs
+++ b/crates/sablehaven-agent/src/query.rs
@@ -13,7 +13,7 @@
 use prost_reflect::DynamicMessage;
 use sablehaven_routing::{
     Admission,
-    crash_table::{Standing, fingerprint},
+    crash_table::{CrashStatus, fingerprint},
 };
 use sablehaven_schema::{MethodKind, MethodSchema, encode_protobuf, merge, shard_for_key};
 use sablehaven_types::{Coverage, IndexSnapshot, MissingReason, ShardId};
@@ -56,7 +56,7 @@
         let body: Bytes = encode_protobuf(self.message).into();
         let fingerprint = fingerprint(&[&self.method.path], &body);
         let now = self.service.router.now();
-        if let Standing::Quarantined { left } = self.crashes.standing(now, fingerprint) {
+        if let CrashStatus::Quarantined { left } = self.crashes.standing(now, fingerprint) {
             return Answer::without_reply(Reason::Quarantined).retry_after(left);
         }
         let watch = QueryWatch::new(self.crashes, fingerprint);
--- a/crates/sablehaven-agent/src/query/attempt.rs
+++ b/crates/sablehaven-agent/src/query/attempt.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use prost_reflect::DynamicMessage;
-use sablehaven_routing::{AttemptOutcome, Chosen};
+use sablehaven_routing::{AttemptOutcome, ChosenBackend};
 use sablehaven_schema::{MethodSchema, decode_reply};
 use sablehaven_types::{AttemptId, IndexSnapshot, ShardId};
 
@@ -41,7 +41,7 @@
 pub async fn run_attempt(
     shared: SharedRequest<'_>,
     shard: ShardId,
-    chosen: Chosen,
+    chosen: ChosenBackend,
 ) -> Result<DynamicMessage, AttemptFailure> {
     let router = Arc::clone(&shared.service.router);
     let ticket = AttemptTicket::new(router, chosen.backend.clone(), shared.deadline);
@@ -75,7 +75,7 @@
 async fn send(
     shared: SharedRequest<'_>,
     identity: AttemptIdentity,
-    chosen: &Chosen,
+    chosen: &ChosenBackend,
 ) -> AttemptReport {
     let connections = &shared.service.connections;
     let client = match connections.client(&chosen.backend, chosen.address) {
@@ -114,7 +114,7 @@
 }
 
 /// Whether a back end has ended: its address refuses connections. A lost connection alone does not show that.
-pub async fn is_gone(shared: SharedRequest<'_>, chosen: &Chosen) -> bool {
+pub async fn is_gone(shared: SharedRequest<'_>, chosen: &ChosenBackend) -> bool {
     let connections = &shared.service.connections;
     match connections.client(&chosen.backend, chosen.address) {
         Ok(client) => client.refuses_connections().await,
--- a/crates/sablehaven-agent/src/query/crashes.rs
+++ b/crates/sablehaven-agent/src/query/crashes.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use sablehaven_routing::crash_table::{CrashTable, MOST_LOST_TRIALS, Standing};
+use sablehaven_routing::crash_table::{CrashStatus, CrashTable, MAX_LOST_TRIALS};
 use sablehaven_types::{RequestFingerprint, fingerprint_text};
 use tokio::{sync::Notify, time::timeout};
 
@@ -27,8 +27,8 @@
 
 impl QueryCrashes {
     /// Whether a query may be sent to back ends.
-    pub fn standing(&self, now: Duration, fingerprint: RequestFingerprint) -> Standing {
-        self.lock().standing(now, fingerprint)
+    pub fn standing(&self, now: Duration, fingerprint: RequestFingerprint) -> CrashStatus {
+        self.lock().status(now, fingerprint)
     }
 
     fn lock(&self) -> MutexGuard<'_, CrashTable> {
@@ -101,7 +101,7 @@
     /// A back end has replied, or said that it failed or refused while it went on: it has outlived the query.
     pub fn replied(&self, now: Duration) {
         if !self.has_replied.swap(true, Ordering::AcqRel) {
-            self.crashes.lock().answered(now, self.fingerprint);
+            self.crashes.lock().record_answer(now, self.fingerprint);
         }
     }
 
@@ -109,7 +109,7 @@
     pub fn lost(&self, now: Duration) {
         self.has_lost.store(true, Ordering::Release);
         if !self.has_replied.load(Ordering::Acquire) {
-            self.crashes.lock().lost(now, self.fingerprint);
+            self.crashes.lock().record_loss(now, self.fingerprint);
         }
     }
 
@@ -119,11 +119,11 @@
         if !is_gone {
             return;
         }
-        let begun = self.crashes.lock().crashed(now, self.fingerprint);
+        let begun = self.crashes.lock().record_crash(now, self.fingerprint);
         if let Some(begun) = begun {
             log::warn!(
                 event = "request_quarantined", target:% = fingerprint_text(self.fingerprint),
-                lost = begun.report.lost, crashes = begun.report.crashes, for_s = begun.time.as_secs();
+                lost = begun.report.lost, crashes = begun.report.crashes, for_s = begun.duration.as_secs();
                 "back ends end when they run this query"
             );
         }
@@ -149,11 +149,11 @@
         if self.is_clear(now()) {
             return Turn::Send;
         }
-        let is_given_up = self.lost_trials.load(Ordering::Acquire) >= MOST_LOST_TRIALS;
+        let is_given_up = self.lost_trials.load(Ordering::Acquire) >= MAX_LOST_TRIALS;
         match self.standing(now()) {
-            Standing::Quarantined { .. } => Turn::Never,
+            CrashStatus::Quarantined { .. } => Turn::Never,
             _ if is_given_up => Turn::Never,
-            Standing::Clear | Standing::Suspect => Turn::Trial(trial),
+            CrashStatus::Clear | CrashStatus::Suspect => Turn::Trial(trial),
         }
     }
 
@@ -164,15 +164,15 @@
     }
 
     fn is_undecided(&self, now: Duration) -> bool {
-        !self.has_replied.load(Ordering::Acquire) && self.standing(now) == Standing::Clear
+        !self.has_replied.load(Ordering::Acquire) && self.standing(now) == CrashStatus::Clear
     }
 
     /// Whether attempts may be sent beside others.
     pub fn is_clear(&self, now: Duration) -> bool {
-        self.has_replied.load(Ordering::Acquire) || self.standing(now) == Standing::Clear
+        self.has_replied.load(Ordering::Acquire) || self.standing(now) == CrashStatus::Clear
     }
 
-    fn standing(&self, now: Duration) -> Standing {
+    fn standing(&self, now: Duration) -> CrashStatus {
         self.crashes.standing(now, self.fingerprint)
     }
 }
--- a/crates/sablehaven-agent/src/query/shard.rs
+++ b/crates/sablehaven-agent/src/query/shard.rs
@@ -5,7 +5,7 @@
 use futures::{StreamExt, stream::FuturesUnordered};
 use prometheus_client::metrics::counter::Counter;
 use prost_reflect::DynamicMessage;
-use sablehaven_routing::Chosen;
+use sablehaven_routing::ChosenBackend;
 use sablehaven_types::{MissingReason, ShardId};
 use tokio::time::sleep_until;
 
@@ -90,7 +90,11 @@
 }
 
 /// Notes the end of a suspect query's only attempt.
-async fn end_trial(shared: SharedRequest<'_>, failure: AttemptFailure, chosen: Option<&Chosen>) {
+async fn end_trial(
+    shared: SharedRequest<'_>,
+    failure: AttemptFailure,
+    chosen: Option<&ChosenBackend>,
+) {
     let (AttemptFailure::Lost, Some(chosen)) = (failure, chosen) else {
         return;
     };
--- a/crates/sablehaven-agent/src/query/sub_request.rs
+++ b/crates/sablehaven-agent/src/query/sub_request.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use sablehaven_routing::{AttemptOutcome, Chosen, ExtraKind};
+use sablehaven_routing::{AttemptOutcome, ChosenBackend, ExtraAttemptKind};
 use sablehaven_types::{BackendId, MissingReason, ShardId};
 
 use crate::{routing::PinnedRouter, transport::Refusal};
@@ -83,7 +83,7 @@
     /// Send an attempt.
     Send {
         /// To whom.
-        chosen: Chosen,
+        chosen: ChosenBackend,
         /// When to call [`SubRequest::hedge_due`], counted from the sending.
         hedge_after: Option<Duration>,
     },
@@ -145,7 +145,7 @@
         let Ok(chosen) = router.choose(now, self.shard, &self.tried) else {
             return self.give_up();
         };
-        if failure.needs_budget() && !router.policy.take_extra(now, ExtraKind::Retry) {
+        if failure.needs_budget() && !router.policy.take_extra(now, ExtraAttemptKind::Retry) {
             return self.give_up();
         }
         self.send(router, now, chosen)
@@ -166,7 +166,7 @@
         let Ok(chosen) = router.choose(now, self.shard, &self.tried) else {
             return Step::Wait { hedge_after: None };
         };
-        if !router.policy.take_extra(now, ExtraKind::Hedge) {
+        if !router.policy.take_extra(now, ExtraAttemptKind::Hedge) {
             let hedge_after = self.hedge_timer(router, now);
             return Step::Wait { hedge_after };
         }
@@ -178,7 +178,12 @@
         u32::try_from(self.tried.len()).unwrap_or(u32::MAX)
     }
 
-    fn send(&mut self, router: &mut PinnedRouter<'_>, now: Duration, chosen: Chosen) -> Step {
+    fn send(
+        &mut self,
+        router: &mut PinnedRouter<'_>,
+        now: Duration,
+        chosen: ChosenBackend,
+    ) -> Step {
         router.policy.sent(now, &chosen.backend);
         self.tried.push(chosen.backend.clone());
         self.in_flight += 1;
--- a/crates/sablehaven-agent/src/role.rs
+++ b/crates/sablehaven-agent/src/role.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use sablehaven_routing::AgentSite;
+use sablehaven_routing::AgentLocation;
 use sablehaven_subscription::{AgentIdentity, Subscription};
 use sablehaven_telemetry::Telemetry;
 use sablehaven_types::{AgentId, BoundAddresses};
@@ -64,7 +64,7 @@
         placement: config.placement.clone(),
         interest: config.interest.clone(),
     };
-    let site = AgentSite {
+    let site = AgentLocation {
         agent: identity.agent.clone(),
         placement: identity.placement.clone(),
     };
--- a/crates/sablehaven-agent/src/routing.rs
+++ b/crates/sablehaven-agent/src/routing.rs
@@ -6,8 +6,8 @@
 use std::{sync::Arc, time::Duration};
 
 use sablehaven_routing::{
-    Admission, AgentSite, AttemptResult, Chosen, ExtraKind, RouterCounters, RouterState,
-    ServiceRouter, ServiceUpdate,
+    Admission, AgentLocation, AttemptResult, ChosenBackend, ExtraAttemptKind, RouterCounters,
+    RouterState, ServiceRouter, ServiceUpdate,
 };
 use sablehaven_types::{
     BackendId, MissingReason, Observation, RoutingSettings, ServiceName, ShardId,
@@ -24,7 +24,12 @@
     /// See [`ServiceRouter::admit`].
     fn admit(&mut self, now: Duration, sub_requests: u32) -> Admission;
     /// See [`ServiceRouter::choose`].
-    fn choose(&mut self, now: Duration, shard: ShardId, exclude: &[BackendId]) -> Option<Chosen>;
+    fn choose(
+        &mut self,
+        now: Duration,
+        shard: ShardId,
+        exclude: &[BackendId],
+    ) -> Option<ChosenBackend>;
     /// See [`ServiceRouter::no_choice_reason`].
     fn no_choice_reason(
         &self,
@@ -35,7 +40,7 @@
     /// See [`ServiceRouter::hedge_after`].
     fn hedge_after(&self, now: Duration, shard: ShardId, chosen: &BackendId) -> Option<Duration>;
     /// See [`ServiceRouter::take_extra`].
-    fn take_extra(&mut self, now: Duration, kind: ExtraKind) -> bool;
+    fn take_extra(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool;
     /// See [`ServiceRouter::sent`].
     fn sent(&mut self, now: Duration, backend: &BackendId);
     /// See [`ServiceRouter::finished`].
@@ -61,7 +66,12 @@
         Self::admit(self, now, sub_requests)
     }
 
-    fn choose(&mut self, now: Duration, shard: ShardId, exclude: &[BackendId]) -> Option<Chosen> {
+    fn choose(
+        &mut self,
+        now: Duration,
+        shard: ShardId,
+        exclude: &[BackendId],
+    ) -> Option<ChosenBackend> {
         Self::choose(self, now, shard, exclude)
     }
 
@@ -78,7 +88,7 @@
         Self::hedge_after(self, now, shard, chosen)
     }
 
-    fn take_extra(&mut self, now: Duration, kind: ExtraKind) -> bool {
+    fn take_extra(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool {
         Self::take_extra(self, now, kind)
     }
 
@@ -112,8 +122,9 @@
 }
 
 /// Makes the policy of one service.
-pub type PolicyFactory =
-    Arc<dyn Fn(&ServiceName, AgentSite, &RoutingSettings) -> Box<dyn RoutingPolicy> + Send + Sync>;
+pub type PolicyFactory = Arc<
+    dyn Fn(&ServiceName, AgentLocation, &RoutingSettings) -> Box<dyn RoutingPolicy> + Send + Sync,
+>;
 
 /// The factory used in production: a [`ServiceRouter`] seeded from the process's random source.
 pub fn service_routers() -> PolicyFactory {
--- a/crates/sablehaven-agent/src/routing/shared.rs
+++ b/crates/sablehaven-agent/src/routing/shared.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use sablehaven_routing::{AttemptResult, Chosen, ServiceUpdate};
+use sablehaven_routing::{AttemptResult, ChosenBackend, ServiceUpdate};
 use sablehaven_types::{BackendId, IndexSnapshot, MissingReason, Observation, ShardId, SnapshotId};
 
 use super::RoutingPolicy;
@@ -135,7 +135,7 @@
         now: Duration,
         shard: ShardId,
         exclude: &[BackendId],
-    ) -> Result<Chosen, MissingReason> {
+    ) -> Result<ChosenBackend, MissingReason> {
         match self.policy.choose(now, shard, exclude) {
             Some(chosen) if self.may_serve(shard, &chosen.backend) => Ok(chosen),
             Some(_) => Err(MissingReason::SnapshotGone),
--- a/crates/sablehaven-agent/tests/agent/sub_request_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/sub_request_rules.rs
@@ -10,7 +10,7 @@
     query::{AttemptFailure, Step, SubRequest},
     routing::{PinnedRouter, RoutingPolicy},
 };
-use sablehaven_routing::ExtraKind;
+use sablehaven_routing::ExtraAttemptKind;
 use sablehaven_types::{
     BackendId, IndexSnapshot, MissingReason, ShardAssignment, ShardId, SnapshotId,
 };
@@ -70,7 +70,7 @@
         Step::GiveUp(MissingReason::Failed),
         "the budget is empty"
     );
-    assert_eq!(policy.taken, [ExtraKind::Retry]);
+    assert_eq!(policy.taken, [ExtraAttemptKind::Retry]);
 }
 
 #[test]
@@ -138,7 +138,7 @@
     let mut router = PinnedRouter::current(&mut policy, &snapshot);
     let allowed = sub_request.hedge_due(&mut router, NOW);
     assert_eq!(sent_to(&allowed), Some("b1"));
-    assert_eq!(policy.taken, [ExtraKind::Hedge]);
+    assert_eq!(policy.taken, [ExtraAttemptKind::Hedge]);
 }
 
 #[test]
--- a/crates/sablehaven-agent/tests/agent/support/policy.rs
+++ b/crates/sablehaven-agent/tests/agent/support/policy.rs
@@ -4,7 +4,8 @@
 
 use sablehaven_agent::routing::RoutingPolicy;
 use sablehaven_routing::{
-    Admission, AttemptResult, Chosen, ExtraKind, RouterCounters, RouterState, ServiceUpdate,
+    Admission, AttemptResult, ChosenBackend, ExtraAttemptKind, RouterCounters, RouterState,
+    ServiceUpdate,
 };
 use sablehaven_types::{BackendId, MissingReason, Observation, ShardId};
 
@@ -14,7 +15,7 @@
 pub struct Scripted {
     pub replicas: Vec<BackendId>,
     pub budget: u32,
-    pub taken: Vec<ExtraKind>,
+    pub taken: Vec<ExtraAttemptKind>,
     /// When a refused caller may come back; `None` refuses nobody.
     pub refuses: Option<Duration>,
 }
@@ -42,9 +43,9 @@
         }
     }
 
-    fn choose(&mut self, _: Duration, _: ShardId, exclude: &[BackendId]) -> Option<Chosen> {
+    fn choose(&mut self, _: Duration, _: ShardId, exclude: &[BackendId]) -> Option<ChosenBackend> {
         let backend = self.replicas.iter().find(|id| !exclude.contains(id))?;
-        Some(Chosen {
+        Some(ChosenBackend {
             backend: backend.clone(),
             address: "127.0.0.1:1".parse().expect("an address"),
             incarnation: 1,
@@ -59,7 +60,7 @@
         Some(HEDGE_AFTER)
     }
 
-    fn take_extra(&mut self, _: Duration, kind: ExtraKind) -> bool {
+    fn take_extra(&mut self, _: Duration, kind: ExtraAttemptKind) -> bool {
         if self.budget == 0 {
             return false;
         }
--- a/crates/sablehaven-gateway/src/crashes.rs
+++ b/crates/sablehaven-gateway/src/crashes.rs
@@ -16,12 +16,12 @@
 
 /// A line about a quarantine that has just begun, if one has. `learned_from` says who saw the last crash.
 pub(crate) fn log_quarantine(begun: Option<Quarantine>, learned_from: &str) {
-    let Some(Quarantine { report, time }) = begun else {
+    let Some(Quarantine { report, duration }) = begun else {
         return;
     };
     log::warn!(
         event = "request_quarantined", target:% = fingerprint_text(report.fingerprint),
-        lost = report.lost, crashes = report.crashes, for_s = time.as_secs(), learned_from = learned_from;
+        lost = report.lost, crashes = report.crashes, for_s = duration.as_secs(), learned_from = learned_from;
         "servers end when they run this request"
     );
 }
--- a/crates/sablehaven-gateway/src/crashes/watch.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use sablehaven_routing::crash_table::{CrashTable, MOST_LOST_TRIALS, Standing};
+use sablehaven_routing::crash_table::{CrashStatus, CrashTable, MAX_LOST_TRIALS};
 use sablehaven_types::{BackendId, RequestFingerprint, fingerprint_text};
 use tokio::sync::Notify;
 
@@ -85,7 +85,7 @@
         lost_trials.set(lost_trials.get() + 1);
         if is_gone {
             let mut table = self.watch.table.borrow_mut();
-            let begun = table.crashed(now, self.watch.fingerprint);
+            let begun = table.record_crash(now, self.watch.fingerprint);
             log_quarantine(begun, "this gateway");
         }
     }
@@ -133,7 +133,7 @@
         }
         self.lost.borrow_mut().push(server.clone());
         if !self.is_answered.get() {
-            self.table.borrow_mut().lost(now, self.fingerprint);
+            self.table.borrow_mut().record_loss(now, self.fingerprint);
         }
     }
 
@@ -142,7 +142,7 @@
         if self.is_answered.replace(true) {
             return;
         }
-        self.table.borrow_mut().answered(now, self.fingerprint);
+        self.table.borrow_mut().record_answer(now, self.fingerprint);
         self.changed.notify_waiters();
     }
 
@@ -153,11 +153,11 @@
             return Turn::Send;
         }
         match self.standing(now) {
-            Standing::Clear if self.is_held(now) => Turn::Wait(self.wait(spare())),
-            Standing::Clear => Turn::Send,
-            Standing::Quarantined { .. } => Turn::Never,
-            Standing::Suspect if self.lost_trials.get() >= MOST_LOST_TRIALS => Turn::Never,
-            Standing::Suspect => self.trial_or_wait(spare()),
+            CrashStatus::Clear if self.is_held(now) => Turn::Wait(self.wait(spare())),
+            CrashStatus::Clear => Turn::Send,
+            CrashStatus::Quarantined { .. } => Turn::Never,
+            CrashStatus::Suspect if self.lost_trials.get() >= MAX_LOST_TRIALS => Turn::Never,
+            CrashStatus::Suspect => self.trial_or_wait(spare()),
         }
     }
 
@@ -196,7 +196,7 @@
 
     /// Whether attempts may be sent beside others.
     pub(crate) fn is_clear(&self, now: Duration) -> bool {
-        self.is_answered.get() || self.standing(now) == Standing::Clear
+        self.is_answered.get() || self.standing(now) == CrashStatus::Clear
     }
 
     /// Whether every part may send at once; no server was lost, or some have answered.
@@ -211,8 +211,8 @@
     }
 
     /// What is known of the request, from its earlier tries too.
-    pub(crate) fn standing(&self, now: Duration) -> Standing {
-        self.table.borrow().standing(now, self.fingerprint)
+    pub(crate) fn standing(&self, now: Duration) -> CrashStatus {
+        self.table.borrow().status(now, self.fingerprint)
     }
 
     /// Waits until [`Self::turn`] may say something else.
--- a/crates/sablehaven-gateway/src/crashes/watch/tests.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch/tests.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-use super::{CrashTable, CrashWatch, Standing, Turn};
+use super::{CrashStatus, CrashTable, CrashWatch, Turn};
 
 const REQUEST: u64 = 7;
 const USUAL: Duration = Duration::from_millis(20);
@@ -52,7 +52,7 @@
     assert!(matches!(watch.turn(ms(102), || 1), Turn::Trial(_)));
     watch.answered(ms(103));
     assert!(matches!(watch.turn(ms(103), || 1), Turn::Send));
-    assert_eq!(table.borrow().standing(ms(103), REQUEST), Standing::Clear);
+    assert_eq!(table.borrow().status(ms(103), REQUEST), CrashStatus::Clear);
 }
 
 #[test]
@@ -91,7 +91,7 @@
     watch.answered(ms(100));
     lose(&watch, ms(101), 5);
     assert!(matches!(watch.turn(ms(101), || 1), Turn::Send));
-    assert_eq!(table.borrow().standing(ms(101), REQUEST), Standing::Clear);
+    assert_eq!(table.borrow().status(ms(101), REQUEST), CrashStatus::Clear);
 }
 
 #[test]
--- a/crates/sablehaven-gateway/src/gateway.rs
+++ b/crates/sablehaven-gateway/src/gateway.rs
@@ -264,7 +264,7 @@
         let news = self
             .crashes
             .borrow_mut()
-            .news(self.clock.now(), fingerprint);
+            .take_unsent_report(self.clock.now(), fingerprint);
         if let Some(report) = news {
             // Without any connection nobody hears it; the next one begins with all that is known.
             let _ = self.crash_reports.send(report);
@@ -281,7 +281,7 @@
         let now = self.clock.now();
         let mut crashes = self.crashes.borrow_mut();
         for report in reports {
-            let begun = crashes.take(now, report);
+            let begun = crashes.merge_report(now, report);
             log_quarantine(begun, "control");
         }
     }
--- a/crates/sablehaven-gateway/src/request/admit.rs
+++ b/crates/sablehaven-gateway/src/request/admit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sablehaven_routing::crash_table::Standing;
+use sablehaven_routing::crash_table::CrashStatus;
 use sablehaven_types::Tenant;
 
 use super::{
@@ -155,7 +155,7 @@
     received: &ReceivedRequest,
 ) -> Result<(), Refusal> {
     let watch = &received.crash_watch;
-    let Standing::Quarantined { left } = watch.standing(gateway.clock.now()) else {
+    let CrashStatus::Quarantined { left } = watch.standing(gateway.clock.now()) else {
         return Ok(());
     };
     gateway.metrics.quarantined_requests.inc();
--- a/crates/sablehaven-gateway/src/request/refusal.rs
+++ b/crates/sablehaven-gateway/src/request/refusal.rs
@@ -8,7 +8,7 @@
     header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER, WWW_AUTHENTICATE},
 };
 use sablehaven_http::WholeBody;
-use sablehaven_routing::crash_table::Standing;
+use sablehaven_routing::crash_table::CrashStatus;
 
 use super::Accepted;
 
@@ -81,8 +81,8 @@
     pub(super) fn after_crashes(accepted: &Accepted, may_have_run: bool) -> Self {
         let now = accepted.gateway.clock.now();
         let left = match accepted.outgoing.crash_watch.standing(now) {
-            Standing::Quarantined { left } => left,
-            Standing::Clear | Standing::Suspect => Duration::ZERO,
+            CrashStatus::Quarantined { left } => left,
+            CrashStatus::Clear | CrashStatus::Suspect => Duration::ZERO,
         };
         if may_have_run {
             Self::CrashesServers { left }
--- a/crates/sablehaven-routing/examples/routing_model/policy.rs
+++ b/crates/sablehaven-routing/examples/routing_model/policy.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sablehaven_routing::{
-    Admission, AgentSite, AttemptResult, ExtraKind, ServiceRouter, ServiceUpdate,
+    Admission, AgentLocation, AttemptResult, ExtraAttemptKind, ServiceRouter, ServiceUpdate,
 };
 use sablehaven_types::{AgentId, BackendId, BackendState, ShardId};
 
@@ -41,7 +41,7 @@
     /// When to hedge.
     fn hedge_after(&self, now: Duration, shard: usize, server: usize) -> Option<Duration>;
     /// Whether an attempt beyond the first is allowed.
-    fn take_extra(&mut self, now: Duration, kind: ExtraKind) -> bool;
+    fn take_extra(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool;
     /// An attempt went out.
     fn sent(&mut self, now: Duration, server: usize);
     /// An attempt ended.
@@ -84,7 +84,7 @@
         shared: &SharedBucket,
     ) -> Self {
         let topology = &scenario.topology;
-        let site = AgentSite {
+        let site = AgentLocation {
             agent: AgentId(format!("agent-{seed:x}")),
             placement: topology.placement(topology.zone_of_agent(agent)),
         };
@@ -135,7 +135,7 @@
         self.router.hedge_after(now, shard, &self.ids[server])
     }
 
-    fn take_extra(&mut self, now: Duration, kind: ExtraKind) -> bool {
+    fn take_extra(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool {
         match self.kind {
             PolicyKind::RouterWithoutBudget => true,
             PolicyKind::RouterWithSharedBudget => self.shared.take(now),
@@ -204,7 +204,7 @@
         None
     }
 
-    fn take_extra(&mut self, _now: Duration, _kind: ExtraKind) -> bool {
+    fn take_extra(&mut self, _now: Duration, _kind: ExtraAttemptKind) -> bool {
         self.retries
     }
 
--- a/crates/sablehaven-routing/examples/routing_model/query_flow.rs
+++ b/crates/sablehaven-routing/examples/routing_model/query_flow.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sablehaven_routing::{AttemptOutcome, AttemptResult, ExtraKind};
+use sablehaven_routing::{AttemptOutcome, AttemptResult, ExtraAttemptKind};
 
 use super::{Attempt, Event, MAX_ATTEMPTS, Query, Reply, Simulation, SubRequest};
 use crate::arena::Key;
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn retry(&mut self, key: Key, shard: usize) {
-        if !self.send_extra(key, shard, ExtraKind::Retry) {
+        if !self.send_extra(key, shard, ExtraAttemptKind::Retry) {
             self.close(key, shard, false);
         }
     }
@@ -128,10 +128,10 @@
             return;
         }
         sub_request.hedged = true;
-        self.send_extra(key, shard, ExtraKind::Hedge);
+        self.send_extra(key, shard, ExtraAttemptKind::Hedge);
     }
 
-    pub(super) fn send_extra(&mut self, key: Key, shard: usize, kind: ExtraKind) -> bool {
+    pub(super) fn send_extra(&mut self, key: Key, shard: usize, kind: ExtraAttemptKind) -> bool {
         let now = self.now();
         let Some(query) = self.queries.get(key) else {
             return false;
@@ -153,15 +153,15 @@
         true
     }
 
-    pub(super) fn count_extra(&mut self, kind: ExtraKind) {
+    pub(super) fn count_extra(&mut self, kind: ExtraAttemptKind) {
         let (now, regions) = (self.now(), self.scenario.topology.regions);
         self.measurements.second(now, regions).extra += 1;
         if !self.measured() {
             return;
         }
         match kind {
-            ExtraKind::Hedge => self.measurements.counts.hedges += 1,
-            ExtraKind::Retry => self.measurements.counts.retries += 1,
+            ExtraAttemptKind::Hedge => self.measurements.counts.hedges += 1,
+            ExtraAttemptKind::Retry => self.measurements.counts.retries += 1,
         }
     }
 
--- a/crates/sablehaven-routing/src/budget.rs
+++ b/crates/sablehaven-routing/src/budget.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::interface::ExtraKind;
+use crate::interface::ExtraAttemptKind;
 
 /// Tokens that may be saved up, in seconds of the current needed work.
 const SAVED_SECONDS: f64 = 0.15;
@@ -78,7 +78,7 @@
         if self.reserved >= MAX_RESERVED {
             return false;
         }
-        let taken = self.take_unreserved(ExtraKind::Hedge);
+        let taken = self.take_unreserved(ExtraAttemptKind::Hedge);
         self.reserved += u32::from(taken);
         taken
     }
@@ -92,7 +92,7 @@
     }
 
     /// Takes one hedge or retry; `false` means not allowed.
-    pub fn take(&mut self, now: Duration, kind: ExtraKind) -> bool {
+    pub fn take(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool {
         self.advance(now);
         if self.take_unreserved(kind) {
             return true;
@@ -102,8 +102,8 @@
         left.is_some()
     }
 
-    fn take_unreserved(&mut self, kind: ExtraKind) -> bool {
-        if kind == ExtraKind::Hedge && self.factor < HEDGE_FACTOR {
+    fn take_unreserved(&mut self, kind: ExtraAttemptKind) -> bool {
+        if kind == ExtraAttemptKind::Hedge && self.factor < HEDGE_FACTOR {
             return false;
         }
         if self.tokens < 1.0 {
--- a/crates/sablehaven-routing/src/crash_table.rs
+++ b/crates/sablehaven-routing/src/crash_table.rs
@@ -17,18 +17,18 @@
 /// server may have ended under another request that it ran at the same time.
 const CONDEMNING_CRASHES: u32 = 2;
 /// Lost trials after which one try of a request is given up although its servers were not found gone.
-pub const MOST_LOST_TRIALS: u32 = 2;
+pub const MAX_LOST_TRIALS: u32 = 2;
 /// The first quarantine; doubled with each server that ends after one. A request that keeps crashing costs a server
 /// in so long, and one that does so no more waits no longer.
 pub const FIRST_QUARANTINE: Duration = Duration::from_secs(5 * 60);
 /// The longest quarantine.
 const LONGEST_QUARANTINE: Duration = Duration::from_secs(60 * 60);
 /// Time after which lost connections are forgotten: most have other causes.
-pub const LOSSES_KEPT: Duration = Duration::from_secs(10 * 60);
+pub const LOSS_RETENTION: Duration = Duration::from_secs(10 * 60);
 /// Time after which crashes are forgotten; longer than any quarantine.
-const CRASHES_KEPT: Duration = Duration::from_secs(2 * 60 * 60);
+const CRASH_RETENTION: Duration = Duration::from_secs(2 * 60 * 60);
 /// Requests that are kept; beyond them the one that changed longest ago is forgotten.
-pub const KEPT_RECORDS: usize = 256;
+pub const MAX_RECORDS: usize = 256;
 /// Reports in a second of requests that crashed servers, or that a server has answered since.
 pub const REPORTS_PER_SECOND: u32 = 20;
 /// Reports in a second of requests that only lost connections. A service whose servers all end by themselves would
@@ -49,7 +49,7 @@
 
 /// Whether a request may be sent to servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum CrashStatus {
     /// As any other.
     Clear,
     /// To one server at a time.
@@ -67,7 +67,7 @@
     /// What is known of the request.
     pub report: CrashReport,
     /// How long it lasts.
-    pub time: Duration,
+    pub duration: Duration,
 }
 
 /// All requests under which servers ended.
@@ -130,43 +130,43 @@
 
     fn is_kept(&self, now: Duration) -> bool {
         let kept = if self.report.crashes > 0 {
-            CRASHES_KEPT
+            CRASH_RETENTION
         } else {
-            LOSSES_KEPT
+            LOSS_RETENTION
         };
         now.saturating_sub(self.changed_at) < kept
     }
 
-    fn standing(&self, now: Duration) -> Standing {
+    fn status(&self, now: Duration) -> CrashStatus {
         if now < self.quarantined_until {
             let left = self.quarantined_until - now;
-            return Standing::Quarantined { left };
+            return CrashStatus::Quarantined { left };
         }
         if self.report.crashes > 0 || self.report.lost >= SUSPICIOUS_LOSSES {
-            return Standing::Suspect;
+            return CrashStatus::Suspect;
         }
-        Standing::Clear
+        CrashStatus::Clear
     }
 
     /// Begins a quarantine, or a longer one, if the crashes are enough for it.
     fn quarantine(&mut self, now: Duration) -> Option<Quarantine> {
         let beyond = self.report.crashes.checked_sub(CONDEMNING_CRASHES)?;
-        let time = FIRST_QUARANTINE.saturating_mul(2_u32.saturating_pow(beyond));
-        let time = time.min(LONGEST_QUARANTINE);
-        self.quarantined_until = now + time;
+        let duration = FIRST_QUARANTINE.saturating_mul(2_u32.saturating_pow(beyond));
+        let duration = duration.min(LONGEST_QUARANTINE);
+        self.quarantined_until = now + duration;
         Some(Quarantine {
             report: self.report,
-            time,
+            duration,
         })
     }
 }
 
 impl CrashTable {
     /// Whether a request may be sent to servers.
-    pub fn standing(&self, now: Duration, fingerprint: RequestFingerprint) -> Standing {
+    pub fn status(&self, now: Duration, fingerprint: RequestFingerprint) -> CrashStatus {
         let record = self.records.get(&fingerprint);
         let record = record.filter(|record| record.is_kept(now));
-        record.map_or(Standing::Clear, |record| record.standing(now))
+        record.map_or(CrashStatus::Clear, |record| record.status(now))
     }
 
     /// Whether servers were found gone after the request, and none has answered it since.
@@ -176,7 +176,7 @@
     }
 
     /// The connection of an attempt ended while the server had the request, and no server has answered it.
-    pub fn lost(&mut self, now: Duration, fingerprint: RequestFingerprint) {
+    pub fn record_loss(&mut self, now: Duration, fingerprint: RequestFingerprint) {
         let record = self.record(now, fingerprint);
         record.report.lost = record.report.lost.saturating_add(1);
         record.changed_at = now;
@@ -184,7 +184,7 @@
     }
 
     /// The server is gone after an attempt that was the request's only one; the quarantine that this begins.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         now: Duration,
         fingerprint: RequestFingerprint,
@@ -197,7 +197,7 @@
     }
 
     /// A server has answered the request, so it is not the request that ends servers.
-    pub fn answered(&mut self, now: Duration, fingerprint: RequestFingerprint) {
+    pub fn record_answer(&mut self, now: Duration, fingerprint: RequestFingerprint) {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
         };
@@ -215,7 +215,7 @@
     }
 
     /// Takes what another process has seen; the quarantine that this begins.
-    pub fn take(&mut self, now: Duration, report: &CrashReport) -> Option<Quarantine> {
+    pub fn merge_report(&mut self, now: Duration, report: &CrashReport) -> Option<Quarantine> {
         let record = self.record(now, report.fingerprint);
         let former = record.report;
         // Whoever has told this need not be told.
@@ -237,7 +237,11 @@
     }
 
     /// What others are to be told of a request, once; `None` when that is nothing, or too much at the moment.
-    pub fn news(&mut self, now: Duration, fingerprint: RequestFingerprint) -> Option<CrashReport> {
+    pub fn take_unsent_report(
+        &mut self,
+        now: Duration,
+        fingerprint: RequestFingerprint,
+    ) -> Option<CrashReport> {
         let record = self.records.get_mut(&fingerprint)?;
         if !record.is_news || !self.reported.count(now, &record.report) {
             return None;
@@ -255,7 +259,7 @@
 
     fn record(&mut self, now: Duration, fingerprint: RequestFingerprint) -> &mut CrashRecord {
         let is_known = self.records.contains_key(&fingerprint);
-        if !is_known && self.records.len() >= KEPT_RECORDS {
+        if !is_known && self.records.len() >= MAX_RECORDS {
             self.make_room(now);
         }
         let record = self.records.entry(fingerprint);
@@ -268,7 +272,7 @@
 
     fn make_room(&mut self, now: Duration) {
         self.records.retain(|_, record| record.is_kept(now));
-        if self.records.len() < KEPT_RECORDS {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         // What has crashed servers goes last.
--- a/crates/sablehaven-routing/src/interface.rs
+++ b/crates/sablehaven-routing/src/interface.rs
@@ -10,7 +10,7 @@
 
 /// The agent that decides: its name spreads agents over back ends, its place says what is near.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AgentSite {
+pub struct AgentLocation {
     /// The agent.
     pub agent: AgentId,
     /// Where it runs.
@@ -44,7 +44,7 @@
 
 /// The back end chosen for one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct ChosenBackend {
     /// The back end.
     pub backend: BackendId,
     /// IP number and port of its HTTP interface.
@@ -55,7 +55,7 @@
 
 /// The kinds of attempt beyond the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ExtraKind {
+pub enum ExtraAttemptKind {
     /// A second attempt beside one that is slow.
     Hedge,
     /// A new attempt after one that ended without a reply.
--- a/crates/sablehaven-routing/src/lib.rs
+++ b/crates/sablehaven-routing/src/lib.rs
@@ -31,7 +31,7 @@
 pub mod subset;
 
 pub use interface::{
-    Admission, AgentSite, AttemptOutcome, AttemptResult, Chosen, ExtraKind, LoadReport,
-    RouterCounters, RouterState, ServiceUpdate,
+    Admission, AgentLocation, AttemptOutcome, AttemptResult, ChosenBackend, ExtraAttemptKind,
+    LoadReport, RouterCounters, RouterState, ServiceUpdate,
 };
 pub use router::ServiceRouter;
--- a/crates/sablehaven-routing/src/router.rs
+++ b/crates/sablehaven-routing/src/router.rs
@@ -13,8 +13,8 @@
 use crate::health::{Change, Sign};
 use crate::hedging;
 use crate::interface::{
-    Admission, AgentSite, AttemptOutcome, AttemptResult, Chosen, ExtraKind, RouterCounters,
-    RouterState, ServiceUpdate,
+    Admission, AgentLocation, AttemptOutcome, AttemptResult, ChosenBackend, ExtraAttemptKind,
+    RouterCounters, RouterState, ServiceUpdate,
 };
 use crate::knowledge::{Knowledge, per_mille};
 use crate::probe::ProbeAllowance;
@@ -27,7 +27,7 @@
 /// The same seed and the same calls give the same decisions.
 #[derive(Debug)]
 pub struct ServiceRouter {
-    site: AgentSite,
+    site: AgentLocation,
     random: Pcg64Mcg,
     knowledge: Knowledge,
     budget: ExtraBudget,
@@ -40,7 +40,7 @@
 
 impl ServiceRouter {
     /// Makes a router that knows no back end yet.
-    pub fn new(site: AgentSite, settings: &RoutingSettings, seed: u64) -> Self {
+    pub fn new(site: AgentLocation, settings: &RoutingSettings, seed: u64) -> Self {
         Self {
             site,
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -112,7 +112,7 @@
         now: Duration,
         shard: ShardId,
         exclude: &[BackendId],
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenBackend> {
         let shard = shard.0 as usize;
         self.step_spill(now, shard);
         let position = match self.probe_target(now, shard, exclude) {
@@ -126,7 +126,7 @@
             }
         };
         let record = &self.knowledge.table.at(position).record;
-        Some(Chosen {
+        Some(ChosenBackend {
             backend: record.id.clone(),
             address: record.address,
             incarnation: record.incarnation,
@@ -198,14 +198,14 @@
     }
 
     /// Takes one attempt beyond the first out of the budget; `false` means not allowed.
-    pub fn take_extra(&mut self, now: Duration, kind: ExtraKind) -> bool {
+    pub fn take_extra(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool {
         if !self.budget.take(now, kind) {
             self.counters.extra_refused += 1;
             return false;
         }
         match kind {
-            ExtraKind::Hedge => self.counters.hedges += 1,
-            ExtraKind::Retry => self.counters.retries += 1,
+            ExtraAttemptKind::Hedge => self.counters.hedges += 1,
+            ExtraAttemptKind::Retry => self.counters.retries += 1,
         }
         true
     }
--- a/crates/sablehaven-routing/tests/mechanisms.rs
+++ b/crates/sablehaven-routing/tests/mechanisms.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use sablehaven_routing::ExtraKind;
+use sablehaven_routing::ExtraAttemptKind;
 use sablehaven_routing::admission::AdmissionLimit;
 use sablehaven_routing::budget::ExtraBudget;
 use sablehaven_routing::health::{Availability, Change, Health, Sign};
@@ -67,8 +67,8 @@
                     needed += count;
                     budget.earn(now, count);
                 }
-                Step::Hedge => extra += u32::from(budget.take(now, ExtraKind::Hedge)),
-                Step::Retry => extra += u32::from(budget.take(now, ExtraKind::Retry)),
+                Step::Hedge => extra += u32::from(budget.take(now, ExtraAttemptKind::Hedge)),
+                Step::Retry => extra += u32::from(budget.take(now, ExtraAttemptKind::Retry)),
                 Step::Reserve => {
                     budget.reserve(now);
                 }
@@ -156,11 +156,11 @@
     for _ in 0..60 {
         budget.shed(millis(1_000));
     }
-    assert!(!budget.take(millis(1_000), ExtraKind::Hedge));
-    assert!(budget.take(millis(1_000), ExtraKind::Retry));
-    assert!(!budget.take(millis(4_000), ExtraKind::Hedge));
+    assert!(!budget.take(millis(1_000), ExtraAttemptKind::Hedge));
+    assert!(budget.take(millis(1_000), ExtraAttemptKind::Retry));
+    assert!(!budget.take(millis(4_000), ExtraAttemptKind::Hedge));
     budget.earn(millis(11_000), 1_000);
-    assert!(budget.take(millis(11_000), ExtraKind::Hedge));
+    assert!(budget.take(millis(11_000), ExtraAttemptKind::Hedge));
 }
 
 #[test]
@@ -173,8 +173,8 @@
     for _ in 0..60 {
         budget.shed(millis(1_000));
     }
-    assert!(budget.take(millis(1_000), ExtraKind::Hedge));
-    assert!(!budget.take(millis(1_000), ExtraKind::Hedge));
+    assert!(budget.take(millis(1_000), ExtraAttemptKind::Hedge));
+    assert!(!budget.take(millis(1_000), ExtraAttemptKind::Hedge));
 }
 
 #[test]
--- a/crates/sablehaven-routing/tests/router.rs
+++ b/crates/sablehaven-routing/tests/router.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use sablehaven_routing::{AttemptOutcome, ExtraKind};
+use sablehaven_routing::{AttemptOutcome, ExtraAttemptKind};
 use sablehaven_types::{BackendId, BackendState, MissingReason, ObservationKind, RoutingSettings};
 use support::{SHARD, Service, backend, ended, millis, replied, replied_with_load};
 
@@ -182,7 +182,11 @@
 fn the_first_shed_shrinks_the_budget_and_one_in_twenty_stops_hedges() {
     let mut service = Service::new(three_near(), RoutingSettings::default());
     shares(&mut service, 1_000, 0);
-    assert!(service.router.take_extra(millis(1_000), ExtraKind::Hedge));
+    assert!(
+        service
+            .router
+            .take_extra(millis(1_000), ExtraAttemptKind::Hedge)
+    );
     let one = BackendId::from("one");
     let shed = ended(AttemptOutcome::Shed, millis(1));
     service.router.finished(millis(1_000), &one, shed);
@@ -194,13 +198,29 @@
             service.router.finished(millis(now), &one, shed);
         }
     }
-    assert!(!service.router.take_extra(millis(2_000), ExtraKind::Hedge));
-    assert!(service.router.take_extra(millis(2_000), ExtraKind::Retry));
+    assert!(
+        !service
+            .router
+            .take_extra(millis(2_000), ExtraAttemptKind::Hedge)
+    );
+    assert!(
+        service
+            .router
+            .take_extra(millis(2_000), ExtraAttemptKind::Retry)
+    );
 
     shares(&mut service, 500, 2_000);
-    assert!(!service.router.take_extra(millis(2_500), ExtraKind::Hedge));
+    assert!(
+        !service
+            .router
+            .take_extra(millis(2_500), ExtraAttemptKind::Hedge)
+    );
     shares(&mut service, 10_000, 2_500);
-    assert!(service.router.take_extra(millis(12_500), ExtraKind::Hedge));
+    assert!(
+        service
+            .router
+            .take_extra(millis(12_500), ExtraAttemptKind::Hedge)
+    );
 }
 
 #[test]
--- a/crates/sablehaven-routing/tests/support/mod.rs
+++ b/crates/sablehaven-routing/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sablehaven_routing::{
-    AgentSite, AttemptOutcome, AttemptResult, LoadReport, ServiceRouter, ServiceUpdate,
+    AgentLocation, AttemptOutcome, AttemptResult, LoadReport, ServiceRouter, ServiceUpdate,
 };
 use sablehaven_types::{
     AgentId, BackendId, BackendRecord, BackendState, IndexSnapshot, Placement, RegionName,
@@ -49,7 +49,7 @@
 impl Service {
     /// One shard on all `backends`, an agent in zone `a1` of region `a`.
     pub fn new(backends: Vec<BackendRecord>, settings: RoutingSettings) -> Self {
-        let site = AgentSite {
+        let site = AgentLocation {
             agent: AgentId::from("agent-1"),
             placement: placement("a", "a1"),
         };
--- a/testing/sablehaven-fleet/src/capacity/routers.rs
+++ b/testing/sablehaven-fleet/src/capacity/routers.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use sablehaven_routing::{AgentSite, ServiceRouter, ServiceUpdate};
+use sablehaven_routing::{AgentLocation, ServiceRouter, ServiceUpdate};
 use sablehaven_types::{
     BackendId, BackendRecord, BackendState, IndexSnapshot, Placement, RoutingSettings,
     ShardAssignment, ShardId, SnapshotId,
@@ -45,7 +45,7 @@
 fn update_milliseconds(replicas: u32) -> f64 {
     let settings = RoutingSettings::default();
     let backends: Vec<Arc<BackendRecord>> = (0..SHARDS * replicas).map(backend).collect();
-    let site = AgentSite {
+    let site = AgentLocation {
         agent: "capacity".into(),
         placement: place(0),
     };
