--- a/crates/sablehaven-routing/src/router.rs
+++ b/crates/sablehaven-routing/src/router.rs
@@ -16,9 +16,9 @@
     Admission, AgentLocation, AttemptOutcome, AttemptResult, ChosenBackend, ExtraAttemptKind,
     RouterCounters, RouterState, ServiceUpdate,
 };
-use crate::knowledge::{Knowledge, per_mille};
 use crate::probe::ProbeAllowance;
 use crate::retry_after::retry_after;
+use crate::service_state::{Knowledge, per_mille};
 use crate::subset::ConnectionBounds;
 
 /// The routing decisions of one agent for one service.
