--- a/crates/sablehaven-routing/src/backend.rs
+++ b/crates/sablehaven-routing/src/backend.rs
@@ -1,4 +1,4 @@
-//! All that one agent knows of one back end, and the table of a service's back ends.
+//! One agent's state for each back end of a service, and the table that holds it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,43 +6,47 @@
 
 use sablehaven_types::{BackendId, BackendRecord, Placement};
 
-use crate::balance::{ReportedLoad, ResponseTime, ServiceAverage};
+use crate::balance::{AverageLoad, ReportedLoad, ResponseTime};
 use crate::health::Health;
 use crate::pressure::Pressure;
 use crate::slow_start::SlowStart;
 use sablehaven_types::Distance;
 
-/// All that one agent knows of one back end.
+/// One agent's state for one back end.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// What the shared state records.
+    /// The record from the shared state.
     pub record: Arc<BackendRecord>,
-    /// How far it is.
+    /// Distance from the agent to the back end.
     pub distance: Distance,
-    /// Attempts of this agent without a result yet.
+    /// This agent's attempts in flight.
     pub in_flight: u32,
-    /// Other agents' load, from reports.
-    pub reported: ReportedLoad,
-    /// The response time of its attempts.
-    pub response: ResponseTime,
-    /// Whether it is still cold.
+    /// Load from other agents, as reported by the back end.
+    pub reported_load: ReportedLoad,
+    /// Response time of this agent's attempts.
+    pub response_time: ResponseTime,
+    /// Reduced share while the back end is cold.
     pub slow_start: SlowStart,
-    /// Whether it may get work.
+    /// Draining, ejection and backoff state.
     pub health: Health,
-    /// How pressed it is.
+    /// Pressure and shed rate.
     pub pressure: Pressure,
-    /// Positions of the shards that it holds.
+    /// Indexes of the shards that it holds a replica of.
     pub shards: Vec<usize>,
 }
 
 impl Backend {
-    fn new(record: &Arc<BackendRecord>, site: &Placement, slow_start: SlowStart) -> Self {
+    fn new(
+        record: &Arc<BackendRecord>,
+        agent_placement: &Placement,
+        slow_start: SlowStart,
+    ) -> Self {
         Self {
             record: Arc::clone(record),
-            distance: Distance::between(site, &record.placement),
+            distance: Distance::between(agent_placement, &record.placement),
             in_flight: 0,
-            reported: ReportedLoad::default(),
-            response: ResponseTime::default(),
+            reported_load: ReportedLoad::default(),
+            response_time: ResponseTime::default(),
             slow_start,
             health: Health::new(record.state, record.incarnation),
             pressure: Pressure::default(),
@@ -50,56 +54,64 @@
         }
     }
 
-    /// Requests at the back end: this agent's own, and what is known of others.
-    pub fn load(&self, now: Duration, average: &ServiceAverage) -> f64 {
-        f64::from(self.in_flight) + self.reported.estimate(now, average)
+    /// Estimates the number of requests at the back end: this agent's own and those reported for
+    /// other agents.
+    pub fn load(&self, now: Duration, average_load: &AverageLoad) -> f64 {
+        f64::from(self.in_flight) + self.reported_load.estimate(now, average_load)
     }
 
-    /// Takes in a new record of the same back end.
-    fn update(&mut self, now: Duration, record: &Arc<BackendRecord>, site: &Placement) {
-        self.distance = Distance::between(site, &record.placement);
-        self.note_incarnation(now, record.incarnation);
+    /// Applies a new record of the same back end.
+    fn update(&mut self, now: Duration, record: &Arc<BackendRecord>, agent_placement: &Placement) {
+        self.distance = Distance::between(agent_placement, &record.placement);
+        self.update_incarnation(now, record.incarnation);
         self.health.update(record.state, record.incarnation);
         self.record = Arc::clone(record);
         self.shards.clear();
     }
 
-    /// Notes a start number of the server; what was seen of an earlier start is forgotten. Whether
-    /// the start is newer than the known one.
-    pub fn note_incarnation(&mut self, now: Duration, incarnation: u64) -> bool {
+    /// Applies the server's incarnation number. A higher number than the known one means that the
+    /// server has restarted: the measurements of the earlier incarnation are discarded, and `true`
+    /// is returned.
+    pub fn update_incarnation(&mut self, now: Duration, incarnation: u64) -> bool {
         if incarnation <= self.health.incarnation() {
             return false;
         }
         self.health.update(self.record.state, incarnation);
         self.slow_start = SlowStart::cold(now);
-        self.reported = ReportedLoad::default();
-        self.response = ResponseTime::default();
+        self.reported_load = ReportedLoad::default();
+        self.response_time = ResponseTime::default();
         self.pressure = Pressure::default();
         true
     }
 
-    /// Starts the back end slowly, because it comes back after an outage.
+    /// Starts a new slow-start period after an outage.
     pub fn begin_slow_start(&mut self, now: Duration) {
         self.slow_start = SlowStart::cold(now);
     }
 }
 
-/// The back ends of one service.
+/// All back ends of one service.
 #[derive(Clone, Debug, Default)]
 pub struct BackendTable {
     entries: Vec<Backend>,
     positions: HashMap<BackendId, usize>,
-    filled: bool,
+    is_initialized: bool,
 }
 
 impl BackendTable {
-    /// Takes in the shared state's records; what is known of back ends that stay is kept.
-    pub fn update(&mut self, now: Duration, site: &Placement, records: &[Arc<BackendRecord>]) {
+    /// Replaces the records by those of the shared state. Back ends that remain keep their
+    /// measurements.
+    pub fn update(
+        &mut self,
+        now: Duration,
+        agent_placement: &Placement,
+        records: &[Arc<BackendRecord>],
+    ) {
         let mut known = std::mem::take(&mut self.entries)
             .into_iter()
             .map(|backend| (backend.record.id.clone(), backend))
             .collect::<HashMap<_, _>>();
-        let newcomer = if self.filled {
+        let initial_slow_start = if self.is_initialized {
             SlowStart::cold(now)
         } else {
             SlowStart::warm()
@@ -107,10 +119,10 @@
         for record in records {
             let backend = match known.remove(&record.id) {
                 Some(mut backend) => {
-                    backend.update(now, record, site);
+                    backend.update(now, record, agent_placement);
                     backend
                 }
-                None => Backend::new(record, site, newcomer),
+                None => Backend::new(record, agent_placement, initial_slow_start),
             };
             self.entries.push(backend);
         }
@@ -120,25 +132,26 @@
             .enumerate()
             .map(|(position, backend)| (backend.record.id.clone(), position))
             .collect();
-        self.filled = self.filled || !records.is_empty();
+        self.is_initialized = self.is_initialized || !records.is_empty();
     }
 
-    /// The position of a back end.
+    /// Returns the position of a back end in the table.
     pub fn position(&self, id: &BackendId) -> Option<usize> {
         self.positions.get(id).copied()
     }
 
-    /// The back end at a position that the table gave.
+    /// Returns the back end at a position that [`Self::position`] returned since the last update.
     pub fn at(&self, position: usize) -> &Backend {
         &self.entries[position]
     }
 
-    /// The back end at a position that the table gave, to change it.
+    /// Returns a mutable reference to the back end at a position that [`Self::position`] returned
+    /// since the last update.
     pub fn at_mut(&mut self, position: usize) -> &mut Backend {
         &mut self.entries[position]
     }
 
-    /// Every back end, in the order of the records.
+    /// Iterates over the back ends in the order of the records.
     pub fn iter(&self) -> impl Iterator<Item = &Backend> {
         self.entries.iter()
     }
--- a/crates/sablehaven-routing/src/budget.rs
+++ b/crates/sablehaven-routing/src/budget.rs
@@ -1,35 +1,40 @@
-//! One budget for the hedges and retries of a service, as a share of the work that queries need.
+//! Budget for the hedges and retries of a service, as a share of the sub-requests that queries
+//! need.
 //!
-//! Tokens come only from needed work and start at zero, so the extra load since the start never
-//! exceeds the share. Each shed, the first one included, at once takes one attempt off what a
-//! second of work earns; the budget recovers slowly.
+//! Only needed sub-requests add tokens, and the budget starts empty, so the extra load since the
+//! start never exceeds the share. Each shed attempt, including the first, immediately lowers a
+//! factor that scales the budget, by the equivalent of one extra attempt per second. The factor
+//! recovers slowly.
 
 use std::time::Duration;
 
 use crate::interface::ExtraAttemptKind;
 
-/// Tokens that may be saved up, in seconds of the current needed work.
-const SAVED_SECONDS: f64 = 0.15;
-/// Fewest tokens that may be saved up.
-const MIN_SAVED: f64 = 2.0;
-/// Extra attempts of one second's budget that one shed takes away: a service whose sheds reach
-/// [`RECOVERY_PER_SECOND`] of its budget divided by this keeps only the least.
-const SHED_COST: f64 = 1.0;
-/// Part of the budget that sheds leave: retries of what one back end shed, at another that has room,
-/// cost the back ends little and make whole answers out of partial ones.
-const RETRY_PART: f64 = 0.8;
-/// Below this factor no hedges are sent: a hedge is work that runs twice.
-const HEDGE_FACTOR: f64 = 0.5;
-/// Most attempts set aside for probes.
-const MAX_RESERVED: u32 = 2;
-/// Growth of the factor in each second without sheds.
+/// Capacity of the budget, in seconds of its income at the current rate of needed sub-requests.
+const BURST_SECONDS: f64 = 0.15;
+/// Smallest capacity of the budget.
+const MIN_BURST_TOKENS: f64 = 2.0;
+/// Extra attempts per second for which one shed attempt lowers the factor: it falls by this penalty
+/// divided by the extra attempts earned per second. When the sheds per second reach
+/// [`RECOVERY_PER_SECOND`] times the extra attempts earned per second, divided by this penalty, the
+/// factor falls to 0 and only the minimum budget remains.
+const SHED_PENALTY: f64 = 1.0;
+/// Fraction of the budget that remains when the factor is 0. Retrying an attempt that one back end
+/// shed at another one with spare capacity costs the back ends little and turns partial replies
+/// into complete ones.
+const MIN_SHARE_FACTOR: f64 = 0.8;
+/// Factor below which no hedges are sent, since a hedge executes the same work twice.
+const MIN_HEDGE_FACTOR: f64 = 0.5;
+/// Largest number of attempts reserved for probes.
+const MAX_RESERVED_ATTEMPTS: u32 = 2;
+/// Increase of the factor per second.
 const RECOVERY_PER_SECOND: f64 = 0.1;
-/// Time constant of the rate of needed work.
-const RATE_CONSTANT: f64 = 1.0;
+/// Time constant of the moving average of the rate of needed sub-requests.
+const RATE_TIME_CONSTANT_SECONDS: f64 = 1.0;
 
-/// The budget of one service in one agent.
+/// Budget of one service in one agent.
 #[derive(Clone, Debug)]
-pub struct ExtraBudget {
+pub struct ExtraAttemptBudget {
     share: f64,
     factor: f64,
     tokens: f64,
@@ -38,8 +43,8 @@
     updated_at: Duration,
 }
 
-impl ExtraBudget {
-    /// An empty budget that earns `share` tokens for each sub-request that a query needs.
+impl ExtraAttemptBudget {
+    /// Creates an empty budget that earns `share` tokens per needed sub-request.
     pub fn new(share: f64) -> Self {
         Self {
             share,
@@ -51,59 +56,60 @@
         }
     }
 
-    /// Changes the share.
+    /// Sets the number of tokens earned per needed sub-request.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// 1 without sheds; sheds lower it to 0. Below 0.5 there are no hedges, and at 0 a fifth of the
-    /// budget is gone.
+    /// Returns the current factor: 1 without shedding, reduced by shed attempts down to 0. Hedges
+    /// stop below 0.5; at 0 the budget is a fifth smaller.
     pub fn factor(&self) -> f64 {
         self.factor
     }
 
-    /// Earns for work that a query needs.
-    pub fn earn(&mut self, now: Duration, sub_requests: u32) {
+    /// Adds tokens for sub-requests that a query needs.
+    pub fn deposit(&mut self, now: Duration, sub_requests: u32) {
         self.advance(now);
         let needed = f64::from(sub_requests);
-        self.needed_per_second += needed / RATE_CONSTANT;
-        self.tokens = (self.tokens + needed * self.effective_share()).min(self.cap());
+        self.needed_per_second += needed / RATE_TIME_CONSTANT_SECONDS;
+        self.tokens = (self.tokens + needed * self.effective_share()).min(self.max_tokens());
     }
 
-    /// Sets one attempt aside for the request that serves as a probe: its back end may well not
-    /// answer, and then it needs a hedge, whatever the budget is by then. `false` means that the
-    /// budget cannot bear a probe now.
+    /// Reserves one attempt for a request that serves as a probe. Its back end may well not answer,
+    /// and the request then needs a hedge regardless of the state of the budget at that time.
+    /// Returns `false` when the budget does not allow a probe now.
     pub fn reserve(&mut self, now: Duration) -> bool {
         self.advance(now);
-        if self.reserved >= MAX_RESERVED {
+        if self.reserved >= MAX_RESERVED_ATTEMPTS {
             return false;
         }
-        let taken = self.take_unreserved(ExtraAttemptKind::Hedge);
-        self.reserved += u32::from(taken);
-        taken
+        let is_reserved = self.withdraw_unreserved(ExtraAttemptKind::Hedge);
+        self.reserved += u32::from(is_reserved);
+        is_reserved
     }
 
-    /// Gives back what was set aside for a probe, unless its hedge has taken it.
+    /// Returns the token reserved for a probe, unless a hedge has used it.
     pub fn release(&mut self) {
-        if let Some(left) = self.reserved.checked_sub(1) {
-            self.reserved = left;
-            self.tokens = (self.tokens + 1.0).min(self.cap());
+        if let Some(remaining) = self.reserved.checked_sub(1) {
+            self.reserved = remaining;
+            self.tokens = (self.tokens + 1.0).min(self.max_tokens());
         }
     }
 
-    /// Takes one hedge or retry; `false` means not allowed.
-    pub fn take(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool {
+    /// Takes a token for one hedge or retry, or a reserved one if no other may be used. Returns
+    /// `false` if there is none.
+    pub fn withdraw(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool {
         self.advance(now);
-        if self.take_unreserved(kind) {
+        if self.withdraw_unreserved(kind) {
             return true;
         }
-        let left = self.reserved.checked_sub(1);
-        self.reserved = left.unwrap_or(0);
-        left.is_some()
+        let remaining = self.reserved.checked_sub(1);
+        self.reserved = remaining.unwrap_or(0);
+        remaining.is_some()
     }
 
-    fn take_unreserved(&mut self, kind: ExtraAttemptKind) -> bool {
-        if kind == ExtraAttemptKind::Hedge && self.factor < HEDGE_FACTOR {
+    fn withdraw_unreserved(&mut self, kind: ExtraAttemptKind) -> bool {
+        if kind == ExtraAttemptKind::Hedge && self.factor < MIN_HEDGE_FACTOR {
             return false;
         }
         if self.tokens < 1.0 {
@@ -113,22 +119,22 @@
         true
     }
 
-    /// Shrinks the budget, because a back end shed.
-    pub fn shed(&mut self, now: Duration) {
+    /// Reduces the budget because a back end shed an attempt.
+    pub fn record_shed(&mut self, now: Duration) {
         self.advance(now);
-        let full_second = self.needed_per_second * self.share;
-        let bite = SHED_COST / full_second.max(SHED_COST);
-        self.factor = (self.factor - bite).max(0.0);
-        self.tokens = self.tokens.min(self.cap());
+        let budget_per_second = self.needed_per_second * self.share;
+        let reduction = SHED_PENALTY / budget_per_second.max(SHED_PENALTY);
+        self.factor = (self.factor - reduction).max(0.0);
+        self.tokens = self.tokens.min(self.max_tokens());
     }
 
-    fn cap(&self) -> f64 {
-        let saved = self.needed_per_second * self.effective_share() * SAVED_SECONDS;
-        saved.max(MIN_SAVED)
+    fn max_tokens(&self) -> f64 {
+        let burst = self.needed_per_second * self.effective_share() * BURST_SECONDS;
+        burst.max(MIN_BURST_TOKENS)
     }
 
     fn effective_share(&self) -> f64 {
-        self.share * (RETRY_PART + (1.0 - RETRY_PART) * self.factor)
+        self.share * (MIN_SHARE_FACTOR + (1.0 - MIN_SHARE_FACTOR) * self.factor)
     }
 
     fn advance(&mut self, now: Duration) {
@@ -137,7 +143,7 @@
             return;
         }
         self.updated_at = now;
-        self.needed_per_second *= (-elapsed / RATE_CONSTANT).exp();
+        self.needed_per_second *= (-elapsed / RATE_TIME_CONSTANT_SECONDS).exp();
         self.factor = (self.factor + RECOVERY_PER_SECOND * elapsed).min(1.0);
     }
 }
--- a/crates/sablehaven-routing/src/choice.rs
+++ b/crates/sablehaven-routing/src/choice.rs
@@ -1,8 +1,9 @@
-//! The choice of one replica: power of two choices among the ready ones at the drawn distance.
+//! Selection of one replica by power of two choices among the ready replicas at a randomly drawn
+//! distance.
 //!
-//! Two candidates drawn at random, the less costly wins (Mitzenmacher, "The Power of Two Choices in
-//! Randomized Load Balancing", 2001). Taking the least costly of all instead would send every agent
-//! to the same back end whenever reports lag.
+//! Of two candidates drawn at random, the one with the lower cost is chosen (Mitzenmacher, "The
+//! Power of Two Choices in Randomized Load Balancing", 2001). Choosing the replica with the lowest
+//! cost of all would send every agent to the same back end whenever load reports are delayed.
 
 use std::time::Duration;
 
@@ -11,45 +12,46 @@
 use sablehaven_types::{BackendId, MissingReason};
 
 use crate::backend::{Backend, BackendTable};
-use crate::balance::{ServiceAverage, cost};
+use crate::balance::{AverageLoad, cost};
 use crate::health::Availability;
 use crate::latency::LatencyDistribution;
 use crate::plan::ShardPlan;
 use sablehaven_types::{DISTANCES, Distance};
 
-/// Costs that differ by less than this factor are a tie, decided by the draw: the difference is
+/// Ratio of costs above which two candidates tie and the random draw decides: the difference is
 /// within the noise of the estimates.
-const TIE: f64 = 0.95;
+const TIE_COST_RATIO: f64 = 0.95;
 
-/// All that a choice looks at.
-pub struct Choice<'a> {
-    /// The time.
+/// Inputs for the selection of one replica of a shard.
+pub struct ReplicaSelector<'a> {
+    /// Current time.
     pub now: Duration,
-    /// The back ends.
+    /// Back ends of the service.
     pub table: &'a BackendTable,
-    /// The shard.
+    /// Replicas in use and spill shares of the shard.
     pub plan: &'a ShardPlan,
-    /// Back ends that were tried already.
+    /// Back ends that were already tried.
     pub exclude: &'a [BackendId],
-    /// Averages of load reports.
-    pub average: &'a ServiceAverage,
-    /// Average latencies.
+    /// Average of the load reports.
+    pub average_load: &'a AverageLoad,
+    /// Observed latencies, for their averages.
     pub latencies: &'a LatencyDistribution,
-    /// Requests that one back end runs at the same time.
+    /// Number of requests that one back end runs concurrently.
     pub slots: u32,
-    /// Time in which a cold back end grows to its full share.
-    pub slow_start: Duration,
+    /// Time in which a cold back end reaches its full share.
+    pub slow_start_duration: Duration,
 }
 
-impl Choice<'_> {
-    /// A back end that is out and whose probe is due.
+impl ReplicaSelector<'_> {
+    /// Returns a back end that gets no ordinary work and whose probe is due.
     pub fn probe_target(&self) -> Option<usize> {
         self.members()
-            .find(|&member| self.table.at(member).health.probe_due(self.now))
+            .find(|&member| self.table.at(member).health.is_probe_due(self.now))
     }
 
-    /// The back end for one attempt. A first attempt falls back to replicas that are pressed, then
-    /// to ejected ones, before the shard goes missing; another attempt does not.
+    /// Returns the back end for one attempt. If no replica is ready, a first attempt falls back to
+    /// replicas that shed recently and then to ejected ones rather than leave the shard missing;
+    /// later attempts do not.
     pub fn pick(&self, random: &mut Pcg64Mcg) -> Option<usize> {
         let preferred = self.plan.spill.distance(random.random());
         if let Some(ready) = self.pick_ready(preferred, random) {
@@ -58,11 +60,11 @@
         if !self.exclude.is_empty() {
             return None;
         }
-        self.least_costly(Availability::Pressed)
+        self.least_costly(Availability::Shedding)
             .or_else(|| self.least_costly(Availability::Ejected))
     }
 
-    /// Why [`Self::pick`] gives nothing.
+    /// Returns the reason for which [`Self::pick`] finds no back end.
     pub fn missing_reason(&self) -> MissingReason {
         let mut best = None;
         for &member in &self.plan.members {
@@ -70,18 +72,18 @@
             best = best.min(Some(availability)).or(Some(availability));
         }
         match best {
-            None | Some(Availability::Gone) => MissingReason::NoReplica,
-            Some(Availability::Pressed) => MissingReason::Shed,
+            None | Some(Availability::Stopping) => MissingReason::NoReplica,
+            Some(Availability::Shedding) => MissingReason::Shed,
             Some(Availability::Ready | Availability::Ejected) => MissingReason::Failed,
         }
     }
 
-    /// The estimated load of the least loaded ready replica.
+    /// Returns the estimated load of the least loaded ready replica.
     pub fn least_ready_load(&self) -> Option<f64> {
         self.members()
             .map(|member| self.table.at(member))
             .filter(|backend| self.is_ready(backend))
-            .map(|backend| backend.load(self.now, self.average))
+            .map(|backend| backend.load(self.now, self.average_load))
             .min_by(f64::total_cmp)
     }
 
@@ -97,16 +99,16 @@
         backend.health.availability(self.now) == Availability::Ready
     }
 
-    /// Picks at the preferred distance, or else farther out, or else nearer.
+    /// Picks at the preferred distance, else at a farther one, else at a nearer one.
     fn pick_ready(&self, preferred: Distance, random: &mut Pcg64Mcg) -> Option<usize> {
         let outward = DISTANCES[preferred.index()..].iter();
         let inward = DISTANCES[..preferred.index()].iter().rev();
         outward
             .chain(inward)
-            .find_map(|&distance| self.pick_at(distance, random))
+            .find_map(|&distance| self.pick_at_distance(distance, random))
     }
 
-    fn pick_at(&self, distance: Distance, random: &mut Pcg64Mcg) -> Option<usize> {
+    fn pick_at_distance(&self, distance: Distance, random: &mut Pcg64Mcg) -> Option<usize> {
         let pair = self.draw_pair(distance, true, random);
         let (first, second) = match pair {
             (None, _) => self.draw_pair(distance, false, random),
@@ -114,13 +116,14 @@
         };
         let first = first?;
         match second {
-            Some(second) => Some(self.cheaper(first, second)),
-            None => Some(self.relieved_by_region(first, distance, random)),
+            Some(second) => Some(self.less_costly(first, second)),
+            None => Some(self.offload_to_region(first, distance, random)),
         }
     }
 
-    /// Draws two ready members at a distance, all equally likely. With `weighted`, one that is
-    /// cold or sheds takes part only as often as its weight says.
+    /// Draws two ready members at a distance with uniform probability (reservoir sampling). With
+    /// `weighted`, a member that is cold or sheds is considered only with the probability given by
+    /// its weight.
     fn draw_pair(
         &self,
         distance: Distance,
@@ -134,7 +137,9 @@
             if backend.distance != distance || !self.is_ready(backend) {
                 continue;
             }
-            let weight = backend.slow_start.weight(self.now, self.slow_start)
+            let weight = backend
+                .slow_start
+                .weight(self.now, self.slow_start_duration)
                 * backend.pressure.shed_weight(self.now);
             if weighted && weight < 1.0 && random.random::<f64>() >= weight {
                 continue;
@@ -144,46 +149,51 @@
                 pair[seen - 1] = Some(member);
                 continue;
             }
-            let slot = random.random_range(0..seen);
-            if slot < pair.len() {
-                pair[slot] = Some(member);
+            let index = random.random_range(0..seen);
+            if index < pair.len() {
+                pair[index] = Some(member);
             }
         }
-        // The first wins a tie, so it must not be the one that comes first in the list.
+        // The first candidate wins a tie, so the order must not depend on the member list.
         if pair[1].is_some() && random.random() {
             pair.swap(0, 1);
         }
         (pair[0], pair[1])
     }
 
-    fn cheaper(&self, first: usize, second: usize) -> usize {
-        if self.cost(second) < TIE * self.cost(first) {
+    fn less_costly(&self, first: usize, second: usize) -> usize {
+        if self.cost(second) < TIE_COST_RATIO * self.cost(first) {
             second
         } else {
             first
         }
     }
 
-    /// The only ready member in the agent's zone passes work to the region while it has no free
-    /// slot and another one is less loaded. Other regions get work only through the spill share,
-    /// which is damped.
-    fn relieved_by_region(&self, only: usize, distance: Distance, random: &mut Pcg64Mcg) -> usize {
+    /// Chooses a less loaded replica in the region instead of the only ready one in the agent's
+    /// zone while that one has no free slot. Other regions receive work only through the spill
+    /// share, which changes gradually.
+    fn offload_to_region(
+        &self,
+        only_replica: usize,
+        distance: Distance,
+        random: &mut Pcg64Mcg,
+    ) -> usize {
         if distance != Distance::Zone {
-            return only;
+            return only_replica;
         }
-        let load = self.load(only);
+        let load = self.load(only_replica);
         if load < f64::from(self.slots) {
-            return only;
+            return only_replica;
         }
         let (first, second) = self.draw_pair(Distance::Region, true, random);
         let Some(first) = first else {
-            return only;
+            return only_replica;
         };
-        let other = second.map_or(first, |second| self.cheaper(first, second));
+        let other = second.map_or(first, |second| self.less_costly(first, second));
         if self.load(other) + 1.0 < load {
             other
         } else {
-            only
+            only_replica
         }
     }
 
@@ -194,16 +204,18 @@
     }
 
     fn load(&self, member: usize) -> f64 {
-        self.table.at(member).load(self.now, self.average)
+        self.table.at(member).load(self.now, self.average_load)
     }
 
     fn cost(&self, member: usize) -> f64 {
         let backend = self.table.at(member);
-        let average = self.latencies.average(backend.distance);
+        let average_seconds = self.latencies.average_seconds(backend.distance);
         let cost = cost(
             self.load(member),
-            backend.response.factor(self.now, average),
-            backend.slow_start.weight(self.now, self.slow_start),
+            backend.response_time.factor(self.now, average_seconds),
+            backend
+                .slow_start
+                .weight(self.now, self.slow_start_duration),
         );
         cost / backend.pressure.shed_weight(self.now)
     }
--- a/crates/sablehaven-routing/src/interface.rs
+++ b/crates/sablehaven-routing/src/interface.rs
@@ -1,4 +1,4 @@
-//! The types through which an agent asks for decisions and reports what happened.
+//! Types with which an agent requests routing decisions and reports the results of attempts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,25 +8,26 @@
     AgentId, BackendId, BackendRecord, IndexSnapshot, Placement, RoutingSettings,
 };
 
-/// The agent that decides: its name spreads agents over back ends, its place says what is near.
+/// The agent that makes the decisions. Its name spreads agents over back ends; its placement
+/// determines distances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentLocation {
-    /// The agent.
+    /// Name of the agent.
     pub agent: AgentId,
-    /// Where it runs.
+    /// Region and zone in which it runs.
     pub placement: Placement,
 }
 
-/// The shared state of one service, as the agent's latest view has it.
+/// The shared state of one service, as the agent has received it last.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceUpdate<'a> {
     /// Limits and routing settings.
     pub settings: &'a RoutingSettings,
-    /// Every back end of the service.
+    /// All back ends of the service.
     pub backends: &'a [Arc<BackendRecord>],
-    /// The snapshot that new queries pin.
+    /// Snapshot that new queries pin.
     pub snapshot: &'a IndexSnapshot,
-    /// Agents that send to the service, this one included.
+    /// Number of agents that send to the service, including this one.
     pub agents: u32,
 }
 
@@ -35,9 +36,9 @@
 pub enum Admission {
     /// It may start now.
     Admitted,
-    /// The service is pressed; nothing was sent.
+    /// The service is overloaded; nothing was sent.
     Refused {
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
@@ -45,18 +46,18 @@
 /// The back end chosen for one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenBackend {
-    /// The back end.
+    /// Identifier of the back end.
     pub backend: BackendId,
-    /// IP number and port of its HTTP interface.
+    /// IP address and port of its HTTP interface.
     pub address: SocketAddr,
-    /// The start of the server that the record names.
+    /// Incarnation of the server in the record.
     pub incarnation: u64,
 }
 
-/// The kinds of attempt beyond the first.
+/// Kinds of attempts beyond the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExtraAttemptKind {
-    /// A second attempt beside one that is slow.
+    /// A second attempt sent while a slow one is still running.
     Hedge,
     /// A new attempt after one that ended without a reply.
     Retry,
@@ -65,48 +66,49 @@
 /// How one attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A reply came that can be used.
+    /// A usable reply arrived.
     Replied,
-    /// The back end refused because it is pressed.
+    /// The back end refused because of overload.
     Shed,
-    /// The back end refused because it drains.
+    /// The back end refused because it is draining.
     Draining,
     /// The back end does not hold the pinned snapshot.
     SnapshotGone,
     /// The back end refused because the deadline had passed.
     DeadlineRefused,
-    /// No usable reply: connection lost, deadline passed without an answer, or a bad reply.
+    /// No usable reply: the connection was lost, the deadline passed without a reply, or the reply
+    /// was invalid.
     Failed,
-    /// The agent cancelled it, because another attempt won or the caller went away.
+    /// The agent cancelled it, because another attempt won or the caller disconnected.
     Cancelled,
 }
 
-/// A back end's own count of its work.
+/// Load reported by a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running and queued.
+    /// Number of running and queued requests.
     pub running_and_queued: u32,
-    /// Age of the count when the reply arrived.
+    /// Age of the number when the reply arrived.
     pub age: Duration,
 }
 
-/// What one attempt showed.
+/// Result of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptResult {
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// Time from sending to the end.
     pub latency: Duration,
-    /// The load report that came with the reply, if one did.
+    /// Load report in the reply, if any.
     pub load: Option<LoadReport>,
-    /// The start of the server that replied, if it said so.
+    /// Incarnation of the server that replied, if the reply contains it.
     pub incarnation: Option<u64>,
 }
 
-/// Counts since the router was made.
+/// Counters since the router was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterCounters {
-    /// Sub-requests of admitted requests: the work that the requests themselves need.
+    /// Sub-requests of admitted requests, without hedges and retries.
     pub needed: u64,
     /// Hedges that the budget allowed.
     pub hedges: u64,
@@ -116,26 +118,26 @@
     pub extra_refused: u64,
     /// Attempts that back ends shed.
     pub sheds: u64,
-    /// Attempts that ended without a usable reply, cancelled ones not counted.
+    /// Attempts that ended without a usable reply, excluding cancelled ones.
     pub failures: u64,
     /// Attempts that the agent cancelled.
     pub cancelled: u64,
-    /// Requests refused by admission.
+    /// Requests refused by admission control.
     pub refused: u64,
-    /// Back ends taken out for not answering.
+    /// Ejections of back ends that did not answer.
     pub ejections: u64,
 }
 
-/// What the router's mechanisms are set to now, for metrics.
+/// Current state of the router's mechanisms, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouterState {
-    /// 1 without sheds, lowered by them to 0: below 0.5 no hedges are sent, at 0 a fifth of the
-    /// extra load budget is gone.
+    /// Factor of the budget for hedges and retries: 1 without shedding, reduced by shed attempts
+    /// down to 0. Hedges stop below 0.5; at 0 the budget is a fifth smaller.
     pub budget_factor: f64,
-    /// The limit on needed work in sub-requests per second, while there is one.
+    /// Limit on needed sub-requests per second, `None` while there is none.
     pub admission_limit: Option<f64>,
-    /// The share of work that spills to other regions, averaged over the shards, from 0 to 1.
+    /// Share of attempts sent to other regions, averaged over the shards, from 0 to 1.
     pub remote_share: f64,
-    /// Back ends taken out for not answering, or suspected.
+    /// Number of back ends that are ejected or suspected.
     pub ejected: u32,
 }
--- a/crates/sablehaven-routing/src/latency.rs
+++ b/crates/sablehaven-routing/src/latency.rs
@@ -1,4 +1,4 @@
-//! The distribution of observed latencies, over a window that moves.
+//! Distribution of observed latencies over a moving window.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use sablehaven_types::{DISTANCES, Distance};
 
-/// Longest latency told apart, in microseconds; longer ones count as this.
+/// Largest latency that the histograms distinguish; longer ones are recorded as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
 /// Significant decimal digits kept of each latency.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// Time after which the older of the two windows is dropped.
+/// Length of a window. Samples of the current and the previous window are used.
 const WINDOW: Duration = Duration::from_secs(10);
-/// Fewest latencies from which a quantile is taken.
+/// Minimum number of samples for a quantile.
 const MIN_SAMPLES: u64 = 100;
-/// Longest time for which a computed quantile is reused.
-const QUANTILE_REFRESH: Duration = Duration::from_millis(500);
+/// Time for which a computed quantile is reused.
+const QUANTILE_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Latencies of the current and the previous window.
+/// Histograms of the current and the previous window.
 #[derive(Clone, Debug)]
 struct RotatingHistogram {
     current: Histogram<u32>,
@@ -58,27 +58,27 @@
 
 /// Latencies of one service's attempts, by distance.
 ///
-/// A cancelled attempt counts with the time it had taken: it would have taken longer, so leaving it
-/// out would make the quantiles too short and the hedges too many.
+/// A cancelled attempt is recorded with the time it had taken so far. It would have taken longer,
+/// so leaving it out would make the quantiles too short and cause too many hedges.
 #[derive(Clone, Debug)]
 pub struct LatencyDistribution {
     by_distance: [RotatingHistogram; DISTANCES.len()],
-    averages: [f64; DISTANCES.len()],
+    average_seconds: [f64; DISTANCES.len()],
     quantile: f64,
     quantiles: [Option<Duration>; DISTANCES.len()],
     rotated_at: Duration,
     refreshed_at: Option<Duration>,
 }
 
-/// Weight of one new latency in the running average.
-const AVERAGE_WEIGHT: f64 = 0.01;
+/// Weight of a new latency in the moving average.
+const AVERAGE_SAMPLE_WEIGHT: f64 = 0.01;
 
 impl LatencyDistribution {
-    /// A distribution without latencies, of which `quantile` (0 to 1) will be asked.
+    /// Creates an empty distribution that computes the given quantile (0 to 1).
     pub fn new(quantile: f64) -> Self {
         Self {
             by_distance: std::array::from_fn(|_| RotatingHistogram::new()),
-            averages: [0.0; DISTANCES.len()],
+            average_seconds: [0.0; DISTANCES.len()],
             quantile,
             quantiles: [None; DISTANCES.len()],
             rotated_at: Duration::ZERO,
@@ -92,7 +92,7 @@
         self.refreshed_at = None;
     }
 
-    /// Takes in the latency of one attempt.
+    /// Records the latency of one attempt.
     pub fn record(&mut self, now: Duration, distance: Distance, latency: Duration) {
         if now.saturating_sub(self.rotated_at) >= WINDOW {
             self.by_distance
@@ -101,20 +101,20 @@
             self.rotated_at = now;
         }
         self.by_distance[distance.index()].record(latency);
-        let average = &mut self.averages[distance.index()];
+        let average = &mut self.average_seconds[distance.index()];
         if *average == 0.0 {
             *average = latency.as_secs_f64();
         } else {
-            *average += AVERAGE_WEIGHT * (latency.as_secs_f64() - *average);
+            *average += AVERAGE_SAMPLE_WEIGHT * (latency.as_secs_f64() - *average);
         }
         self.refresh_if_due(now);
     }
 
     fn refresh_if_due(&mut self, now: Duration) {
-        let due = self
+        let is_due = self
             .refreshed_at
-            .is_none_or(|at| now.saturating_sub(at) >= QUANTILE_REFRESH);
-        if !due {
+            .is_none_or(|at| now.saturating_sub(at) >= QUANTILE_REFRESH_INTERVAL);
+        if !is_due {
             return;
         }
         for distance in DISTANCES {
@@ -125,13 +125,14 @@
         self.refreshed_at = any_known.then_some(now);
     }
 
-    /// The running average at a distance, in seconds; 0 before the first latency.
-    pub fn average(&self, distance: Distance) -> f64 {
-        self.averages[distance.index()]
+    /// Returns the moving average at a distance, or 0 before the first latency.
+    pub fn average_seconds(&self, distance: Distance) -> f64 {
+        self.average_seconds[distance.index()]
     }
 
-    /// The quantile at a distance, or at the nearest farther one that is known, or the nearest at
-    /// all; `None` while too few latencies are known.
+    /// Returns the quantile at a distance, else at the nearest farther distance with a known one,
+    /// else at the nearest closer one. Returns `None` while there are too few samples at every
+    /// distance.
     pub fn quantile(&self, distance: Distance) -> Option<Duration> {
         let at_or_beyond = self.quantiles[distance.index()..].iter().flatten().next();
         at_or_beyond
--- a/crates/sablehaven-routing/src/lib.rs
+++ b/crates/sablehaven-routing/src/lib.rs
@@ -1,14 +1,21 @@
-//! Routing decisions without sockets or clocks: subsets, balancing, hedging, budgets and spill.
+//! Routing decisions without sockets or clocks: subsets, load balancing, hedging, budgets and spill
+//! to other zones and regions.
 //!
-//! One [`ServiceRouter`] decides for one service in one agent. It is a pure state machine: the
-//! caller passes the time in, reports each attempt with [`ServiceRouter::sent`] and
-//! [`ServiceRouter::finished`], and asks for decisions. The order of calls for one request is
-//! [`ServiceRouter::admit`]; for each shard [`ServiceRouter::choose`] and, where that gives nothing,
-//! [`ServiceRouter::no_choice_reason`]; [`ServiceRouter::sent`] when the attempt goes out, and
-//! [`ServiceRouter::hedge_after`] for its timer. A hedge or retry is chosen with the tried back ends
-//! excluded, and only then asks [`ServiceRouter::take_extra`], so that the budget pays only for
-//! attempts that go out. Every attempt that was sent is reported exactly once with
-//! [`ServiceRouter::finished`], cancelled ones too, or its back end looks busy for ever.
+//! A [`ServiceRouter`] decides for one service in one agent. It is a pure state machine: the caller
+//! passes in the time, reports each attempt with [`ServiceRouter::sent`] and
+//! [`ServiceRouter::finished`], and requests decisions. The calls for one request are, in order:
+//!
+//! - [`ServiceRouter::admit`];
+//! - for each shard, [`ServiceRouter::choose`] and, if that returns nothing,
+//!   [`ServiceRouter::no_choice_reason`];
+//! - when the attempt is sent, [`ServiceRouter::sent`], and [`ServiceRouter::hedge_after`] for its
+//!   timer.
+//!
+//! To hedge or retry, the caller first calls [`ServiceRouter::choose`] with the tried back ends
+//! excluded and then [`ServiceRouter::take_extra`], so that the budget is charged only for attempts
+//! that are sent. Every attempt that was sent must be reported exactly once with
+//! [`ServiceRouter::finished`], even if it was cancelled; otherwise its back end looks busy
+//! forever.
 
 pub mod admission;
 mod backend;
--- a/crates/sablehaven-routing/src/plan.rs
+++ b/crates/sablehaven-routing/src/plan.rs
@@ -1,4 +1,4 @@
-//! The replicas of each shard that the agent uses, kept up to date as back ends come and go.
+//! The replicas of each shard that the agent uses, updated as back ends come and go.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,40 +11,42 @@
 use crate::subset::{Candidate, ConnectionBounds, select};
 use sablehaven_types::DISTANCES;
 
-/// One shard: the replicas that the agent uses, and how its work is spread over distances.
+/// One shard: the replicas that the agent uses, and the distribution of its attempts over
+/// distances.
 #[derive(Clone, Debug)]
 pub struct ShardPlan {
-    /// Positions of all replicas that the shared state knows.
+    /// Positions in the back-end table of all replicas in the shared state.
     replicas: Vec<usize>,
-    /// Positions of the replicas in use, nearest first; ejected ones stay, to be probed.
+    /// Positions in the back-end table of the replicas in use, nearest first. Ejected ones are
+    /// included, to be probed.
     pub members: Vec<usize>,
-    /// Members that are not replacements of ejected ones.
+    /// Number of members that are not replacements of ejected ones.
     subset_size: usize,
-    /// The shares by distance.
+    /// Shares of the attempts by distance.
     pub spill: Spill,
 }
 
 impl ShardPlan {
-    /// Whether the shard would keep enough members if `position` were taken out: half of its
-    /// subset, so that a fault of the agent's own network cannot take out everything.
-    pub fn keeps_floor_without(&self, table: &BackendTable, position: usize) -> bool {
+    /// Returns whether the shard keeps enough members without the one at `position`: at least half
+    /// of its subset, so that a fault of the agent's own network cannot eject all members.
+    pub fn keeps_minimum_without(&self, table: &BackendTable, position: usize) -> bool {
         let others = self
             .members
             .iter()
             .filter(|&&member| member != position)
             .map(|&member| &table.at(member).health)
-            .filter(|health| !health.is_gone() && !health.is_ejected())
+            .filter(|health| !health.is_stopping() && !health.is_ejected())
             .count();
         others >= self.subset_size.div_ceil(2).max(1)
     }
 
-    /// The pressure at each distance, over the members that take work.
+    /// Returns the average pressure at each distance over the members that receive work.
     pub fn pressures(&self, now: Duration, table: &BackendTable) -> Pressures {
         let mut sums = [0.0; DISTANCES.len()];
         let mut counts = [0u32; DISTANCES.len()];
         for &member in &self.members {
             let backend = table.at(member);
-            if backend.health.availability(now) > Availability::Pressed {
+            if backend.health.availability(now) > Availability::Shedding {
                 continue;
             }
             sums[backend.distance.index()] += backend.pressure.at(now);
@@ -55,26 +57,26 @@
         })
     }
 
-    /// The pressure of the least pressed member that takes work.
+    /// Returns the lowest pressure among the members that receive work.
     pub fn least_pressure(&self, now: Duration, table: &BackendTable) -> Option<f64> {
         self.members
             .iter()
             .map(|&member| table.at(member))
-            .filter(|backend| backend.health.availability(now) <= Availability::Pressed)
+            .filter(|backend| backend.health.availability(now) <= Availability::Shedding)
             .map(|backend| backend.pressure.at(now))
             .min_by(f64::total_cmp)
     }
 
-    /// Selects the members anew from the replicas that do not drain or leave. Each ejected member
-    /// gets a replacement beside it.
+    /// Reselects the members from the replicas that are not draining or leaving. For each ejected
+    /// member, a replacement is added.
     fn select_members(&mut self, agent: &AgentId, table: &BackendTable, bounds: &ConnectionBounds) {
-        let usable: Vec<usize> = self
+        let eligible: Vec<usize> = self
             .replicas
             .iter()
             .copied()
-            .filter(|&position| !table.at(position).health.is_gone())
+            .filter(|&position| !table.at(position).health.is_stopping())
             .collect();
-        let candidates: Vec<Candidate<'_>> = usable
+        let candidates: Vec<Candidate<'_>> = eligible
             .iter()
             .map(|&position| Candidate {
                 id: &table.at(position).record.id,
@@ -82,7 +84,7 @@
             })
             .collect();
         let subset = select(agent, &candidates, bounds);
-        let is_ejected = |index: &usize| table.at(usable[*index]).health.is_ejected();
+        let is_ejected = |index: &usize| table.at(eligible[*index]).health.is_ejected();
         let ejected = subset.members.iter().copied().filter(is_ejected).count();
         let replacements = subset
             .reserve
@@ -96,25 +98,25 @@
             .iter()
             .copied()
             .chain(replacements)
-            .map(|index| usable[index])
+            .map(|index| eligible[index])
             .collect();
         self.members
             .sort_by_key(|&position| table.at(position).distance);
     }
 }
 
-/// The shards of the snapshot that new queries pin.
+/// Plans for the shards of the snapshot that new queries pin.
 #[derive(Clone, Debug, Default)]
-pub struct Plans {
+pub struct ShardPlans {
     shards: Vec<ShardPlan>,
     partition_map: u64,
     bounds: Option<ConnectionBounds>,
 }
 
-impl Plans {
-    /// Takes in a snapshot; spill shares are kept while the partition map stays.
+impl ShardPlans {
+    /// Applies a snapshot. Spill shares are kept while the partition map stays the same.
     ///
-    /// `phase` gives numbers from 0 to 1 that shift the moments of the spill steps.
+    /// `phase` returns numbers from 0 to 1 that offset the times of the spill steps.
     pub fn update(
         &mut self,
         now: Duration,
@@ -124,7 +126,7 @@
         mut phase: impl FnMut() -> f64,
     ) {
         bounds.replica_sets_per_server = replica_sets_per_server(snapshot);
-        let keeps_map = self.partition_map == snapshot.id.partition_map;
+        let is_same_map = self.partition_map == snapshot.id.partition_map;
         let mut previous = std::mem::take(&mut self.shards).into_iter();
         self.partition_map = snapshot.id.partition_map;
         self.bounds = Some(bounds);
@@ -133,8 +135,8 @@
             for &replica in &replicas {
                 table.at_mut(replica).shards.push(shard);
             }
-            let kept = previous.next().filter(|_| keeps_map);
-            let spill = kept.map_or_else(|| Spill::new(now, phase()), |plan| plan.spill);
+            let previous_plan = previous.next().filter(|_| is_same_map);
+            let spill = previous_plan.map_or_else(|| Spill::new(now, phase()), |plan| plan.spill);
             self.shards.push(ShardPlan {
                 replicas,
                 members: Vec::new(),
@@ -144,14 +146,14 @@
         }
     }
 
-    /// Selects the members of every shard anew.
+    /// Reselects the members of every shard.
     pub fn select_all(&mut self, agent: &AgentId, table: &BackendTable) {
         for shard in 0..self.shards.len() {
             self.select_shard(agent, table, shard);
         }
     }
 
-    /// Selects the members anew of every shard that holds the back end at `position`.
+    /// Reselects the members of every shard of the back end at `position`.
     pub fn select_shards_of(&mut self, agent: &AgentId, table: &BackendTable, position: usize) {
         for &shard in &table.at(position).shards {
             self.select_shard(agent, table, shard);
@@ -167,17 +169,17 @@
         }
     }
 
-    /// The plan of a shard.
+    /// Returns the plan of a shard.
     pub fn get(&self, shard: usize) -> Option<&ShardPlan> {
         self.shards.get(shard)
     }
 
-    /// The plan of a shard, to change it.
+    /// Returns a mutable reference to the plan of a shard.
     pub fn get_mut(&mut self, shard: usize) -> Option<&mut ShardPlan> {
         self.shards.get_mut(shard)
     }
 
-    /// The share of work that leaves the region, averaged over the shards.
+    /// Returns the share of attempts that leave the region, averaged over the shards.
     pub fn remote_share(&self) -> f64 {
         let sum: f64 = self
             .shards
@@ -187,7 +189,7 @@
         sum / self.shards.len().max(1) as f64
     }
 
-    /// Every plan.
+    /// Iterates over the plans of all shards.
     pub fn iter(&self) -> impl Iterator<Item = &ShardPlan> {
         self.shards.iter()
     }
@@ -197,7 +199,7 @@
     ids.iter().filter_map(|id| table.position(id)).collect()
 }
 
-/// The most different replica sets that one server belongs to, at least 1.
+/// Returns the largest number of different replica sets that any server belongs to, at least 1.
 fn replica_sets_per_server(snapshot: &IndexSnapshot) -> u32 {
     let mut sets: BTreeSet<Vec<&BackendId>> = BTreeSet::new();
     for assignment in &snapshot.shards {
--- a/crates/sablehaven-routing/src/probe.rs
+++ b/crates/sablehaven-routing/src/probe.rs
@@ -1,30 +1,30 @@
-//! How many requests may serve as probes of back ends that are out.
+//! Limits how many requests serve as probes of back ends that are ejected or shed everything.
 
-/// Probes allowed, as a share of the work that queries need: a probe may cost its query a hedge, so
-/// probes must touch few queries.
+/// Probes per needed sub-request. A probe may require a hedge for its query, so probes must affect
+/// few queries.
 const PROBE_SHARE: f64 = 0.002;
-/// Probes that may be saved up.
-const MAX_SAVED: f64 = 2.0;
+/// Capacity of the budget, in probes.
+const MAX_TOKENS: f64 = 2.0;
 
-/// The probes of one service in one agent.
+/// Probe budget of one service in one agent.
 #[derive(Clone, Debug, Default)]
-pub struct ProbeAllowance {
+pub struct ProbeBudget {
     tokens: f64,
 }
 
-impl ProbeAllowance {
-    /// Earns for work that a query needs.
-    pub fn earn(&mut self, sub_requests: u32) {
-        self.tokens = (self.tokens + PROBE_SHARE * f64::from(sub_requests)).min(MAX_SAVED);
+impl ProbeBudget {
+    /// Adds tokens for sub-requests that a query needs.
+    pub fn deposit(&mut self, sub_requests: u32) {
+        self.tokens = (self.tokens + PROBE_SHARE * f64::from(sub_requests)).min(MAX_TOKENS);
     }
 
-    /// Whether a probe is allowed.
-    pub fn has_one(&self) -> bool {
+    /// Returns whether a probe is allowed.
+    pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one probe.
-    pub fn take(&mut self) {
+    /// Takes the token for one probe.
+    pub fn withdraw(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 }
--- a/crates/sablehaven-routing/src/retry_after.rs
+++ b/crates/sablehaven-routing/src/retry_after.rs
@@ -1,15 +1,16 @@
-//! When a caller whose request was given up may come back.
+//! The delay after which the caller of a refused or abandoned request may retry.
 
 use std::time::Duration;
 
-/// Time to come back when demand is what the service can take.
-const BASE: Duration = Duration::from_millis(250);
-/// Greatest excess that is told apart: beyond it the time given is 10 s, spread by the jitter.
-const MAX_EXCESS: f64 = 40.0;
+/// Average delay when demand does not exceed the limit.
+const BASE_DELAY: Duration = Duration::from_millis(250);
+/// Largest overload ratio that is taken into account. It gives a delay of 10 s before jitter.
+const MAX_OVERLOAD_RATIO: f64 = 40.0;
 
-/// The time to come back: longer the more demand exceeds what is admitted, and spread by `jitter`
-/// (0 to 1) over half to one and a half, so that callers do not come back together.
-pub fn retry_after(excess: f64, jitter: f64) -> Duration {
-    let base = BASE.mul_f64(excess.clamp(1.0, MAX_EXCESS));
+/// Returns the retry delay. It grows with the ratio of demand to the admission limit, and `jitter`
+/// (0 to 1) spreads it from half to one and a half times, so that callers do not retry
+/// simultaneously.
+pub fn retry_after(overload_ratio: f64, jitter: f64) -> Duration {
+    let base = BASE_DELAY.mul_f64(overload_ratio.clamp(1.0, MAX_OVERLOAD_RATIO));
     base.mul_f64(0.5 + jitter)
 }
--- a/crates/sablehaven-routing/src/router.rs
+++ b/crates/sablehaven-routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The decisions for one service, assembled from the single mechanisms.
+//! Routing decisions for one service, combined from the individual mechanisms.
 
 use std::time::Duration;
 
@@ -9,29 +9,29 @@
 };
 
 use crate::admission::AdmissionLimit;
-use crate::budget::ExtraBudget;
-use crate::health::{Change, Sign};
+use crate::budget::ExtraAttemptBudget;
+use crate::health::{HealthChange, HealthSignal};
 use crate::hedging;
 use crate::interface::{
     Admission, AgentLocation, AttemptOutcome, AttemptResult, ChosenBackend, ExtraAttemptKind,
     RouterCounters, RouterState, ServiceUpdate,
 };
-use crate::probe::ProbeAllowance;
+use crate::probe::ProbeBudget;
 use crate::retry_after::retry_after;
-use crate::service_state::{Knowledge, per_mille};
+use crate::service_state::{ServiceState, per_mille};
 use crate::subset::ConnectionBounds;
 
 /// The routing decisions of one agent for one service.
 ///
-/// `now` is the time since an arbitrary start that is the same for all calls, and never goes back.
-/// The same seed and the same calls give the same decisions.
+/// `now` is the time since an arbitrary origin. The origin is the same for all calls and time never
+/// goes backwards. The same seed and the same calls give the same decisions.
 #[derive(Debug)]
 pub struct ServiceRouter {
-    site: AgentLocation,
+    location: AgentLocation,
     random: Pcg64Mcg,
-    knowledge: Knowledge,
-    budget: ExtraBudget,
-    probes: ProbeAllowance,
+    service: ServiceState,
+    budget: ExtraAttemptBudget,
+    probe_budget: ProbeBudget,
     admission: AdmissionLimit,
     observations: Vec<Observation>,
     counters: RouterCounters,
@@ -39,14 +39,14 @@
 }
 
 impl ServiceRouter {
-    /// Makes a router that knows no back end yet.
-    pub fn new(site: AgentLocation, settings: &RoutingSettings, seed: u64) -> Self {
+    /// Creates a router that knows no back ends yet.
+    pub fn new(location: AgentLocation, settings: &RoutingSettings, seed: u64) -> Self {
         Self {
-            site,
+            location,
             random: Pcg64Mcg::seed_from_u64(seed),
-            knowledge: Knowledge::new(settings),
-            budget: ExtraBudget::new(per_mille(settings.extra_load_per_mille)),
-            probes: ProbeAllowance::default(),
+            service: ServiceState::new(settings),
+            budget: ExtraAttemptBudget::new(per_mille(settings.extra_load_per_mille)),
+            probe_budget: ProbeBudget::default(),
             admission: AdmissionLimit::default(),
             observations: Vec::new(),
             counters: RouterCounters::default(),
@@ -54,43 +54,43 @@
         }
     }
 
-    /// Takes in the latest view of the service.
+    /// Applies the latest shared state of the service.
     pub fn update(&mut self, now: Duration, update: ServiceUpdate<'_>) {
         self.apply_settings(update.settings);
-        self.knowledge
+        self.service
             .table
-            .update(now, &self.site.placement, update.backends);
+            .update(now, &self.location.placement, update.backends);
         let bounds = ConnectionBounds {
-            connections_per_server: self.knowledge.settings.connections_per_server,
+            connections_per_server: self.service.settings.connections_per_server,
             agents: update.agents,
             replica_sets_per_server: 1,
         };
         let random = &mut self.random;
-        self.knowledge.plans.update(
+        self.service.plans.update(
             now,
-            &mut self.knowledge.table,
+            &mut self.service.table,
             update.snapshot,
             bounds,
             || random.random(),
         );
-        self.knowledge
+        self.service
             .plans
-            .select_all(&self.site.agent, &self.knowledge.table);
+            .select_all(&self.location.agent, &self.service.table);
     }
 
     fn apply_settings(&mut self, settings: &RoutingSettings) {
-        if self.knowledge.settings == *settings {
+        if self.service.settings == *settings {
             return;
         }
-        self.knowledge.settings = settings.clone();
+        self.service.settings = settings.clone();
         self.budget
             .set_share(per_mille(settings.extra_load_per_mille));
-        self.knowledge
+        self.service
             .latencies
             .set_quantile(per_mille(settings.hedge_quantile_per_mille));
     }
 
-    /// Whether a request of this many sub-requests may start.
+    /// Returns whether a request with this many sub-requests may start.
     pub fn admit(&mut self, now: Duration, sub_requests: u32) -> Admission {
         if !self.admission.admit(now, sub_requests) {
             self.counters.refused += 1;
@@ -100,13 +100,13 @@
             };
         }
         self.counters.needed += u64::from(sub_requests);
-        self.budget.earn(now, sub_requests);
-        self.probes.earn(sub_requests);
+        self.budget.deposit(now, sub_requests);
+        self.probe_budget.deposit(sub_requests);
         Admission::Admitted
     }
 
-    /// Chooses a replica of the shard, none of `exclude`. A first attempt (nothing excluded) may
-    /// serve as the probe of a back end that is out.
+    /// Chooses a replica of the shard that is not in `exclude`. A first attempt (nothing excluded)
+    /// may serve as the probe of a back end that receives no ordinary work.
     pub fn choose(
         &mut self,
         now: Duration,
@@ -114,18 +114,18 @@
         exclude: &[BackendId],
     ) -> Option<ChosenBackend> {
         let shard = shard.0 as usize;
-        self.step_spill(now, shard);
+        self.adjust_spill(now, shard);
         let position = match self.probe_target(now, shard, exclude) {
             Some(target) => {
-                self.knowledge.table.at_mut(target).health.probe(now);
+                self.service.table.at_mut(target).health.start_probe(now);
                 target
             }
             None => {
-                let choice = self.knowledge.choice(now, shard, exclude)?;
-                choice.pick(&mut self.random)?
+                let selector = self.service.replica_selector(now, shard, exclude)?;
+                selector.pick(&mut self.random)?
             }
         };
-        let record = &self.knowledge.table.at(position).record;
+        let record = &self.service.table.at(position).record;
         Some(ChosenBackend {
             backend: record.id.clone(),
             address: record.address,
@@ -142,64 +142,71 @@
         if !exclude.is_empty() {
             return None;
         }
-        let target = self.knowledge.choice(now, shard, exclude)?.probe_target()?;
-        if !self.probes.has_one() || !self.budget.reserve(now) {
+        let target = self
+            .service
+            .replica_selector(now, shard, exclude)?
+            .probe_target()?;
+        if !self.probe_budget.has_token() || !self.budget.reserve(now) {
             return None;
         }
-        self.probes.take();
+        self.probe_budget.withdraw();
         Some(target)
     }
 
-    fn step_spill(&mut self, now: Duration, shard: usize) {
-        let Some(plan) = self.knowledge.plans.get(shard) else {
+    fn adjust_spill(&mut self, now: Duration, shard: usize) {
+        let Some(plan) = self.service.plans.get(shard) else {
             return;
         };
-        if !plan.spill.step_due(now) {
+        if !plan.spill.is_step_due(now) {
             return;
         }
-        let pressures = plan.pressures(now, &self.knowledge.table);
+        let pressures = plan.pressures(now, &self.service.table);
         let phase = self.random.random();
-        if let Some(plan) = self.knowledge.plans.get_mut(shard) {
+        if let Some(plan) = self.service.plans.get_mut(shard) {
             plan.spill.step(now, &pressures, phase);
         }
     }
 
-    /// Why [`Self::choose`] gives nothing for the shard.
+    /// Returns the reason for which [`Self::choose`] finds no back end for the shard.
     pub fn no_choice_reason(
         &self,
         now: Duration,
         shard: ShardId,
         exclude: &[BackendId],
     ) -> MissingReason {
-        self.knowledge
-            .choice(now, shard.0 as usize, exclude)
-            .map_or(MissingReason::NoReplica, |choice| choice.missing_reason())
+        self.service
+            .replica_selector(now, shard.0 as usize, exclude)
+            .map_or(MissingReason::NoReplica, |selector| {
+                selector.missing_reason()
+            })
     }
 
-    /// Time after sending at which a hedge may be sent; `None` means do not hedge.
+    /// Returns the time after sending at which a hedge may be sent, or `None` for no hedge.
     pub fn hedge_after(
         &self,
         now: Duration,
         shard: ShardId,
         chosen: &BackendId,
     ) -> Option<Duration> {
-        let position = self.knowledge.table.position(chosen)?;
+        let position = self.service.table.position(chosen)?;
         let exclude = std::slice::from_ref(chosen);
-        let choice = self.knowledge.choice(now, shard.0 as usize, exclude)?;
+        let selector = self
+            .service
+            .replica_selector(now, shard.0 as usize, exclude)?;
         let quantile = self
-            .knowledge
+            .service
             .latencies
-            .quantile(self.knowledge.table.at(position).distance);
+            .quantile(self.service.table.at(position).distance);
         hedging::hedge_after(
             quantile,
-            choice.least_ready_load(),
-            self.knowledge.settings.slots_per_server,
+            selector.least_ready_load(),
+            self.service.settings.slots_per_server,
         )
     }
 
-    /// Takes one attempt beyond the first out of the budget; `false` means not allowed.
+    /// Charges one attempt beyond the first to the budget. Returns `false` if it is not allowed.
     pub fn take_extra(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool {
-        if !self.budget.take(now, kind) {
+        if !self.budget.withdraw(now, kind) {
             self.counters.extra_refused += 1;
             return false;
         }
@@ -210,23 +217,23 @@
         true
     }
 
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent.
     pub fn sent(&mut self, _now: Duration, backend: &BackendId) {
-        if let Some(position) = self.knowledge.table.position(backend) {
-            self.knowledge.table.at_mut(position).in_flight += 1;
+        if let Some(position) = self.service.table.position(backend) {
+            self.service.table.at_mut(position).in_flight += 1;
         }
     }
 
-    /// Notes how an attempt ended.
+    /// Records how an attempt ended.
     pub fn finished(&mut self, now: Duration, backend: &BackendId, result: AttemptResult) {
         self.count(result.outcome);
-        let Some(position) = self.knowledge.table.position(backend) else {
+        let Some(position) = self.service.table.position(backend) else {
             return;
         };
-        if self.knowledge.record(now, position, &result) {
+        if self.service.record(now, position, &result) {
             self.select_shards_of(position);
         }
-        if self.knowledge.table.at_mut(position).health.end_probe() {
+        if self.service.table.at_mut(position).health.end_probe() {
             self.budget.release();
         }
         self.record_overload(now, position, result.outcome);
@@ -247,79 +254,79 @@
 
     fn record_overload(&mut self, now: Duration, position: usize, outcome: AttemptOutcome) {
         match outcome {
-            AttemptOutcome::Replied => self.admission.finished(now, false),
+            AttemptOutcome::Replied => self.admission.record_attempt(now, false),
             AttemptOutcome::Shed | AttemptOutcome::DeadlineRefused => {
-                self.budget.shed(now);
-                let pressed = self.knowledge.service_is_pressed(now, position);
-                self.admission.finished(now, pressed);
+                self.budget.record_shed(now);
+                let is_overloaded = self.service.is_service_overloaded(now, position);
+                self.admission.record_attempt(now, is_overloaded);
             }
             _ => {}
         }
     }
 
     fn record_health(&mut self, now: Duration, position: usize, result: &AttemptResult) {
-        let sign = match result.outcome {
-            AttemptOutcome::Replied => Sign::Answered,
-            AttemptOutcome::Shed => Sign::Shed,
+        let signal = match result.outcome {
+            AttemptOutcome::Replied => HealthSignal::Replied,
+            AttemptOutcome::Shed => HealthSignal::Shed,
             AttemptOutcome::Draining => {
-                self.drains(position, result.incarnation);
+                self.record_draining(position, result.incarnation);
                 return;
             }
-            AttemptOutcome::SnapshotGone | AttemptOutcome::DeadlineRefused => Sign::Refused,
-            AttemptOutcome::Failed => Sign::Failed,
-            AttemptOutcome::Cancelled if self.knowledge.is_slow(position, result.latency) => {
-                Sign::SlowCancel
+            AttemptOutcome::SnapshotGone | AttemptOutcome::DeadlineRefused => HealthSignal::Refused,
+            AttemptOutcome::Failed => HealthSignal::Failed,
+            AttemptOutcome::Cancelled if self.service.is_slow(position, result.latency) => {
+                HealthSignal::SlowCancelled
             }
             AttemptOutcome::Cancelled => return,
         };
         let jitter = self.random.random();
-        let health = &mut self.knowledge.table.at_mut(position).health;
-        match health.record(now, sign, jitter) {
-            Change::None => {}
-            Change::ShouldEject => self.eject_if_allowed(now, position, jitter),
-            Change::Reinstated => self.reinstate(now, position),
+        let health = &mut self.service.table.at_mut(position).health;
+        match health.record(now, signal, jitter) {
+            HealthChange::None => {}
+            HealthChange::ShouldEject => self.eject_if_allowed(now, position, jitter),
+            HealthChange::Reinstated => self.reinstate(now, position),
         }
     }
 
-    fn drains(&mut self, position: usize, incarnation: Option<u64>) {
-        let backend = self.knowledge.table.at_mut(position);
+    fn record_draining(&mut self, position: usize, incarnation: Option<u64>) {
+        let backend = self.service.table.at_mut(position);
         let incarnation = incarnation.unwrap_or_else(|| backend.health.incarnation());
-        if !backend.health.drains(incarnation) {
+        if !backend.health.mark_draining(incarnation) {
             return;
         }
-        self.observe(position, ObservationKind::Draining);
+        self.queue_observation(position, ObservationKind::Draining);
         self.select_shards_of(position);
     }
 
     fn eject_if_allowed(&mut self, now: Duration, position: usize, jitter: f64) {
-        if !self.knowledge.keeps_floor_without(position) {
+        if !self.service.keeps_minimum_without(position) {
             return;
         }
-        self.knowledge
+        self.service
             .table
             .at_mut(position)
             .health
             .eject(now, jitter);
         self.counters.ejections += 1;
-        self.observe(position, ObservationKind::Unreachable);
+        self.queue_observation(position, ObservationKind::Unreachable);
         self.select_shards_of(position);
     }
 
     fn reinstate(&mut self, now: Duration, position: usize) {
-        self.knowledge.table.at_mut(position).begin_slow_start(now);
-        self.observe(position, ObservationKind::Reachable);
+        self.service.table.at_mut(position).begin_slow_start(now);
+        self.queue_observation(position, ObservationKind::Reachable);
         self.select_shards_of(position);
     }
 
     fn select_shards_of(&mut self, position: usize) {
-        self.knowledge
+        self.service
             .plans
-            .select_shards_of(&self.site.agent, &self.knowledge.table, position);
+            .select_shards_of(&self.location.agent, &self.service.table, position);
     }
 
-    fn observe(&mut self, position: usize, kind: ObservationKind) {
-        let backend = self.knowledge.table.at_mut(position);
-        if !backend.health.report(kind) {
+    fn queue_observation(&mut self, position: usize, kind: ObservationKind) {
+        let backend = self.service.table.at_mut(position);
+        if !backend.health.mark_reported(kind) {
             return;
         }
         self.observations.push(Observation {
@@ -330,39 +337,39 @@
         });
     }
 
-    /// When a caller whose request was given up may come back.
+    /// Returns the delay after which the caller of a refused or abandoned request may retry.
     pub fn retry_after(&self, now: Duration) -> Duration {
-        retry_after(self.admission.excess(now), self.retry_jitter)
+        retry_after(self.admission.overload_ratio(now), self.retry_jitter)
     }
 
-    /// What the router saw since the last call, for the other agents.
+    /// Returns the observations since the last call, for the other agents.
     pub fn take_observations(&mut self) -> Vec<Observation> {
         std::mem::take(&mut self.observations)
     }
 
-    /// The back ends worth keeping connections to, ascending by id.
+    /// Returns the back ends to keep connections to, ascending by id.
     pub fn connections(&self) -> Vec<BackendId> {
         let mut ids: Vec<BackendId> = self
-            .knowledge
+            .service
             .plans
             .iter()
             .flat_map(|plan| plan.members.iter())
-            .map(|&member| self.knowledge.table.at(member).record.id.clone())
+            .map(|&member| self.service.table.at(member).record.id.clone())
             .collect();
         ids.sort();
         ids.dedup();
         ids
     }
 
-    /// Counts since the router was made.
+    /// Returns the counters since the router was created.
     pub fn counters(&self) -> RouterCounters {
         self.counters
     }
 
-    /// What the mechanisms are set to now.
+    /// Returns the current state of the mechanisms.
     pub fn state(&self) -> RouterState {
         let ejected = self
-            .knowledge
+            .service
             .table
             .iter()
             .filter(|backend| backend.health.is_ejected())
@@ -370,7 +377,7 @@
         RouterState {
             budget_factor: self.budget.factor(),
             admission_limit: self.admission.limit(),
-            remote_share: self.knowledge.plans.remote_share(),
+            remote_share: self.service.plans.remote_share(),
             ejected: u32::try_from(ejected).unwrap_or(u32::MAX),
         }
     }
--- a/crates/sablehaven-routing/src/slow_start.rs
+++ b/crates/sablehaven-routing/src/slow_start.rs
@@ -1,36 +1,36 @@
-//! The share of a back end that has just started and is still cold.
+//! Reduced traffic share of a back end that has just started and is still cold.
 
 use std::time::Duration;
 
-/// The share at the start, relative to a warm back end: enough to warm up, little enough not to
-/// slow many queries.
+/// Share at the start, relative to a warm back end: enough to warm up, but small enough not to slow
+/// down many queries.
 const INITIAL_WEIGHT: f64 = 0.1;
 
-/// When a back end started, as far as the agent knows.
+/// Time at which a back end started, as far as the agent knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    began_at: Option<Duration>,
+    started_at: Option<Duration>,
 }
 
 impl SlowStart {
-    /// A back end that was there before the agent looked: taken to be warm.
+    /// A back end that already existed when the agent started: assumed to be warm.
     pub fn warm() -> Self {
-        Self { began_at: None }
+        Self { started_at: None }
     }
 
-    /// A back end that is new, or back after an outage.
+    /// A back end that is new or has recovered from an outage.
     pub fn cold(now: Duration) -> Self {
         Self {
-            began_at: Some(now),
+            started_at: Some(now),
         }
     }
 
-    /// The share relative to a warm back end, rising over `ramp` from 0.1 to 1.
+    /// Returns the share relative to a warm back end. It rises linearly over `ramp` from 0.1 to 1.
     pub fn weight(&self, now: Duration, ramp: Duration) -> f64 {
-        let Some(began_at) = self.began_at else {
+        let Some(started_at) = self.started_at else {
             return 1.0;
         };
-        let age = now.saturating_sub(began_at);
+        let age = now.saturating_sub(started_at);
         if age >= ramp {
             return 1.0;
         }
--- a/crates/sablehaven-routing/tests/crash_table.rs
+++ b/crates/sablehaven-routing/tests/crash_table.rs
@@ -1,4 +1,5 @@
-//! Tests of what is known of requests under which servers ended.
+//! Tests of the crash table: suspect and quarantined requests, and the reports exchanged between
+//! gateways.
 
 use std::time::Duration;
 
@@ -10,8 +11,8 @@
 
 const REQUEST: u64 = 7;
 
-fn s(seconds: u64) -> Duration {
-    Duration::from_secs(seconds)
+fn seconds(value: u64) -> Duration {
+    Duration::from_secs(value)
 }
 
 fn quarantined(left: Duration) -> CrashStatus {
@@ -30,145 +31,157 @@
 #[test]
 fn lost_connections_make_a_request_suspect_and_an_answer_clears_it() {
     let mut table = CrashTable::default();
-    table.record_loss(s(1), REQUEST);
-    table.record_loss(s(1), REQUEST);
-    assert_eq!(table.status(s(1), REQUEST), CrashStatus::Clear);
-    table.record_loss(s(1), REQUEST);
-    assert_eq!(table.status(s(1), REQUEST), CrashStatus::Suspect);
-    assert_eq!(table.status(s(1), REQUEST + 1), CrashStatus::Clear);
-    table.record_answer(s(2), REQUEST);
-    assert_eq!(table.status(s(2), REQUEST), CrashStatus::Clear);
+    table.record_loss(seconds(1), REQUEST);
+    table.record_loss(seconds(1), REQUEST);
+    assert_eq!(table.status(seconds(1), REQUEST), CrashStatus::Clear);
+    table.record_loss(seconds(1), REQUEST);
+    assert_eq!(table.status(seconds(1), REQUEST), CrashStatus::Suspect);
+    assert_eq!(table.status(seconds(1), REQUEST + 1), CrashStatus::Clear);
+    table.record_answer(seconds(2), REQUEST);
+    assert_eq!(table.status(seconds(2), REQUEST), CrashStatus::Clear);
 }
 
 #[test]
-fn lost_connections_are_forgotten_in_time() {
+fn lost_connections_expire() {
     let mut table = CrashTable::default();
     for _ in 0..3 {
-        table.record_loss(s(1), REQUEST);
+        table.record_loss(seconds(1), REQUEST);
     }
-    let later = s(1) + LOSS_RETENTION;
-    assert_eq!(table.status(later, REQUEST), CrashStatus::Clear);
-    table.record_loss(later, REQUEST);
-    assert_eq!(table.status(later, REQUEST), CrashStatus::Clear);
+    let after_retention = seconds(1) + LOSS_RETENTION;
+    assert_eq!(table.status(after_retention, REQUEST), CrashStatus::Clear);
+    table.record_loss(after_retention, REQUEST);
+    assert_eq!(table.status(after_retention, REQUEST), CrashStatus::Clear);
 }
 
 #[test]
 fn crashes_quarantine_a_request_and_each_further_one_for_longer() {
     let mut table = CrashTable::default();
-    assert_eq!(table.record_crash(s(1), REQUEST), None);
-    assert_eq!(table.status(s(1), REQUEST), CrashStatus::Suspect);
-    let begun = table.record_crash(s(1), REQUEST).expect("a quarantine");
+    assert_eq!(table.record_crash(seconds(1), REQUEST), None);
+    assert_eq!(table.status(seconds(1), REQUEST), CrashStatus::Suspect);
+    let quarantine = table
+        .record_crash(seconds(1), REQUEST)
+        .expect("the second crash starts a quarantine");
     assert_eq!(
-        (begun.duration, begun.report.crashes),
+        (quarantine.duration, quarantine.report.crashes),
         (FIRST_QUARANTINE, 2)
     );
-    assert_eq!(table.status(s(1), REQUEST), quarantined(FIRST_QUARANTINE));
-    let over = s(1) + FIRST_QUARANTINE;
-    assert_eq!(table.status(over, REQUEST), CrashStatus::Suspect);
-    table.record_crash(over, REQUEST);
-    let longer = quarantined(2 * FIRST_QUARANTINE);
-    assert_eq!(table.status(over, REQUEST), longer);
+    assert_eq!(
+        table.status(seconds(1), REQUEST),
+        quarantined(FIRST_QUARANTINE)
+    );
+    let quarantine_end = seconds(1) + FIRST_QUARANTINE;
+    assert_eq!(table.status(quarantine_end, REQUEST), CrashStatus::Suspect);
+    table.record_crash(quarantine_end, REQUEST);
+    let second_quarantine = quarantined(2 * FIRST_QUARANTINE);
+    assert_eq!(table.status(quarantine_end, REQUEST), second_quarantine);
 }
 
 #[test]
-fn what_another_gateway_saw_counts_as_ones_own() {
-    let mut here = CrashTable::default();
-    let mut there = CrashTable::default();
-    here.record_crash(s(1), REQUEST);
-    here.record_crash(s(1), REQUEST);
-    let news = here
-        .take_unsent_report(s(1), REQUEST)
-        .expect("something new");
-    assert_eq!(here.take_unsent_report(s(1), REQUEST), None, "said once");
-    assert!(there.merge_report(s(100), &news).is_some());
-    assert!(there.merge_report(s(150), &news).is_none());
-    let left = FIRST_QUARANTINE - s(50);
+fn a_report_from_another_gateway_counts_like_local_crashes() {
+    let mut first_gateway = CrashTable::default();
+    let mut second_gateway = CrashTable::default();
+    first_gateway.record_crash(seconds(1), REQUEST);
+    first_gateway.record_crash(seconds(1), REQUEST);
+    let sent = first_gateway
+        .take_unsent_report(seconds(1), REQUEST)
+        .expect("an unsent report");
     assert_eq!(
-        there.status(s(150), REQUEST),
+        first_gateway.take_unsent_report(seconds(1), REQUEST),
+        None,
+        "a report is sent once"
+    );
+    assert!(second_gateway.merge_report(seconds(100), &sent).is_some());
+    assert!(second_gateway.merge_report(seconds(150), &sent).is_none());
+    let left = FIRST_QUARANTINE - seconds(50);
+    assert_eq!(
+        second_gateway.status(seconds(150), REQUEST),
         quarantined(left),
-        "a repeat changes nothing"
+        "a repeated report does not extend the quarantine"
     );
     assert_eq!(
-        there.take_unsent_report(s(150), REQUEST),
+        second_gateway.take_unsent_report(seconds(150), REQUEST),
         None,
-        "nothing of its own"
+        "a received report is not forwarded"
     );
 }
 
 #[test]
 fn an_answer_at_one_gateway_clears_the_request_at_the_others() {
-    let mut here = CrashTable::default();
-    let mut there = CrashTable::default();
-    there.merge_report(s(1), &report(0, 12, 2));
-    here.merge_report(s(1), &report(0, 12, 2));
-    here.record_answer(s(2), REQUEST);
-    let news = here
-        .take_unsent_report(s(2), REQUEST)
-        .expect("something new");
-    assert_eq!(news, report(1, 0, 0));
-    there.merge_report(s(2), &news);
-    assert_eq!(there.status(s(2), REQUEST), CrashStatus::Clear);
-    there.merge_report(s(3), &report(0, 13, 3));
+    let mut first_gateway = CrashTable::default();
+    let mut second_gateway = CrashTable::default();
+    second_gateway.merge_report(seconds(1), &report(0, 12, 2));
+    first_gateway.merge_report(seconds(1), &report(0, 12, 2));
+    first_gateway.record_answer(seconds(2), REQUEST);
+    let sent = first_gateway
+        .take_unsent_report(seconds(2), REQUEST)
+        .expect("an unsent report");
+    assert_eq!(sent, report(1, 0, 0));
+    second_gateway.merge_report(seconds(2), &sent);
+    assert_eq!(
+        second_gateway.status(seconds(2), REQUEST),
+        CrashStatus::Clear
+    );
+    second_gateway.merge_report(seconds(3), &report(0, 13, 3));
     assert_eq!(
-        there.status(s(3), REQUEST),
+        second_gateway.status(seconds(3), REQUEST),
         CrashStatus::Clear,
-        "what was seen before the answer comes too late"
+        "a report from before the answer is ignored"
     );
 }
 
 #[test]
-fn own_sightings_beyond_a_report_stay_news() {
+fn local_losses_beyond_a_received_report_are_still_reported() {
     let mut table = CrashTable::default();
     for _ in 0..4 {
-        table.record_loss(s(1), REQUEST);
+        table.record_loss(seconds(1), REQUEST);
     }
-    table.merge_report(s(1), &report(0, 2, 1));
+    table.merge_report(seconds(1), &report(0, 2, 1));
     assert_eq!(
-        table.take_unsent_report(s(1), REQUEST),
+        table.take_unsent_report(seconds(1), REQUEST),
         Some(report(0, 4, 1))
     );
 }
 
 #[test]
-fn the_number_of_reports_and_of_records_is_bounded() {
+fn the_number_of_loss_reports_and_records_is_bounded() {
     let mut table = CrashTable::default();
     let requests = 0..2 * MAX_RECORDS as u64;
     let sent = requests
         .clone()
         .filter(|request| {
-            table.record_loss(s(1), *request);
-            table.take_unsent_report(s(1), *request).is_some()
+            table.record_loss(seconds(1), *request);
+            table.take_unsent_report(seconds(1), *request).is_some()
         })
         .count();
     assert_eq!(sent, LOSS_REPORTS_PER_SECOND as usize);
-    assert_eq!(table.reports(s(1)).len(), MAX_RECORDS);
+    assert_eq!(table.reports(seconds(1)).len(), MAX_RECORDS);
 }
 
 #[test]
-fn reports_of_crashes_have_room_beside_those_of_lost_connections() {
+fn loss_reports_do_not_use_up_the_limit_of_crash_reports() {
     let mut table = CrashTable::default();
     let sent = (0..2 * u64::from(REPORTS_PER_SECOND))
         .filter(|request| {
-            table.record_loss(s(1), 1_000 + request);
-            table.take_unsent_report(s(1), 1_000 + request);
-            table.record_crash(s(1), *request);
-            table.take_unsent_report(s(1), *request).is_some()
+            table.record_loss(seconds(1), 1_000 + request);
+            table.take_unsent_report(seconds(1), 1_000 + request);
+            table.record_crash(seconds(1), *request);
+            table.take_unsent_report(seconds(1), *request).is_some()
         })
         .count();
     assert_eq!(sent, REPORTS_PER_SECOND as usize);
     assert!(
         table
-            .take_unsent_report(s(2), 2 * u64::from(REPORTS_PER_SECOND) - 1)
+            .take_unsent_report(seconds(2), 2 * u64::from(REPORTS_PER_SECOND) - 1)
             .is_some()
     );
 }
 
 #[test]
-fn a_request_that_crashed_servers_is_forgotten_last() {
+fn a_request_that_crashed_servers_is_evicted_last() {
     let mut table = CrashTable::default();
-    table.record_crash(s(1), REQUEST);
+    table.record_crash(seconds(1), REQUEST);
     for other in 0..MAX_RECORDS as u64 {
-        table.record_loss(s(2), 100 + other);
+        table.record_loss(seconds(2), 100 + other);
     }
-    assert_eq!(table.status(s(2), REQUEST), CrashStatus::Suspect);
+    assert_eq!(table.status(seconds(2), REQUEST), CrashStatus::Suspect);
 }
--- a/crates/sablehaven-routing/tests/model.rs
+++ b/crates/sablehaven-routing/tests/model.rs
@@ -1,7 +1,7 @@
-//! Scenarios of many agents and back ends in the discrete-event model, at small sizes.
+//! Scenarios with many agents and back ends in the discrete-event model, at small sizes.
 //!
-//! Each shows a mechanism at work and the same run without it. The sizes at which the project states
-//! figures are those of the `routing_model` example.
+//! They compare a mechanism with the same run without it or with a baseline policy. The sizes for
+//! which the project publishes figures are those of the `routing_model` example.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     Duration::from_secs(value)
 }
 
-/// 10 shards of 4 replicas in two zones.
+/// One region with 10 shards of 4 replicas in two zones.
 fn one_region(utilisation: f64) -> Scenario {
     let mut scenario = base(Topology {
         regions: 1,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn hedges_cut_the_tail_of_stragglers() {
+fn hedges_reduce_the_tail_latency_caused_by_stragglers() {
     let mut scenario = one_region(0.5);
     scenario.servers.straggler_share = 0.01;
     let baseline = run(&scenario, PolicyKind::Baseline, SEED).latency_ms(0.99);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_stuck_replica_of_each_shard_costs_few_answers() {
+fn a_stuck_replica_of_each_shard_costs_few_complete_replies() {
     let mut scenario = one_region(0.4);
     let stuck = (0..10).map(|shard| 4 * shard + shard % 4).collect();
     let change = Change::Behave(stuck, Behaviour::Stuck);
@@ -94,18 +94,18 @@
 }
 
 #[test]
-fn admission_keeps_answers_whole_under_twice_the_capacity() {
+fn admission_keeps_replies_complete_at_twice_the_capacity() {
     let scenario = one_region(2.0);
     let capacity = scenario.queries_for(1.0) * 10.0;
-    let useful = |kind| run(&scenario, kind, SEED).counts.complete as f64 / capacity;
-    let router = useful(PolicyKind::Router);
-    let without = useful(PolicyKind::RouterWithoutAdmission);
+    let relative_goodput = |kind| run(&scenario, kind, SEED).counts.complete as f64 / capacity;
+    let router = relative_goodput(PolicyKind::Router);
+    let without = relative_goodput(PolicyKind::RouterWithoutAdmission);
     assert!(router > 0.75, "{router}");
     assert!(without < 0.3, "{without}");
 }
 
 #[test]
-fn a_region_beyond_its_capacity_uses_the_others_without_swings() {
+fn an_overloaded_region_spills_to_the_others_without_oscillation() {
     let mut scenario = base(Topology {
         regions: 2,
         zones_per_region: 1,
@@ -113,17 +113,20 @@
         replicas_per_zone: 3,
         agents_per_zone: 4,
     });
-    let region = scenario.queries_for(1.0) / 2.0;
+    let region_load = scenario.queries_for(1.0) / 2.0;
     scenario.warm_up = seconds(10);
     scenario.end = seconds(30);
-    let load = Change::Load(vec![1.4 * region, 0.2 * region]);
+    let load = Change::Load(vec![1.4 * region_load, 0.2 * region_load]);
     scenario.changes = vec![(Duration::ZERO, load)];
     let measured = run(&scenario, PolicyKind::Router, SEED);
     assert!(measured.complete_share() > 0.95);
     let capacity = scenario.capacity() / 2.0;
     for second in &measured.seconds[10..29] {
-        let far = second.served[1] as f64 / capacity;
-        assert!((0.4..0.95).contains(&far), "{far}");
+        let remote_utilisation = second.served[1] as f64 / capacity;
+        assert!(
+            (0.4..0.95).contains(&remote_utilisation),
+            "{remote_utilisation}"
+        );
     }
 }
 
--- a/crates/sablehaven-routing/tests/subset.rs
+++ b/crates/sablehaven-routing/tests/subset.rs
@@ -1,4 +1,5 @@
-//! Properties of the subsets: within the connection limit, spread over distances, stable.
+//! Properties of the subsets: they respect the connection limit, spread over distances and are
+//! stable.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +9,8 @@
 use sablehaven_types::Distance;
 use sablehaven_types::{AgentId, BackendId};
 
-/// Replicas in each zone; the zones are the agent's own, another of its region, and two remote ones.
-const ZONES: [Distance; 4] = [
+/// Distances of the zones: the agent's own zone, another zone of its region, and two remote ones.
+const ZONE_DISTANCES: [Distance; 4] = [
     Distance::Zone,
     Distance::Region,
     Distance::Remote,
@@ -34,15 +35,15 @@
 }
 
 fn servers(per_zone: usize) -> Vec<BackendId> {
-    (0..per_zone * ZONES.len())
+    (0..per_zone * ZONE_DISTANCES.len())
         .map(|server| BackendId(format!("server-{server}")))
         .collect()
 }
 
-/// The members that an agent uses, where `home` is the position of its own zone.
+/// Returns the members that an agent uses; `home_zone` is the index of its own zone.
 fn members(
     agent: usize,
-    home: usize,
+    home_zone: usize,
     ids: &[BackendId],
     per_zone: usize,
     bounds: &ConnectionBounds,
@@ -52,7 +53,8 @@
         .enumerate()
         .map(|(server, id)| Candidate {
             id,
-            distance: ZONES[(server / per_zone + ZONES.len() - home) % ZONES.len()],
+            distance: ZONE_DISTANCES
+                [(server / per_zone + ZONE_DISTANCES.len() - home_zone) % ZONE_DISTANCES.len()],
         })
         .collect();
     let agent = AgentId(format!("agent-{agent}"));
@@ -66,7 +68,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn no_server_gets_more_agents_than_its_connections(
+    fn no_server_exceeds_its_connection_limit(
         agents in 1u32..600,
         per_zone in 2usize..8,
         connections in 65u32..111,
@@ -74,28 +76,29 @@
     ) {
         let bounds = bounds(connections, agents);
         let ids = servers(per_zone);
-        // Below two members a shard the limit may give way, or the shard could not be asked at all.
+        // Below two members per shard the limit may be exceeded, since the agent could not query
+        // the shard otherwise.
         prop_assume!(bounds.share() * ids.len() as f64 >= 2.0);
-        let mut connected = vec![0u32; ids.len()];
+        let mut agents_by_server = vec![0u32; ids.len()];
         for agent in 0..agents as usize {
-            let home = if concentrated { 0 } else { agent % ZONES.len() };
-            for member in members(agent, home, &ids, per_zone, &bounds) {
-                connected[member] += 1;
+            let home_zone = if concentrated { 0 } else { agent % ZONE_DISTANCES.len() };
+            for member in members(agent, home_zone, &ids, per_zone, &bounds) {
+                agents_by_server[member] += 1;
             }
         }
-        let most = connected.iter().max().copied().unwrap_or(0);
-        prop_assert!(most <= connections, "{most} of {connections}, {connected:?}");
+        let max_connected = agents_by_server.iter().max().copied().unwrap_or(0);
+        prop_assert!(max_connected <= connections, "{max_connected} of {connections}, {agents_by_server:?}");
     }
 
     #[test]
-    fn members_use_most_of_the_limit(agents in 200u32..600, connections in 65u32..111) {
+    fn expected_connections_use_most_of_the_limit(agents in 200u32..600, connections in 65u32..111) {
         let bounds = bounds(connections, agents);
         let mean = bounds.share() * f64::from(agents);
         prop_assert!(mean >= 0.55 * f64::from(connections), "{mean}");
     }
 
     #[test]
-    fn every_distance_has_a_member_where_its_share_gives_one(
+    fn every_distance_has_a_member_if_its_share_is_at_least_one(
         agents in 1u32..300,
         agent in 0usize..1_000,
         per_zone in 2usize..8,
@@ -112,31 +115,32 @@
     }
 
     #[test]
-    fn a_server_that_goes_changes_only_its_own_place(
+    fn removing_a_server_changes_only_its_own_membership(
         agent in 0usize..1_000,
         agents in 1u32..500,
-        gone in 0usize..20,
+        removed in 0usize..20,
     ) {
         let bounds = bounds(75, agents);
         let ids = servers(5);
         let before = members(agent, 0, &ids, 5, &bounds);
         let candidates: Vec<_> = (0..ids.len())
-            .filter(|&server| server != gone)
-            .map(|server| Candidate { id: &ids[server], distance: ZONES[server / 5] })
+            .filter(|&server| server != removed)
+            .map(|server| Candidate { id: &ids[server], distance: ZONE_DISTANCES[server / 5] })
             .collect();
         let agent = AgentId(format!("agent-{agent}"));
         let after: BTreeSet<usize> = select(&agent, &candidates, &bounds)
             .members
             .into_iter()
-            .map(|index| if index < gone { index } else { index + 1 })
+            .map(|index| if index < removed { index } else { index + 1 })
             .collect();
-        // Its replacement, and one that the smaller group's rounding may drop.
+        // One member may be added as its replacement, and rounding in the smaller group may drop
+        // one.
         prop_assert!(after.difference(&before).count() <= 1);
-        prop_assert!(before.difference(&after).filter(|&&server| server != gone).count() <= 1);
+        prop_assert!(before.difference(&after).filter(|&&server| server != removed).count() <= 1);
     }
 
     #[test]
-    fn one_agent_more_changes_few_members(agents in 80u32..600) {
+    fn adding_an_agent_changes_few_members(agents in 80u32..600) {
         let ids = servers(5);
         let changed: usize = (0..100)
             .map(|agent| {
@@ -145,7 +149,7 @@
                 Ok(before.symmetric_difference(&after).count())
             })
             .sum::<Result<usize, TestCaseError>>()?;
-        // 100 subsets of up to 20 members.
+        // The 100 subsets have up to 20 members each.
         prop_assert!(changed <= 40, "{changed}");
     }
 }
--- a/crates/sablehaven-routing/tests/support/mod.rs
+++ b/crates/sablehaven-routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small service around one router, for the scenario tests.
+//! A small service with one router, for the scenario tests.
 #![allow(dead_code, reason = "each test file uses a part of the shared support")]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,7 +13,7 @@
     RoutingSettings, ServiceName, ShardAssignment, ShardId, SnapshotId, ZoneName,
 };
 
-/// The only shard of most tests.
+/// The only shard.
 pub const SHARD: ShardId = ShardId(0);
 
 pub fn placement(region: &str, zone: &str) -> Placement {
@@ -38,7 +38,7 @@
     Duration::from_millis(value)
 }
 
-/// One router and the shared state that it is given.
+/// A router and the shared state that it receives.
 pub struct Service {
     pub router: ServiceRouter,
     pub settings: RoutingSettings,
@@ -47,14 +47,14 @@
 }
 
 impl Service {
-    /// One shard on all `backends`, an agent in zone `a1` of region `a`.
+    /// Creates a service with one shard on all `backends`, and an agent in zone `a1` of region `a`.
     pub fn new(backends: Vec<BackendRecord>, settings: RoutingSettings) -> Self {
-        let site = AgentLocation {
+        let location = AgentLocation {
             agent: AgentId::from("agent-1"),
             placement: placement("a", "a1"),
         };
         let mut service = Self {
-            router: ServiceRouter::new(site, &settings, 7),
+            router: ServiceRouter::new(location, &settings, 7),
             settings,
             backends,
             agents: 10,
@@ -63,7 +63,7 @@
         service
     }
 
-    /// Gives the router the shared state as it is now.
+    /// Passes the current shared state to the router.
     pub fn publish(&mut self, now: Duration) {
         let replicas = self.backends.iter().map(|record| record.id.clone());
         let snapshot = IndexSnapshot {
@@ -86,23 +86,23 @@
         self.router.update(now, update);
     }
 
-    /// Chooses, sends and finishes one attempt; the back end that got it.
+    /// Chooses a back end, sends an attempt and finishes it. Returns the back end that received it.
     pub fn attempt(
         &mut self,
         now: Duration,
-        answer: impl Fn(&str) -> AttemptResult,
+        result_of: impl Fn(&str) -> AttemptResult,
     ) -> Option<String> {
         self.router.admit(now, 1);
         let chosen = self.router.choose(now, SHARD, &[])?;
         self.router.sent(now, &chosen.backend);
-        let result = answer(chosen.backend.as_str());
+        let result = result_of(chosen.backend.as_str());
         self.router
             .finished(now + result.latency, &chosen.backend, result);
         Some(chosen.backend.0)
     }
 }
 
-pub fn ended(outcome: AttemptOutcome, latency: Duration) -> AttemptResult {
+pub fn attempt_result(outcome: AttemptOutcome, latency: Duration) -> AttemptResult {
     AttemptResult {
         outcome,
         latency,
@@ -112,7 +112,7 @@
 }
 
 pub fn replied() -> AttemptResult {
-    ended(AttemptOutcome::Replied, millis(5))
+    attempt_result(AttemptOutcome::Replied, millis(5))
 }
 
 pub fn replied_with_load(running_and_queued: u32, age: Duration) -> AttemptResult {
