--- a/crates/sablehaven-routing/src/admission.rs
+++ b/crates/sablehaven-routing/src/admission.rs
@@ -1,10 +1,10 @@
-//! Admission control: limits the requests that start when back ends shed load.
+//! Admission control: limits how many requests start while back ends shed load.
 //!
 //! There is no limit until back ends shed. Shed attempts then set a limit on the rate of needed
-//! sub-requests and lower it in proportion to the fraction that was shed. The limit grows again,
-//! slowly at first, until back ends shed once more, and is removed when demand stays below it. A
-//! request beyond the limit is refused before any work is done for it, so that the work that is
-//! done produces complete replies.
+//! sub-requests, excluding hedges and retries, and lower it in proportion to the fraction that
+//! was shed. The limit grows again, slowly at first, until back ends shed once more, and is removed
+//! when demand stays below it. A request beyond the limit is refused before any work is done for
+//! it, so that the work that is done produces complete replies.
 
 use std::time::Duration;
 
--- a/crates/sablehaven-routing/src/choice.rs
+++ b/crates/sablehaven-routing/src/choice.rs
@@ -64,7 +64,7 @@
             .or_else(|| self.least_costly(Availability::Ejected))
     }
 
-    /// Returns the reason for which [`Self::pick`] finds no back end.
+    /// Returns why [`Self::pick`] finds no back end.
     pub fn missing_reason(&self) -> MissingReason {
         let mut best = None;
         for &member in &self.plan.members {
--- a/crates/sablehaven-routing/src/interface.rs
+++ b/crates/sablehaven-routing/src/interface.rs
@@ -18,7 +18,7 @@
     pub placement: Placement,
 }
 
-/// The shared state of one service, as the agent has received it last.
+/// The shared state of one service, as last received by the agent.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceUpdate<'a> {
     /// Limits and routing settings.
--- a/crates/sablehaven-routing/src/router.rs
+++ b/crates/sablehaven-routing/src/router.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Returns the reason for which [`Self::choose`] finds no back end for the shard.
+    /// Returns why [`Self::choose`] finds no back end for the shard.
     pub fn no_choice_reason(
         &self,
         now: Duration,
