--- a/crates/sablehaven-agent/src/once/dispatch.rs
+++ b/crates/sablehaven-agent/src/once/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Instant};
 
-use sablehaven_routing::{AttemptOutcome, Chosen};
+use sablehaven_routing::{AttemptOutcome, ChosenBackend};
 use sablehaven_schema::encode_protobuf;
 
 use super::flow::OnceRequest;
@@ -16,7 +16,7 @@
 /// The dispatch permitted by a granted claim.
 pub struct Dispatch {
     /// The back end to send to.
-    pub chosen: Chosen,
+    pub chosen: ChosenBackend,
     /// The identifiers that the reply must echo.
     pub identity: AttemptIdentity,
 }
--- a/crates/sablehaven-agent/src/once/flow.rs
+++ b/crates/sablehaven-agent/src/once/flow.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use prost_reflect::DynamicMessage;
-use sablehaven_routing::{Admission, Chosen};
+use sablehaven_routing::{Admission, ChosenBackend};
 use sablehaven_schema::{MethodSchema, decode_reply, shard_for_key};
 use sablehaven_subscription::Subscription;
 use sablehaven_types::{
@@ -195,7 +195,7 @@
         })
     }
 
-    fn choose(&self, pinned: &IndexSnapshot) -> Result<(ShardId, Chosen), MissingReason> {
+    fn choose(&self, pinned: &IndexSnapshot) -> Result<(ShardId, ChosenBackend), MissingReason> {
         let shard_count = u32::try_from(pinned.shards.len()).unwrap_or(u32::MAX);
         let shard = shard_for_key(&self.request.method, &self.request.message, shard_count)
             .map_err(|_| MissingReason::NoReplica)?;
--- a/crates/sablehaven-agent/src/plan.rs
+++ b/crates/sablehaven-agent/src/plan.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Instant};
 
-use sablehaven_routing::{AgentSite, ServiceUpdate};
+use sablehaven_routing::{AgentLocation, ServiceUpdate};
 use sablehaven_schema::{DeploymentSchema, MethodSchema, SchemaProblem};
 use sablehaven_subscription::View;
 use sablehaven_types::{ConfigurationAge, SchemaSource, ServiceConfiguration, ServiceName};
@@ -71,7 +71,7 @@
 
 /// Builds plans, each based on the previous one.
 pub struct PlanBuilder {
-    site: AgentSite,
+    site: AgentLocation,
     connection_settings: ConnectionSettings,
     policies: PolicyFactory,
     observer: Observer,
@@ -93,7 +93,7 @@
 impl PlanBuilder {
     /// Creates a builder whose previous plan is empty.
     pub fn new(
-        site: AgentSite,
+        site: AgentLocation,
         connection_settings: ConnectionSettings,
         policies: PolicyFactory,
         observer: Observer,
--- a/crates/sablehaven-agent/src/query/attempt.rs
+++ b/crates/sablehaven-agent/src/query/attempt.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use prost_reflect::DynamicMessage;
-use sablehaven_routing::{AttemptOutcome, Chosen};
+use sablehaven_routing::{AttemptOutcome, ChosenBackend};
 use sablehaven_schema::{MethodSchema, decode_reply};
 use sablehaven_types::{AttemptId, IndexSnapshot, ShardId};
 
@@ -42,7 +42,7 @@
 pub async fn run_attempt(
     shared: SharedRequest<'_>,
     shard: ShardId,
-    chosen: Chosen,
+    chosen: ChosenBackend,
 ) -> Result<DynamicMessage, AttemptFailure> {
     let router = Arc::clone(&shared.service.router);
     let attempt_guard = AttemptGuard::new(router, chosen.backend.clone(), shared.deadline);
@@ -79,7 +79,7 @@
 async fn send(
     shared: SharedRequest<'_>,
     identity: AttemptIdentity,
-    chosen: &Chosen,
+    chosen: &ChosenBackend,
 ) -> AttemptReport {
     let connections = &shared.service.connections;
     let client = match connections.client(&chosen.backend, chosen.address) {
@@ -122,7 +122,7 @@
 
 /// Returns whether the process of a back end has ended, which shows by its address refusing
 /// connections. A lost connection alone is not sufficient evidence.
-pub async fn is_terminated(shared: SharedRequest<'_>, chosen: &Chosen) -> bool {
+pub async fn is_terminated(shared: SharedRequest<'_>, chosen: &ChosenBackend) -> bool {
     let connections = &shared.service.connections;
     match connections.client(&chosen.backend, chosen.address) {
         Ok(client) => client.refuses_connections().await,
--- a/crates/sablehaven-agent/src/query/crashes.rs
+++ b/crates/sablehaven-agent/src/query/crashes.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use sablehaven_routing::crash_table::{CrashTable, MOST_LOST_TRIALS, Standing};
+use sablehaven_routing::crash_table::{CrashStatus, CrashTable, MAX_LOST_TRIALS};
 use sablehaven_types::{RequestFingerprint, fingerprint_text};
 use tokio::{sync::Notify, time::timeout};
 
@@ -29,8 +29,8 @@
 
 impl QueryCrashes {
     /// Returns whether a query may be sent to back ends.
-    pub fn standing(&self, now: Duration, fingerprint: RequestFingerprint) -> Standing {
-        self.lock().standing(now, fingerprint)
+    pub fn standing(&self, now: Duration, fingerprint: RequestFingerprint) -> CrashStatus {
+        self.lock().status(now, fingerprint)
     }
 
     fn lock(&self) -> MutexGuard<'_, CrashTable> {
@@ -104,7 +104,7 @@
     /// survived the query.
     pub fn replied(&self, now: Duration) {
         if !self.has_replied.swap(true, Ordering::AcqRel) {
-            self.crashes.lock().answered(now, self.fingerprint);
+            self.crashes.lock().record_answer(now, self.fingerprint);
         }
     }
 
@@ -112,7 +112,7 @@
     pub fn lost(&self, now: Duration) {
         self.has_lost_attempt.store(true, Ordering::Release);
         if !self.has_replied.load(Ordering::Acquire) {
-            self.crashes.lock().lost(now, self.fingerprint);
+            self.crashes.lock().record_loss(now, self.fingerprint);
         }
     }
 
@@ -123,11 +123,11 @@
         if !is_terminated {
             return;
         }
-        let quarantine = self.crashes.lock().crashed(now, self.fingerprint);
+        let quarantine = self.crashes.lock().record_crash(now, self.fingerprint);
         if let Some(quarantine) = quarantine {
             log::warn!(
                 event = "request_quarantined", target:% = fingerprint_text(self.fingerprint),
-                lost = quarantine.report.lost, crashes = quarantine.report.crashes, for_s = quarantine.time.as_secs();
+                lost = quarantine.report.lost, crashes = quarantine.report.crashes, for_s = quarantine.duration.as_secs();
                 "this request crashes back ends and is quarantined"
             );
         }
@@ -153,11 +153,11 @@
         if self.is_clear(now()) {
             return Turn::Send;
         }
-        let has_exhausted_trials = self.lost_trials.load(Ordering::Acquire) >= MOST_LOST_TRIALS;
+        let has_exhausted_trials = self.lost_trials.load(Ordering::Acquire) >= MAX_LOST_TRIALS;
         match self.standing(now()) {
-            Standing::Quarantined { .. } => Turn::Never,
+            CrashStatus::Quarantined { .. } => Turn::Never,
             _ if has_exhausted_trials => Turn::Never,
-            Standing::Clear | Standing::Suspect => Turn::Trial(trial),
+            CrashStatus::Clear | CrashStatus::Suspect => Turn::Trial(trial),
         }
     }
 
@@ -169,15 +169,15 @@
     }
 
     fn is_undecided(&self, now: Duration) -> bool {
-        !self.has_replied.load(Ordering::Acquire) && self.standing(now) == Standing::Clear
+        !self.has_replied.load(Ordering::Acquire) && self.standing(now) == CrashStatus::Clear
     }
 
     /// Returns whether several attempts of the query may be in flight at once.
     pub fn is_clear(&self, now: Duration) -> bool {
-        self.has_replied.load(Ordering::Acquire) || self.standing(now) == Standing::Clear
+        self.has_replied.load(Ordering::Acquire) || self.standing(now) == CrashStatus::Clear
     }
 
-    fn standing(&self, now: Duration) -> Standing {
+    fn standing(&self, now: Duration) -> CrashStatus {
         self.crashes.standing(now, self.fingerprint)
     }
 }
