--- a/crates/sablehaven-control/src/driver/removal/tests.rs
+++ b/crates/sablehaven-control/src/driver/removal/tests.rs
@@ -32,7 +32,10 @@
 /// A watch of a leader that has led for long, and what it knows of grants.
 fn watch() -> (RemovalWatch, Arc<Mutex<PartGrants>>) {
     let grants: Arc<Mutex<PartGrants>> = Arc::default();
-    grants.lock().expect("grants").leads(at(0), TERM);
+    grants
+        .lock()
+        .expect("grants")
+        .record_leadership(at(0), TERM);
     (RemovalWatch::new(Arc::clone(&grants), PATIENCE), grants)
 }
 
@@ -47,7 +50,10 @@
 fn a_member_that_was_silent_for_the_patience_has_no_part_to_wait_for() {
     let replicas = with_change(ChangeKind::Remove { replica: REMOVED }, None);
     let (mut watch, grants) = watch();
-    grants.lock().expect("grants").asked(at(1_000), REMOVED);
+    grants
+        .lock()
+        .expect("grants")
+        .record_probe(at(1_000), REMOVED);
     assert!(is_over(&mut watch, at(9_000), TERM, &replicas));
 }
 
@@ -55,7 +61,10 @@
 fn an_operators_removal_of_a_member_that_answers_lasts_until_its_hold_is_over() {
     let replicas = with_change(ChangeKind::Remove { replica: REMOVED }, None);
     let (mut watch, grants) = watch();
-    grants.lock().expect("grants").asked(at(9_000), REMOVED);
+    grants
+        .lock()
+        .expect("grants")
+        .record_probe(at(9_000), REMOVED);
     assert!(!is_over(&mut watch, at(9_100), TERM, &replicas));
     assert!(!is_over(&mut watch, at(11_999), TERM, &replicas));
     assert!(is_over(&mut watch, at(12_000), TERM, &replicas));
@@ -65,7 +74,10 @@
 fn a_new_leader_waits_from_when_it_knows() {
     let replicas = with_change(ChangeKind::Remove { replica: REMOVED }, None);
     let (mut watch, grants) = watch();
-    grants.lock().expect("grants").asked(at(9_000), REMOVED);
+    grants
+        .lock()
+        .expect("grants")
+        .record_probe(at(9_000), REMOVED);
     assert!(!is_over(&mut watch, at(9_100), TERM, &replicas));
     assert!(!is_over(&mut watch, at(12_000), TERM + 1, &replicas));
     assert!(!is_over(&mut watch, at(14_999), TERM + 1, &replicas));
@@ -80,7 +92,10 @@
         order: ReplacementOrder::RemoveFirst,
     };
     let (mut watch, grants) = watch();
-    grants.lock().expect("grants").asked(at(9_000), REMOVED);
+    grants
+        .lock()
+        .expect("grants")
+        .record_probe(at(9_000), REMOVED);
     let in_place = with_change(kind, Some(addresses(30)));
     assert!(is_over(&mut watch, at(9_100), TERM, &in_place));
     let elsewhere = with_change(kind, Some(addresses(40)));
--- a/crates/sablehaven-control/src/evacuation/mod.rs
+++ b/crates/sablehaven-control/src/evacuation/mod.rs
@@ -9,7 +9,7 @@
 
 /// An operator's order about one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationOrder {
+pub struct EvacuationCommand {
     /// The zone.
     pub zone: ZoneName,
     /// Whether its servers are to get nothing new from now on, or work again.
@@ -29,7 +29,7 @@
     }
 
     /// Applies a committed order, the log's entry `index`. One that says what holds already changes nothing.
-    pub fn apply(&mut self, index: u64, order: EvacuationOrder) {
+    pub fn apply(&mut self, index: u64, order: EvacuationCommand) {
         let zones = &mut self.zones.zones;
         let is_new = if order.is_evacuated {
             zones.insert(order.zone)
--- a/crates/sablehaven-control/src/evacuation/service.rs
+++ b/crates/sablehaven-control/src/evacuation/service.rs
@@ -4,7 +4,7 @@
 
 use sablehaven_types::ZoneName;
 
-use super::EvacuationOrder;
+use super::EvacuationCommand;
 use crate::{
     quorum_call::{QuorumCallError, propose_as_leader},
     server::Context,
@@ -59,7 +59,7 @@
             return Err(EvacuationError::UnknownZone { zone });
         }
         log::info!(event = "evacuation", zone:% = zone, starts = is_evacuated; "order about a zone");
-        let order = EvacuationOrder { zone, is_evacuated };
+        let order = EvacuationCommand { zone, is_evacuated };
         propose_as_leader(&self.context, SharedCommand::Evacuation(order)).await?;
         Ok(())
     }
--- a/crates/sablehaven-control/src/leader/repair.rs
+++ b/crates/sablehaven-control/src/leader/repair.rs
@@ -38,7 +38,7 @@
     loop {
         tokio::select! {
             _ = ticker.tick() => {}
-            () = context.probes.urgent() => {}
+            () = context.probes.wait_for_urgent() => {}
         }
         if policy.is_some() {
             publish_controls(&context);
@@ -81,7 +81,7 @@
     let asked_at = context.age_clock.now();
     for (member, _) in probes {
         // Before the members are looked at: one that is taken out after that look is known to have asked.
-        context.quotas.grants().asked(asked_at, *member);
+        context.quotas.grants().record_probe(asked_at, *member);
     }
     context.driver.prove_leadership().await?;
     let proven_at = context.age_clock.now();
@@ -100,7 +100,7 @@
     let members = members.replicas().keys().copied();
     let voters = status.membership.voters.iter().copied();
     silence.proven(proof, members.chain(voters), &answering);
-    context.quotas.grants().leads(proven_at, term);
+    context.quotas.grants().record_leadership(proven_at, term);
     grant(context, &status, &answering, probes);
     Some(status)
 }
@@ -123,7 +123,7 @@
     let is_granted = |member: &ReplicaId| voters.contains(member) && answering.contains(member);
     for (member, number) in probes.iter().filter(|(member, _)| is_granted(member)) {
         if *member == context.replica {
-            context.quotas.granted(*number);
+            context.quotas.record_grant(*number);
             continue;
         }
         let payload = PeerPayload::PartAnswer(PartAnswer::Granted { number: *number });
--- a/crates/sablehaven-control/src/peers/incoming.rs
+++ b/crates/sablehaven-control/src/peers/incoming.rs
@@ -10,7 +10,7 @@
 };
 use crate::{
     driver::Input,
-    quotas::{LoanHandler, answer_probe, take_answer},
+    quotas::{LoanHandler, answer_probe, handle_probe_answer},
     server::Context,
 };
 
@@ -55,13 +55,13 @@
                     return Err(PeerError::ListingGap { peer });
                 }
             }
-            PeerPayload::LoanRequest(request) => loans.answer(theirs.replica, &request),
-            PeerPayload::TokenLoan(loan) => loans.receive(&loan),
+            PeerPayload::LoanRequest(request) => loans.handle_request(theirs.replica, &request),
+            PeerPayload::TokenLoan(loan) => loans.handle_loan(&loan),
             PeerPayload::PartProbe(probe) => {
                 answer_probe(server, theirs.replica, probe).await;
             }
             PeerPayload::PartAnswer(answer) => {
-                take_answer(server, theirs.replica, answer).await;
+                handle_probe_answer(server, theirs.replica, answer).await;
             }
             PeerPayload::Introduction(_) => {}
         }
--- a/crates/sablehaven-control/src/quorum_call.rs
+++ b/crates/sablehaven-control/src/quorum_call.rs
@@ -43,7 +43,7 @@
 }
 
 /// Has a quorum confirm that this replica leads, so that what it has applied is current.
-pub(crate) async fn prove_as_leader(context: &Context) -> Result<(), QuorumCallError> {
+pub(crate) async fn prove_leadership(context: &Context) -> Result<(), QuorumCallError> {
     if !context.is_leader() {
         return Err(not_leader(context));
     }
--- a/crates/sablehaven-control/src/quotas/grants.rs
+++ b/crates/sablehaven-control/src/quotas/grants.rs
@@ -14,12 +14,12 @@
 
 impl PartGrants {
     /// Notes, before the proof that leads to a grant, that a member asks.
-    pub(crate) fn asked(&mut self, now: Duration, member: ReplicaId) {
+    pub(crate) fn record_probe(&mut self, now: Duration, member: ReplicaId) {
         self.asked_at.insert(member, now);
     }
 
     /// Notes that this replica leads this term.
-    pub(crate) fn leads(&mut self, now: Duration, term: u64) {
+    pub(crate) fn record_leadership(&mut self, now: Duration, term: u64) {
         if self.leading.is_none_or(|(known, _)| known != term) {
             self.leading = Some((term, now));
         }
--- a/crates/sablehaven-control/src/quotas/hold.rs
+++ b/crates/sablehaven-control/src/quotas/hold.rs
@@ -25,14 +25,14 @@
 
 /// The limits of a hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct HoldLimits {
+pub(crate) struct LeaseLimits {
     /// Time after which a question no longer proves anything.
     duration: Duration,
     /// Time within which the answers that no leader is heard must come: they must speak of the same moment.
     window: Duration,
 }
 
-impl HoldLimits {
+impl LeaseLimits {
     /// Limits for the silence after which a leader takes a member out, and the time after which members miss a leader.
     pub(crate) fn new(patience: Duration, election_timeout: Duration) -> Self {
         Self {
@@ -71,9 +71,9 @@
 
 /// The proof by which a replica keeps its part.
 #[derive(Debug)]
-pub(crate) struct PartHold {
+pub(crate) struct PartLease {
     own: ReplicaId,
-    limits: HoldLimits,
+    limits: LeaseLimits,
     /// When the latest question was asked that proves the hold.
     proven_at: Option<Duration>,
     last_number: ProbeNumber,
@@ -89,10 +89,10 @@
     leaderless: BTreeSet<(u64, ReplicaId)>,
 }
 
-impl PartHold {
+impl PartLease {
     /// A replica that starts holds nothing. Numbers go on from `first_number`, a random one: an answer to the same
     /// replica before its restart must not be taken for one to this.
-    pub(crate) fn new(own: ReplicaId, limits: HoldLimits, first_number: ProbeNumber) -> Self {
+    pub(crate) fn new(own: ReplicaId, limits: LeaseLimits, first_number: ProbeNumber) -> Self {
         Self {
             own,
             limits,
@@ -128,7 +128,7 @@
     }
 
     /// A leader has granted the part.
-    pub(crate) fn granted(&mut self, number: ProbeNumber) {
+    pub(crate) fn record_grant(&mut self, number: ProbeNumber) {
         let asked = self.probes.iter().find(|probe| probe.number == number);
         if let Some(asked_at) = asked.map(|probe| probe.asked_at) {
             self.prove(asked_at);
--- a/crates/sablehaven-control/src/quotas/hold/tests.rs
+++ b/crates/sablehaven-control/src/quotas/hold/tests.rs
@@ -14,19 +14,19 @@
     Duration::from_millis(milliseconds)
 }
 
-fn hold() -> PartHold {
-    PartHold::new(
+fn hold() -> PartLease {
+    PartLease::new(
         ReplicaId(1),
-        HoldLimits::new(PATIENCE, ELECTION),
+        LeaseLimits::new(PATIENCE, ELECTION),
         u64::MAX - 1,
     )
 }
 
 /// A hold that a leader granted for a question of this time.
-fn granted(milliseconds: u64) -> PartHold {
+fn granted(milliseconds: u64) -> PartLease {
     let mut hold = hold();
     let number = hold.ask(at(milliseconds));
-    hold.granted(number);
+    hold.record_grant(number);
     hold
 }
 
@@ -45,7 +45,12 @@
 }
 
 /// Asks and has these members say at these times that they hear no leader.
-fn ask_others(hold: &mut PartHold, asked_at: u64, answers: &[(u64, u64)], contact: &MemberContact) {
+fn ask_others(
+    hold: &mut PartLease,
+    asked_at: u64,
+    answers: &[(u64, u64)],
+    contact: &MemberContact,
+) {
     let number = hold.ask(at(asked_at));
     for (member, answered_at) in answers {
         hold.leaderless(at(*answered_at), number, ReplicaId(*member), INDEX, contact);
@@ -65,11 +70,11 @@
     let mut hold = hold();
     let number = hold.ask(at(1_000));
     let other = hold.ask(at(1_200));
-    hold.granted(number);
+    hold.record_grant(number);
     assert!(hold.holds(at(1_000 + HELD - 1)));
     assert!(!hold.holds(at(1_000 + HELD)));
     // A process that wakes from a freeze reads the answer then.
-    hold.granted(other);
+    hold.record_grant(other);
     assert!(!hold.holds(at(1_200 + HELD)));
 }
 
@@ -77,8 +82,8 @@
 fn an_answer_to_no_question_of_this_process_grants_nothing() {
     let mut hold = hold();
     let number = hold.ask(at(0));
-    hold.granted(number.wrapping_add(1));
-    hold.granted(number.wrapping_sub(1));
+    hold.record_grant(number.wrapping_add(1));
+    hold.record_grant(number.wrapping_sub(1));
     assert!(!hold.holds(at(0)));
 }
 
--- a/crates/sablehaven-control/src/quotas/hold/tests/simulation.rs
+++ b/crates/sablehaven-control/src/quotas/hold/tests/simulation.rs
@@ -177,9 +177,9 @@
             }
             Mail::Granted(_) if self.broken == Broken::Freshness => {
                 let number = node.hold.ask(now);
-                node.hold.granted(number);
+                node.hold.record_grant(number);
             }
-            Mail::Granted(number) => node.hold.granted(number),
+            Mail::Granted(number) => node.hold.record_grant(number),
             Mail::Leaderless(number, index) => {
                 let contact = node.contact();
                 node.hold.leaderless(now, number, from, index, &contact);
@@ -238,7 +238,7 @@
         let newcomers: Vec<ReplicaId> = connected.collect();
         for (member, number) in self.nodes[position].proven(now, &newcomers) {
             if member == id {
-                self.nodes[position].hold.granted(number);
+                self.nodes[position].hold.record_grant(number);
             } else {
                 self.send(id, member, Mail::Granted(number));
             }
--- a/crates/sablehaven-control/src/quotas/hold/tests/simulation/node.rs
+++ b/crates/sablehaven-control/src/quotas/hold/tests/simulation/node.rs
@@ -65,7 +65,7 @@
     pub(super) last_change: u64,
     pub(super) frozen_until: u64,
     pub(super) inbox: Vec<(ReplicaId, Mail)>,
-    pub(super) hold: PartHold,
+    pub(super) hold: PartLease,
     pub(super) silence: Silence,
     pub(super) grants: Arc<Mutex<PartGrants>>,
     pub(super) removal: RemovalWatch,
@@ -119,7 +119,7 @@
 
 impl Node {
     pub(super) fn new(id: ReplicaId, disk: Restored, broken: Broken, random: u64) -> Self {
-        let mut limits = HoldLimits::new(at(PATIENCE), at(ELECTION));
+        let mut limits = LeaseLimits::new(at(PATIENCE), at(ELECTION));
         let mut silence = Silence::new(at(ELECTION));
         match broken {
             Broken::Freshness => limits.window = limits.duration,
@@ -137,7 +137,7 @@
             disk,
             frozen_until: 0,
             inbox: Vec::new(),
-            hold: PartHold::new(id, limits, random),
+            hold: PartLease::new(id, limits, random),
             silence,
             removal: RemovalWatch::new(Arc::clone(&grants), at(PATIENCE)),
             grants,
@@ -245,7 +245,7 @@
         }
         for (member, _) in &probes {
             let mut grants = self.grants.lock().expect("grants");
-            grants.asked(at(now), *member);
+            grants.record_probe(at(now), *member);
         }
         self.last_token += 1;
         if self.replica.read_index(self.last_token).is_ok() {
@@ -290,7 +290,10 @@
         let voters = status.membership.voters.iter().copied();
         self.silence
             .proven(proof, members.iter().copied().chain(voters), &answering);
-        self.grants.lock().expect("grants").leads(at(now), term);
+        self.grants
+            .lock()
+            .expect("grants")
+            .record_leadership(at(now), term);
         self.repair(&members, newcomers);
         let voters = status.membership.voters;
         let is_granted = |member: &ReplicaId| voters.contains(member) && answering.contains(member);
--- a/crates/sablehaven-control/src/quotas/keeper.rs
+++ b/crates/sablehaven-control/src/quotas/keeper.rs
@@ -18,7 +18,7 @@
 const URGENT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Keeps the part while there are tenants, until the replica stops.
-pub(crate) async fn keep_part(context: Arc<Context>) {
+pub(crate) async fn renew_part_lease(context: Arc<Context>) {
     let mut published = context.published.clone();
     let election_timeout = context.config.election_timeout();
     let usual_interval = ASK_INTERVAL.min(election_timeout / 5);
@@ -91,9 +91,9 @@
 }
 
 /// Takes an answer of another replica.
-pub(crate) async fn take_answer(context: &Context, from: ReplicaId, answer: PartAnswer) {
+pub(crate) async fn handle_probe_answer(context: &Context, from: ReplicaId, answer: PartAnswer) {
     match answer {
-        PartAnswer::Granted { number } => context.quotas.granted(number),
+        PartAnswer::Granted { number } => context.quotas.record_grant(number),
         PartAnswer::Leaderless {
             number,
             membership_index,
--- a/crates/sablehaven-control/src/quotas/loans.rs
+++ b/crates/sablehaven-control/src/quotas/loans.rs
@@ -14,7 +14,7 @@
 
 /// Asks other replicas for what gateways want and this one lacks, until it is dropped. While no gateway asks for tokens
 /// it rests.
-pub(crate) async fn ask_for_loans(quotas: Arc<ReplicaQuotas>, links: Arc<Links>) {
+pub(crate) async fn request_loans(quotas: Arc<ReplicaQuotas>, links: Arc<Links>) {
     loop {
         quotas.asked().await;
         let lenders = links.connected();
@@ -45,7 +45,7 @@
 
 impl LoanHandler {
     /// Lends to a replica what this one can spare; it hears nothing where that is nothing.
-    pub(crate) fn answer(&self, borrower: ReplicaId, request: &LoanRequest) {
+    pub(crate) fn handle_request(&self, borrower: ReplicaId, request: &LoanRequest) {
         if let Some(loan) = self.quotas.lend(request) {
             let payload = PeerPayload::TokenLoan(loan);
             self.links.send_payload(borrower, payload);
@@ -53,7 +53,7 @@
     }
 
     /// Takes a loan.
-    pub(crate) fn receive(&self, loan: &TokenLoan) {
+    pub(crate) fn handle_loan(&self, loan: &TokenLoan) {
         self.quotas.receive(loan);
     }
 }
--- a/crates/sablehaven-control/src/quotas/mod.rs
+++ b/crates/sablehaven-control/src/quotas/mod.rs
@@ -10,9 +10,9 @@
 mod waiting;
 
 pub(crate) use grants::PartGrants;
-pub(crate) use hold::{HoldLimits, PartHold, ProbeNumber};
-pub(crate) use keeper::{answer_probe, keep_part, take_answer};
-pub(crate) use loans::{LoanHandler, ask_for_loans};
+pub(crate) use hold::{LeaseLimits, PartLease, ProbeNumber};
+pub(crate) use keeper::{answer_probe, handle_probe_answer, renew_part_lease};
+pub(crate) use loans::{LoanHandler, request_loans};
 pub(crate) use probes::ProbeQueue;
-pub(crate) use replica_quotas::{ReplicaQuotas, follow_configuration};
+pub(crate) use replica_quotas::{ReplicaQuotas, follow_published_state};
 pub(crate) use waiting::ReplySender;
--- a/crates/sablehaven-control/src/quotas/probes.rs
+++ b/crates/sablehaven-control/src/quotas/probes.rs
@@ -37,7 +37,7 @@
     }
 
     /// Waits for an urgent question.
-    pub(crate) async fn urgent(&self) {
+    pub(crate) async fn wait_for_urgent(&self) {
         self.urgent.notified().await;
     }
 }
--- a/crates/sablehaven-control/src/quotas/replica_quotas.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas.rs
@@ -19,7 +19,7 @@
 
 use super::{
     grants::PartGrants,
-    hold::{MemberContact, PartHold, ProbeNumber},
+    hold::{MemberContact, PartLease, ProbeNumber},
     parts::parts,
     waiting::{ReplySender, WaitingRequests},
 };
@@ -36,7 +36,7 @@
     /// Times are counted from here.
     started_at: Instant,
     hold_clock: SuspensionClock,
-    hold: Mutex<PartHold>,
+    hold: Mutex<PartLease>,
     grants: Arc<Mutex<PartGrants>>,
     held: Mutex<HeldPart>,
     /// Told when gateways ask while there are tenants.
@@ -57,7 +57,7 @@
     /// Quotas that follow what the driver publishes.
     pub(crate) fn new(
         tolerance: QuotaTolerance,
-        hold: PartHold,
+        hold: PartLease,
         grants: Arc<Mutex<PartGrants>>,
         published: watch::Receiver<Published>,
         state: SharedHandle,
@@ -195,8 +195,8 @@
     }
 
     /// A leader has granted the part.
-    pub(crate) fn granted(&self, number: ProbeNumber) {
-        self.hold().granted(number);
+    pub(crate) fn record_grant(&self, number: ProbeNumber) {
+        self.hold().record_grant(number);
     }
 
     /// A member hears no leader.
@@ -217,7 +217,7 @@
         self.grants.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn hold(&self) -> MutexGuard<'_, PartHold> {
+    fn hold(&self) -> MutexGuard<'_, PartLease> {
         self.hold.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -272,7 +272,7 @@
 }
 
 /// Keeps the part by what the driver publishes, also while nobody asks: buckets fill from when their tenants are known.
-pub(crate) async fn follow_configuration(quotas: Arc<ReplicaQuotas>) {
+pub(crate) async fn follow_published_state(quotas: Arc<ReplicaQuotas>) {
     let mut published = quotas.published.clone();
     loop {
         published.mark_unchanged();
--- a/crates/sablehaven-control/src/quotas/replica_quotas/tests.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas/tests.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::{
-    quotas::HoldLimits,
+    quotas::LeaseLimits,
     routes::PutRoutes,
     shared::{SharedCommand, SharedState},
 };
@@ -49,8 +49,8 @@
         let (published, receiver) = watch::channel(published);
         let state = SharedHandle::default();
         let metrics = Metrics::default();
-        let limits = HoldLimits::new(hold, hold);
-        let hold = PartHold::new(ReplicaId(1), limits, 0);
+        let limits = LeaseLimits::new(hold, hold);
+        let hold = PartLease::new(ReplicaId(1), limits, 0);
         let grants = Arc::default();
         let quotas = ReplicaQuotas::new(
             tolerance,
@@ -60,7 +60,7 @@
             Arc::clone(&state),
             metrics,
         );
-        quotas.granted(quotas.ask());
+        quotas.record_grant(quotas.ask());
         let (replying, replies) = mpsc::channel(8);
         Self {
             quotas,
@@ -161,7 +161,7 @@
     sleep(hold);
     assert_eq!(counter.take(1, 1), TokenVerdict::NoPart);
     // Its part is empty when it has one again: what it held may have been granted elsewhere by then.
-    counter.quotas.granted(counter.quotas.ask());
+    counter.quotas.record_grant(counter.quotas.ask());
     counter.apply(2, 0.1);
     let verdict = counter.take(2, 1);
     assert!(
@@ -184,7 +184,7 @@
 #[test]
 fn a_replica_that_has_just_started_has_no_part_until_a_leader_grants_it() {
     let counter = Counter::new(WITH_SLACK);
-    *counter.quotas.hold() = PartHold::new(ReplicaId(1), HoldLimits::new(HOLD, HOLD), 0);
+    *counter.quotas.hold() = PartLease::new(ReplicaId(1), LeaseLimits::new(HOLD, HOLD), 0);
     counter.apply(1, 1_000.0);
     sleep(Duration::from_millis(50));
     assert_eq!(counter.take(1, 1), TokenVerdict::NoPart);
--- a/crates/sablehaven-control/src/routes/mod.rs
+++ b/crates/sablehaven-control/src/routes/mod.rs
@@ -43,7 +43,7 @@
     }
 
     /// The routes in force; `None` before the first.
-    pub fn held(&self) -> Option<&PutRoutes> {
+    pub fn current(&self) -> Option<&PutRoutes> {
         self.held.as_ref()
     }
 
--- a/crates/sablehaven-control/src/routes/service.rs
+++ b/crates/sablehaven-control/src/routes/service.rs
@@ -8,7 +8,7 @@
 use super::PutRoutes;
 use crate::{
     driver::read,
-    quorum_call::{QuorumCallError, propose_as_leader, prove_as_leader},
+    quorum_call::{QuorumCallError, propose_as_leader, prove_leadership},
     server::Context,
     shared::SharedCommand,
 };
@@ -57,20 +57,20 @@
     /// # Errors
     /// See [`RoutesCallError`]; never an older version.
     pub async fn newest(&self) -> Result<Option<Bytes>, RoutesCallError> {
-        prove_as_leader(&self.context).await?;
+        prove_leadership(&self.context).await?;
         Ok(read(&self.context.state, |state| {
-            state.routes().held().map(|held| held.source.clone())
+            state.routes().current().map(|held| held.source.clone())
         }))
     }
 
     /// Where a caller of a place is to go for a host: near gateways first. Empty while this replica cannot
     /// tell.
-    pub fn entry(&self, host: &str, caller: &Placement) -> Vec<SocketAddr> {
+    pub fn gateway_addresses(&self, host: &str, caller: &Placement) -> Vec<SocketAddr> {
         if !self.context.gateways.is_settled() {
             return Vec::new();
         }
         let allowed = read(&self.context.state, |state| {
-            let held = state.routes().held();
+            let held = state.routes().current();
             held.map(|held| held.document.regions_of(host))
         });
         self.context
--- a/crates/sablehaven-control/src/server/start.rs
+++ b/crates/sablehaven-control/src/server/start.rs
@@ -32,8 +32,8 @@
     operator,
     peers::{Directory, Links, PeerContext, PeerListing, form_or_join, keep_links},
     quotas::{
-        HoldLimits, PartGrants, PartHold, ProbeQueue, ReplicaQuotas, ask_for_loans,
-        follow_configuration, keep_part,
+        LeaseLimits, PartGrants, PartLease, ProbeQueue, ReplicaQuotas, follow_published_state,
+        renew_part_lease, request_loans,
     },
     relays::Registry,
     replicas::ReplicaAddresses,
@@ -221,10 +221,10 @@
         },
     ));
     let patience = Duration::from_millis(config.repair_patience_ms);
-    let hold_limits = HoldLimits::new(patience, config.election_timeout());
+    let lease_limits = LeaseLimits::new(patience, config.election_timeout());
     let quotas = Arc::new(ReplicaQuotas::new(
         config.quotas,
-        PartHold::new(replica, hold_limits, rand::random()),
+        PartLease::new(replica, lease_limits, rand::random()),
         grants,
         published_receiver.clone(),
         Arc::clone(&state),
@@ -282,12 +282,12 @@
     background.spawn(observing);
     background.spawn(leader::propose_watchers(Arc::clone(context)));
     background.spawn(refresh_gauges(Arc::clone(context)));
-    background.spawn(follow_configuration(Arc::clone(&context.quotas)));
-    background.spawn(ask_for_loans(
+    background.spawn(follow_published_state(Arc::clone(&context.quotas)));
+    background.spawn(request_loans(
         Arc::clone(&context.quotas),
         Arc::clone(&context.links),
     ));
-    background.spawn(keep_part(Arc::clone(context)));
+    background.spawn(renew_part_lease(Arc::clone(context)));
     let minimum = context.config.repair_minimum_members;
     background.spawn(leader::watch_members(Arc::clone(context), minimum));
     if let Some(platform) = context.config.platform.clone() {
--- a/crates/sablehaven-control/src/shared/mod.rs
+++ b/crates/sablehaven-control/src/shared/mod.rs
@@ -13,7 +13,7 @@
 use crate::{
     codec::{self, CodecError},
     configuration::{ConfigurationDifference, ConfigurationState},
-    evacuation::{EvacuationOrder, EvacuationState},
+    evacuation::{EvacuationCommand, EvacuationState},
     membership::{MembershipState, ObservationBatch, PlatformUpdate, ServiceWatchers},
     replicas::{ReplicasCommand, ReplicasOutcome, ReplicasState},
     routes::{PutRoutes, RoutesState},
@@ -40,7 +40,7 @@
     /// An operator's routes.
     Routes(PutRoutes),
     /// An operator's order about a zone.
-    Evacuation(EvacuationOrder),
+    Evacuation(EvacuationCommand),
 }
 
 /// What became of a command of group 0.
@@ -164,12 +164,12 @@
         }
         match self.changes.since(revision) {
             Some(keys) => Some(self.delta(revision, &keys)),
-            None => Some(self.whole()),
+            None => Some(self.full_update()),
         }
     }
 
     /// The whole state as an update.
-    pub fn whole(&self) -> StateUpdate {
+    pub fn full_update(&self) -> StateUpdate {
         let configuration = self.configuration.current();
         let services = configuration.services.iter();
         let records = self.membership.records().iter();
--- a/crates/sablehaven-control/tests/configuration.rs
+++ b/crates/sablehaven-control/tests/configuration.rs
@@ -121,16 +121,16 @@
 #[test]
 fn updates_bring_any_known_revision_to_the_current_state() {
     let mut state = SharedState::default();
-    let mut wholes = vec![state.whole()];
+    let mut wholes = vec![state.full_update()];
     for version in 0..40 {
         let shared = SharedCommand::Configuration {
             command: command(&format!("c{version}"), version, version),
             proposed_at_ms: version,
         };
         state.apply(version * 3 + 1, shared);
-        wholes.push(state.whole());
+        wholes.push(state.full_update());
     }
-    let current = state.whole();
+    let current = state.full_update();
     for past in &wholes[1..] {
         let Some(update) = state.update_since(past.revision) else {
             assert_eq!(past.revision, current.revision);
@@ -165,7 +165,7 @@
     let data = state.snapshot().expect("encode");
     let restored = SharedState::restore(&data).expect("decode");
     assert_eq!(restored.snapshot().expect("encode"), data);
-    assert_eq!(restored.whole(), state.whole());
+    assert_eq!(restored.full_update(), state.full_update());
     let mut other_version = data;
     other_version[0] = 9;
     let refused = SharedState::restore(&other_version).expect_err("another version");
--- a/crates/sablehaven-control/tests/evacuation.rs
+++ b/crates/sablehaven-control/tests/evacuation.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeSet;
 
 use sablehaven_control::{
-    evacuation::EvacuationOrder,
+    evacuation::EvacuationCommand,
     shared::{SharedCommand, SharedState},
 };
 use sablehaven_types::ZoneName;
 
 fn order(state: &mut SharedState, index: u64, zone: &str, is_evacuated: bool) {
     let zone = zone.into();
-    let order = EvacuationOrder { zone, is_evacuated };
+    let order = EvacuationCommand { zone, is_evacuated };
     state.apply(index, SharedCommand::Evacuation(order));
 }
 
