--- a/crates/sablehaven-control/src/quotas/keeper.rs
+++ b/crates/sablehaven-control/src/quotas/lease_renewal.rs
@@ -5,7 +5,7 @@
 use sablehaven_consensus::{ReplicaId, Role};
 use tokio::time::{sleep, timeout};
 
-use super::hold::{MemberContact, ProbeNumber};
+use super::lease::{MemberContact, ProbeNumber};
 use crate::{
     driver::{GroupState, read},
     peers::{PartAnswer, PartProbe, PeerPayload},
--- a/crates/sablehaven-control/src/quotas/mod.rs
+++ b/crates/sablehaven-control/src/quotas/mod.rs
@@ -1,8 +1,8 @@
 //! Tenants' quotas: what this replica grants to gateways of its part, and what replicas lend each other.
 
 mod grants;
-mod hold;
-mod keeper;
+mod lease;
+mod lease_renewal;
 mod loans;
 mod parts;
 mod probes;
@@ -10,8 +10,8 @@
 mod waiting;
 
 pub(crate) use grants::PartGrants;
-pub(crate) use hold::{LeaseLimits, PartLease, ProbeNumber};
-pub(crate) use keeper::{answer_probe, handle_probe_answer, renew_part_lease};
+pub(crate) use lease::{LeaseLimits, PartLease, ProbeNumber};
+pub(crate) use lease_renewal::{answer_probe, handle_probe_answer, renew_part_lease};
 pub(crate) use loans::{LoanHandler, request_loans};
 pub(crate) use probes::ProbeQueue;
 pub(crate) use replica_quotas::{ReplicaQuotas, follow_published_state};
--- a/crates/sablehaven-control/src/quotas/probes.rs
+++ b/crates/sablehaven-control/src/quotas/probes.rs
@@ -5,7 +5,7 @@
 use sablehaven_consensus::ReplicaId;
 use tokio::sync::Notify;
 
-use super::hold::ProbeNumber;
+use super::lease::ProbeNumber;
 
 /// The most questions that wait; more are dropped, and replicas ask again.
 const MAXIMUM_WAITING: usize = 256;
--- a/crates/sablehaven-control/src/quotas/replica_quotas.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas.rs
@@ -19,7 +19,7 @@
 
 use super::{
     grants::PartGrants,
-    hold::{MemberContact, PartLease, ProbeNumber},
+    lease::{MemberContact, PartLease, ProbeNumber},
     parts::parts,
     waiting::{ReplySender, WaitingRequests},
 };
