--- a/crates/sablehaven-control/src/quotas/grants/tests.rs
+++ b/crates/sablehaven-control/src/quotas/grants/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of how long the leader assumes that a removed member has a lease.
+
 use super::*;
 
 const PATIENCE: Duration = Duration::from_secs(3);
@@ -8,7 +10,7 @@
 }
 
 #[test]
-fn a_leader_that_has_not_led_for_the_patience_does_not_know_what_another_granted() {
+fn a_new_leader_assumes_grants_of_its_predecessor_until_the_patience_has_passed() {
     let mut grants = PartGrants::default();
     assert!(grants.may_be_held(at(10_000), 2, MEMBER, PATIENCE));
     grants.record_leadership(at(10_000), 2);
@@ -17,7 +19,7 @@
 }
 
 #[test]
-fn what_is_known_of_one_term_says_nothing_of_the_next() {
+fn the_time_of_leadership_starts_anew_in_each_term() {
     let mut grants = PartGrants::default();
     grants.record_leadership(at(0), 2);
     assert!(grants.may_be_held(at(9_000), 3, MEMBER, PATIENCE));
@@ -26,7 +28,7 @@
 }
 
 #[test]
-fn a_member_that_asked_lately_may_hold_its_part() {
+fn a_member_that_probed_within_the_patience_may_hold_its_part() {
     let mut grants = PartGrants::default();
     grants.record_leadership(at(0), 2);
     grants.record_probe(at(5_000), MEMBER);
--- a/crates/sablehaven-control/src/quotas/lease/tests.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests.rs
@@ -1,200 +1,215 @@
+//! Tests of the lease's duration and renewal, and simulations of a group with faults and membership changes.
+
 mod simulation;
 
-use simulation::{Broken, ONE_BUCKET, seen};
+use simulation::{BrokenRule, ONE_BUCKET, simulate};
 
 use super::*;
 
 const PATIENCE: Duration = Duration::from_millis(4_000);
-const ELECTION: Duration = Duration::from_millis(1_000);
-/// Of the patience less what clocks may differ.
-const HELD: u64 = 3_960;
-const INDEX: u64 = 5;
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long a lease lasts: `PATIENCE` less the allowed clock drift.
+const LEASE_MS: u64 = 3_960;
+const MEMBERSHIP_INDEX: u64 = 5;
 
 fn at(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-fn hold() -> PartLease {
+/// Replica 1 before its first probe. The second probe's number wraps around.
+fn new_lease() -> PartLease {
     PartLease::new(
         ReplicaId(1),
-        LeaseLimits::new(PATIENCE, ELECTION),
+        LeaseLimits::new(PATIENCE, ELECTION_TIMEOUT),
         u64::MAX - 1,
     )
 }
 
-/// A hold that a leader granted for a question of this time.
-fn granted(milliseconds: u64) -> PartLease {
-    let mut hold = hold();
-    let number = hold.ask(at(milliseconds));
-    hold.record_grant(number);
-    hold
+/// A lease that a leader granted for a probe sent at this time.
+fn granted_lease(sent_at_ms: u64) -> PartLease {
+    let mut lease = new_lease();
+    let number = lease.start_probe(at(sent_at_ms));
+    lease.record_grant(number);
+    lease
 }
 
-/// What a member of a group of six knows that hears no leader.
-fn leaderless_of(members: u64) -> MemberContact {
+/// The view of a member that hears no leader, in a group of this many voters.
+fn leaderless_view(members: u64) -> GroupView {
     let voters = (1..=members).map(ReplicaId).collect();
-    MemberContact {
+    GroupView {
         is_leaderless: true,
         is_settled: true,
         membership: Membership {
             voters,
             ..Membership::default()
         },
-        membership_index: INDEX,
+        membership_index: MEMBERSHIP_INDEX,
     }
 }
 
-/// Asks and has these members say at these times that they hear no leader.
-fn ask_others(
-    hold: &mut PartLease,
-    asked_at: u64,
+/// Sends a probe, which these members answer at these times by saying that they hear no leader.
+fn probe_without_leader(
+    lease: &mut PartLease,
+    sent_at_ms: u64,
     answers: &[(u64, u64)],
-    contact: &MemberContact,
+    own_view: &GroupView,
 ) {
-    let number = hold.ask(at(asked_at));
-    for (member, answered_at) in answers {
-        hold.leaderless(at(*answered_at), number, ReplicaId(*member), INDEX, contact);
+    let number = lease.start_probe(at(sent_at_ms));
+    for (member, answered_at_ms) in answers {
+        lease.record_leaderless(
+            at(*answered_at_ms),
+            number,
+            ReplicaId(*member),
+            MEMBERSHIP_INDEX,
+            own_view,
+        );
     }
 }
 
 #[test]
-fn a_replica_that_starts_holds_nothing() {
-    assert!(!hold().holds(at(0)));
-    let mut asking = hold();
-    ask_others(&mut asking, 0, &[(2, 10), (3, 10)], &leaderless_of(6));
-    assert!(!asking.holds(at(10)));
+fn a_replica_starts_without_a_lease() {
+    assert!(!new_lease().is_valid(at(0)));
+    let mut lease = new_lease();
+    probe_without_leader(&mut lease, 0, &[(2, 10), (3, 10)], &leaderless_view(6));
+    assert!(!lease.is_valid(at(10)));
 }
 
 #[test]
-fn a_hold_lasts_for_the_patience_from_the_question_whenever_the_answer_comes() {
-    let mut hold = hold();
-    let number = hold.ask(at(1_000));
-    let other = hold.ask(at(1_200));
-    hold.record_grant(number);
-    assert!(hold.holds(at(1_000 + HELD - 1)));
-    assert!(!hold.holds(at(1_000 + HELD)));
-    // A process that wakes from a freeze reads the answer then.
-    hold.record_grant(other);
-    assert!(!hold.holds(at(1_200 + HELD)));
+fn a_lease_runs_from_when_its_probe_was_sent_however_late_the_answer_is() {
+    let mut lease = new_lease();
+    let number = lease.start_probe(at(1_000));
+    let other = lease.start_probe(at(1_200));
+    lease.record_grant(number);
+    assert!(lease.is_valid(at(1_000 + LEASE_MS - 1)));
+    assert!(!lease.is_valid(at(1_000 + LEASE_MS)));
+    // A process that was frozen reads the answer only when it resumes.
+    lease.record_grant(other);
+    assert!(!lease.is_valid(at(1_200 + LEASE_MS)));
 }
 
 #[test]
-fn an_answer_to_no_question_of_this_process_grants_nothing() {
-    let mut hold = hold();
-    let number = hold.ask(at(0));
-    hold.record_grant(number.wrapping_add(1));
-    hold.record_grant(number.wrapping_sub(1));
-    assert!(!hold.holds(at(0)));
+fn an_answer_that_matches_no_probe_of_this_process_grants_nothing() {
+    let mut lease = new_lease();
+    let number = lease.start_probe(at(0));
+    lease.record_grant(number.wrapping_add(1));
+    lease.record_grant(number.wrapping_sub(1));
+    assert!(!lease.is_valid(at(0)));
 }
 
 #[test]
-fn half_of_six_that_hear_no_leader_keep_their_parts() {
-    let contact = leaderless_of(6);
-    let mut hold = granted(0);
-    ask_others(&mut hold, 3_000, &[(2, 3_020), (3, 3_020)], &contact);
-    assert!(hold.holds(at(3_000 + HELD - 1)));
-    assert!(!hold.holds(at(3_000 + HELD)));
+fn three_of_six_members_without_a_leader_renew_their_leases() {
+    let own_view = leaderless_view(6);
+    let mut lease = granted_lease(0);
+    probe_without_leader(&mut lease, 3_000, &[(2, 3_020), (3, 3_020)], &own_view);
+    assert!(lease.is_valid(at(3_000 + LEASE_MS - 1)));
+    assert!(!lease.is_valid(at(3_000 + LEASE_MS)));
 }
 
 #[test]
-fn fewer_than_block_every_quorum_prove_nothing() {
-    let mut hold = granted(0);
-    ask_others(
-        &mut hold,
+fn answers_that_leave_a_quorum_without_any_of_their_senders_renew_nothing() {
+    let mut lease = granted_lease(0);
+    probe_without_leader(
+        &mut lease,
         3_000,
         &[(2, 3_020), (2, 3_021)],
-        &leaderless_of(6),
+        &leaderless_view(6),
     );
-    assert!(!hold.holds(at(HELD)));
-    let mut hold = granted(0);
-    // One that is no member counts for nothing.
-    ask_others(
-        &mut hold,
+    assert!(!lease.is_valid(at(LEASE_MS)));
+    let mut lease = granted_lease(0);
+    // An answer from a replica that is not a member does not count.
+    probe_without_leader(
+        &mut lease,
         3_000,
         &[(2, 3_020), (9, 3_020)],
-        &leaderless_of(6),
+        &leaderless_view(6),
     );
-    assert!(!hold.holds(at(HELD)));
-    let mut hold = granted(0);
-    ask_others(&mut hold, 3_000, &[(2, 3_020)], &leaderless_of(3));
-    assert!(hold.holds(at(HELD)));
+    assert!(!lease.is_valid(at(LEASE_MS)));
+    let mut lease = granted_lease(0);
+    probe_without_leader(&mut lease, 3_000, &[(2, 3_020)], &leaderless_view(3));
+    assert!(lease.is_valid(at(LEASE_MS)));
 }
 
 #[test]
-fn answers_must_be_fresh_and_of_one_question() {
-    let contact = leaderless_of(6);
-    let mut hold = granted(0);
-    ask_others(&mut hold, 3_000, &[(2, 3_020), (3, 3_251)], &contact);
-    ask_others(&mut hold, 3_300, &[(2, 3_320)], &contact);
-    ask_others(&mut hold, 3_400, &[(3, 3_420)], &contact);
-    assert!(!hold.holds(at(HELD)));
+fn leaderless_answers_count_only_within_the_window_and_for_one_probe() {
+    let own_view = leaderless_view(6);
+    let mut lease = granted_lease(0);
+    probe_without_leader(&mut lease, 3_000, &[(2, 3_020), (3, 3_251)], &own_view);
+    probe_without_leader(&mut lease, 3_300, &[(2, 3_320)], &own_view);
+    probe_without_leader(&mut lease, 3_400, &[(3, 3_420)], &own_view);
+    assert!(!lease.is_valid(at(LEASE_MS)));
 }
 
 #[test]
-fn a_proof_goes_on_only_from_one_that_still_holds() {
-    let mut hold = granted(0);
-    ask_others(
-        &mut hold,
-        HELD,
-        &[(2, HELD + 10), (3, HELD + 10)],
-        &leaderless_of(6),
+fn an_expired_lease_is_not_renewed_without_a_leader() {
+    let mut lease = granted_lease(0);
+    probe_without_leader(
+        &mut lease,
+        LEASE_MS,
+        &[(2, LEASE_MS + 10), (3, LEASE_MS + 10)],
+        &leaderless_view(6),
     );
-    assert!(!hold.holds(at(HELD + 10)));
+    assert!(!lease.is_valid(at(LEASE_MS + 10)));
 }
 
 #[test]
-fn whoever_hears_a_leader_itself_or_knows_of_a_change_takes_no_word_of_others() {
-    let contacts = [
-        MemberContact {
+fn a_replica_that_hears_a_leader_or_knows_of_a_change_ignores_leaderless_answers() {
+    let own_views = [
+        GroupView {
             is_leaderless: false,
-            ..leaderless_of(6)
+            ..leaderless_view(6)
         },
-        MemberContact {
+        GroupView {
             is_settled: false,
-            ..leaderless_of(6)
+            ..leaderless_view(6)
         },
-        MemberContact {
-            membership_index: INDEX + 1,
-            ..leaderless_of(6)
+        GroupView {
+            membership_index: MEMBERSHIP_INDEX + 1,
+            ..leaderless_view(6)
         },
     ];
-    for contact in contacts {
-        let mut hold = granted(0);
-        ask_others(&mut hold, 3_000, &[(2, 3_020), (3, 3_020)], &contact);
-        assert!(!hold.holds(at(HELD)), "{contact:?}");
+    for own_view in own_views {
+        let mut lease = granted_lease(0);
+        probe_without_leader(&mut lease, 3_000, &[(2, 3_020), (3, 3_020)], &own_view);
+        assert!(!lease.is_valid(at(LEASE_MS)), "{own_view:?}");
     }
 }
 
 #[test]
-fn no_more_than_one_bucket_is_held_whatever_is_cut_frozen_restarted_or_changed() {
-    let seen = seen(160..220, Broken::Nothing, true);
-    assert!(seen.most <= ONE_BUCKET, "{seen:?}");
-    assert_eq!(seen.outsiders, 0, "{seen:?}");
-    // It is no wonder that nothing is held twice where nothing is held.
-    assert!(seen.leaderless > PATIENCE.as_millis() as u64, "{seen:?}");
+fn leased_parts_never_exceed_one_bucket_under_partitions_freezes_restarts_and_changes() {
+    let maxima = simulate(160..220, BrokenRule::None, true);
+    assert!(maxima.leased_share <= ONE_BUCKET, "{maxima:?}");
+    assert_eq!(maxima.removed_holders, 0, "{maxima:?}");
+    // Guards against a vacuous pass in which no part is ever held without a leader.
+    assert!(
+        maxima.leaderless_ms > PATIENCE.as_millis() as u64,
+        "{maxima:?}"
+    );
 }
 
 #[test]
-fn nobody_holds_a_part_after_the_change_that_took_it_out() {
-    let seen = seen(100..160, Broken::Nothing, false);
-    assert_eq!(seen.outsiders, 0, "{seen:?}");
-    assert!(seen.leaderless > PATIENCE.as_millis() as u64, "{seen:?}");
+fn a_removed_member_has_no_lease_once_its_removal_is_complete() {
+    let maxima = simulate(100..160, BrokenRule::None, false);
+    assert_eq!(maxima.removed_holders, 0, "{maxima:?}");
+    assert!(
+        maxima.leaderless_ms > PATIENCE.as_millis() as u64,
+        "{maxima:?}"
+    );
 }
 
 #[test]
-fn the_simulation_notices_holds_without_a_limit() {
-    let seen = seen(0..40, Broken::Limit, true);
-    assert!(seen.most > ONE_BUCKET, "{seen:?}");
+fn the_simulation_detects_leases_that_never_expire() {
+    let maxima = simulate(0..40, BrokenRule::Expiry, true);
+    assert!(maxima.leased_share > ONE_BUCKET, "{maxima:?}");
 }
 
 #[test]
-fn the_simulation_notices_answers_of_any_age() {
-    let seen = seen(0..40, Broken::Freshness, true);
-    assert!(seen.outsiders > 0, "{seen:?}");
+fn the_simulation_detects_that_stale_answers_count() {
+    let maxima = simulate(0..40, BrokenRule::Freshness, true);
+    assert!(maxima.removed_holders > 0, "{maxima:?}");
 }
 
 #[test]
-fn the_simulation_notices_leaders_that_count_silence_over_gaps() {
-    let seen = seen(180..200, Broken::Gaps, true);
-    assert!(seen.most > ONE_BUCKET, "{seen:?}");
+fn the_simulation_detects_leaders_that_count_silence_across_gaps() {
+    let maxima = simulate(180..200, BrokenRule::Gaps, true);
+    assert!(maxima.leased_share > ONE_BUCKET, "{maxima:?}");
 }
--- a/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One replica of the simulation: its consensus, its hold, and its duties while it leads.
+//! One replica of the simulation: its consensus state, its lease, and its tasks while it leads.
 
 use std::sync::{Arc, Mutex};
 
@@ -17,42 +17,42 @@
     replicas::{ChangePhase, ReplicaAddresses, ReplicasCommand, ReplicasState},
 };
 
-pub(super) const TICK: u64 = 25;
-pub(super) const ELECTION: u64 = 500;
-pub(super) const PATIENCE: u64 = 2_500;
-pub(super) const LOOK: u64 = 100;
-/// The first members, and those that stand by.
-pub(super) const MEMBERS: u64 = 6;
-pub(super) const NODES: u64 = 8;
-pub(super) const LENGTH: u64 = 40_000;
-/// The whole bucket, with room for rounding.
+pub(super) const TICK_MS: u64 = 25;
+pub(super) const ELECTION_TIMEOUT_MS: u64 = 500;
+pub(super) const PATIENCE_MS: u64 = 2_500;
+pub(super) const PROBE_INTERVAL_MS: u64 = 100;
+/// The first nodes are members from the start; the others are spares, which the leader may add.
+pub(super) const INITIAL_MEMBERS: u64 = 6;
+pub(super) const NODE_COUNT: u64 = 8;
+pub(super) const RUN_LENGTH_MS: u64 = 40_000;
+/// The whole bucket, with a tolerance for rounding.
 pub(in super::super) const ONE_BUCKET: f64 = 1.0 + 1e-9;
 
-/// A rule that is broken to see that the test would notice.
+/// The rule of the lease that a simulation breaks, to check that the test detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in super::super) enum Broken {
-    Nothing,
-    /// Answers of any age count together, and grants from when they are read.
+pub(in super::super) enum BrokenRule {
+    None,
+    /// Leaderless answers count as long as a lease lasts, and a grant runs from when it is read.
     Freshness,
-    /// The hold lasts whatever happens.
-    Limit,
-    /// Leaders count silence on over gaps in their proofs.
+    /// A lease does not expire during the simulation.
+    Expiry,
+    /// Leaders keep counting silence across gaps between their proofs.
     Gaps,
 }
 
-pub(super) enum Mail {
+pub(super) enum Payload {
     Consensus(Message),
     Probe(ProbeNumber),
     Granted(ProbeNumber),
     Leaderless(ProbeNumber, u64),
 }
 
-/// A proof of leading that is under way.
+/// A proof of leadership in progress.
 pub(super) struct OpenProof {
     pub(super) token: u64,
-    pub(super) asked_at: u64,
+    pub(super) started_at_ms: u64,
     pub(super) term: u64,
-    /// Who asked before it.
+    /// The probes that arrived before it started, with their senders.
     pub(super) probes: Vec<(ReplicaId, ProbeNumber)>,
 }
 
@@ -61,17 +61,21 @@
     pub(super) replica: Replica,
     pub(super) disk: Restored,
     pub(super) state: ReplicasState,
+    /// The index of the last applied entry.
     pub(super) applied: u64,
+    /// The index of the last entry in the log that begins a membership change.
     pub(super) last_change: u64,
-    pub(super) frozen_until: u64,
-    pub(super) inbox: Vec<(ReplicaId, Mail)>,
-    pub(super) hold: PartLease,
+    pub(super) frozen_until_ms: u64,
+    pub(super) inbox: Vec<(ReplicaId, Payload)>,
+    pub(super) lease: PartLease,
     pub(super) silence: Silence,
     pub(super) grants: Arc<Mutex<PartGrants>>,
     pub(super) removal: RemovalWatch,
+    /// Probes that wait for the next proof of leadership.
     pub(super) probes: Vec<(ReplicaId, ProbeNumber)>,
     pub(super) proof: Option<OpenProof>,
     pub(super) last_token: u64,
+    /// The index of the last entry that this node proposed.
     pub(super) last_proposed: u64,
 }
 
@@ -98,7 +102,7 @@
     matches!(decode(command), ReplicasCommand::Begin { .. })
 }
 
-pub(super) fn write(disk: &mut Restored, ready: &Ready) {
+pub(super) fn persist(disk: &mut Restored, ready: &Ready) {
     if let Some(hard_state) = ready.hard_state {
         disk.hard_state = hard_state;
     }
@@ -108,38 +112,43 @@
     }
 }
 
-pub(super) fn consensus() -> Config {
+pub(super) fn consensus_config() -> Config {
     Config {
-        election_timeout_ticks: (ELECTION / TICK) as u32,
-        first_election_timeout_ticks: (ELECTION / TICK) as u32,
+        election_timeout_ticks: (ELECTION_TIMEOUT_MS / TICK_MS) as u32,
+        first_election_timeout_ticks: (ELECTION_TIMEOUT_MS / TICK_MS) as u32,
         heartbeat_ticks: 4,
         ..Config::default()
     }
 }
 
 impl Node {
-    pub(super) fn new(id: ReplicaId, disk: Restored, broken: Broken, random: u64) -> Self {
-        let mut limits = LeaseLimits::new(at(PATIENCE), at(ELECTION));
-        let mut silence = Silence::new(at(ELECTION));
+    pub(super) fn new(
+        id: ReplicaId,
+        disk: Restored,
+        broken: BrokenRule,
+        first_probe_number: u64,
+    ) -> Self {
+        let mut limits = LeaseLimits::new(at(PATIENCE_MS), at(ELECTION_TIMEOUT_MS));
+        let mut silence = Silence::new(at(ELECTION_TIMEOUT_MS));
         match broken {
-            Broken::Freshness => limits.window = limits.duration,
-            Broken::Limit => limits.duration = at(LENGTH),
-            Broken::Gaps => silence = Silence::new(at(LENGTH)),
-            Broken::Nothing => {}
+            BrokenRule::Freshness => limits.answer_window = limits.duration,
+            BrokenRule::Expiry => limits.duration = at(RUN_LENGTH_MS),
+            BrokenRule::Gaps => silence = Silence::new(at(RUN_LENGTH_MS)),
+            BrokenRule::None => {}
         }
         let grants: Arc<Mutex<PartGrants>> = Arc::default();
         Self {
             id,
-            replica: Replica::new(consensus(), id, disk.clone()),
+            replica: Replica::new(consensus_config(), id, disk.clone()),
             state: ReplicasState::default(),
             applied: 0,
             last_change: disk.entries.last().map_or(0, |entry| entry.index),
             disk,
-            frozen_until: 0,
+            frozen_until_ms: 0,
             inbox: Vec::new(),
-            hold: PartLease::new(id, limits, random),
+            lease: PartLease::new(id, limits, first_probe_number),
             silence,
-            removal: RemovalWatch::new(Arc::clone(&grants), at(PATIENCE)),
+            removal: RemovalWatch::new(Arc::clone(&grants), at(PATIENCE_MS)),
             grants,
             probes: Vec::new(),
             proof: None,
@@ -148,10 +157,10 @@
         }
     }
 
-    pub(super) fn contact(&self) -> MemberContact {
+    pub(super) fn group_view(&self) -> GroupView {
         let status = self.replica.status();
-        let is_silent = u64::from(status.leader_silent_ticks) * TICK >= ELECTION;
-        MemberContact {
+        let is_silent = u64::from(status.leader_silent_ticks) * TICK_MS >= ELECTION_TIMEOUT_MS;
+        GroupView {
             is_leaderless: is_silent && status.role != Role::Leader,
             is_settled: self.last_change <= self.applied && self.state.change().is_none(),
             membership: status.membership,
@@ -165,8 +174,8 @@
         }
     }
 
-    /// The duties of a leader at a tick.
-    pub(super) fn lead(&mut self, now: u64, directory: &[ReplicaId]) {
+    /// At each tick of the leader, moves the membership towards the one that the replicated state asks for.
+    pub(super) fn run_leader_tasks(&mut self, now_ms: u64, all: &[ReplicaId]) {
         let status = self.replica.status();
         if status.role != Role::Leader {
             return;
@@ -177,7 +186,7 @@
                 let first = voters.map(|voter| (*voter, addresses(*voter))).collect();
                 self.propose(&ReplicasCommand::Form(first));
             } else if let Some(change) = self.state.change().cloned()
-                && self.is_phase_done(now, &change)
+                && self.is_phase_done(now_ms, &change)
             {
                 let (change, phase) = (change.number, change.phase);
                 self.propose(&ReplicasCommand::Advance { change, phase });
@@ -192,7 +201,7 @@
         let missing = wanted.iter().find(|each| !membership.contains(**each));
         let mut learners = membership.learners.iter();
         let ready = learners.find(|each| target.voters.contains(each));
-        let surplus = directory
+        let surplus = all
             .iter()
             .find(|each| membership.contains(**each) && !wanted.contains(each));
         let change = missing
@@ -200,14 +209,15 @@
             .or(ready.map(|each| MembershipChange::Promote(*each)))
             .or(surplus.map(|each| MembershipChange::Remove(*each)));
         if let Some(change) = change {
-            // Refused while an earlier change is not committed or a learner has not caught up.
+            // Consensus refuses the change while an earlier one is not committed or a learner has not caught up. The next
+            // tick tries again.
             let _ = self.replica.change_membership(change);
         }
     }
 
     pub(super) fn is_phase_done(
         &mut self,
-        now: u64,
+        now_ms: u64,
         change: &crate::replicas::ReplicaChange,
     ) -> bool {
         let status = self.replica.status();
@@ -223,16 +233,16 @@
                 is_committed && added.is_some_and(|each| membership.voters.contains(&each))
             }
             ChangePhase::Removing => {
-                let removed = change.kind.removed().expect("one that goes");
-                let is_out = is_committed && !membership.contains(removed);
+                let removed = change.kind.removed().expect("a removed replica");
+                let is_removed = is_committed && !membership.contains(removed);
                 let term = status.term;
-                is_out && self.removal.is_over(at(now), term, change, &self.state)
+                is_removed && self.removal.is_over(at(now_ms), term, change, &self.state)
             }
         }
     }
 
-    /// Begins a proof that this node leads.
-    pub(super) fn look(&mut self, now: u64) {
+    /// Starts a proof that this node leads, unless one is in progress.
+    pub(super) fn start_leadership_proof(&mut self, now_ms: u64) {
         let probes = std::mem::take(&mut self.probes);
         if !self.replica.is_leader() {
             self.silence.reset();
@@ -245,30 +255,30 @@
         }
         for (member, _) in &probes {
             let mut grants = self.grants.lock().expect("grants");
-            grants.record_probe(at(now), *member);
+            grants.record_probe(at(now_ms), *member);
         }
         self.last_token += 1;
         if self.replica.read_index(self.last_token).is_ok() {
             self.proof = Some(OpenProof {
                 token: self.last_token,
-                asked_at: now,
+                started_at_ms: now_ms,
                 term: self.replica.term(),
                 probes,
             });
         }
     }
 
-    /// A proof is there: what the leader grants, and the change that it begins.
-    pub(super) fn proven(
+    /// Completes a proof of leadership: may start a membership change, and returns the probes that are granted.
+    pub(super) fn finish_leadership_proof(
         &mut self,
-        now: u64,
-        newcomers: &[ReplicaId],
+        now_ms: u64,
+        connected: &[ReplicaId],
     ) -> Vec<(ReplicaId, ProbeNumber)> {
         let Some(proof) = self.proof.take() else {
             return Vec::new();
         };
         let OpenProof {
-            asked_at,
+            started_at_ms,
             term,
             probes,
             ..
@@ -284,8 +294,8 @@
         let members: Vec<ReplicaId> = self.state.replicas().keys().copied().collect();
         let proof = LeadingProof {
             term,
-            asked_at: at(asked_at),
-            proven_at: at(now),
+            asked_at: at(started_at_ms),
+            proven_at: at(now_ms),
         };
         let voters = status.membership.voters.iter().copied();
         self.silence
@@ -293,17 +303,17 @@
         self.grants
             .lock()
             .expect("grants")
-            .record_leadership(at(now), term);
-        self.repair(&members, newcomers);
+            .record_leadership(at(now_ms), term);
+        self.repair(&members, connected);
         let voters = status.membership.voters;
         let is_granted = |member: &ReplicaId| voters.contains(member) && answering.contains(member);
-        let granted = probes.into_iter();
-        granted.filter(|(member, _)| is_granted(member)).collect()
+        let probes = probes.into_iter();
+        probes.filter(|(member, _)| is_granted(member)).collect()
     }
 
-    pub(super) fn repair(&mut self, members: &[ReplicaId], newcomers: &[ReplicaId]) {
+    pub(super) fn repair(&mut self, members: &[ReplicaId], connected: &[ReplicaId]) {
         let policy = RepairPolicy {
-            patience: at(PATIENCE),
+            patience: at(PATIENCE_MS),
             minimum_members: 5,
             maximum_members: 7,
         };
@@ -315,7 +325,7 @@
                 silent_for: self.silence.of(*replica),
             })
             .collect();
-        let newcomers: Vec<NewcomerView> = newcomers
+        let newcomers: Vec<NewcomerView> = connected
             .iter()
             .filter(|each| !members.contains(each))
             .map(|replica| NewcomerView {
@@ -334,10 +344,10 @@
         }
     }
 
-    /// The share of a quota that this node may spend.
-    pub(super) fn share(&self, now: u64) -> f64 {
+    /// The fraction of a quota that this node may spend.
+    pub(super) fn leased_share(&self, now_ms: u64) -> f64 {
         let voters = self.replica.status().membership.voters;
-        if !self.hold.holds(at(now)) || !voters.contains(&self.id) {
+        if !self.lease.is_valid(at(now_ms)) || !voters.contains(&self.id) {
             return 0.0;
         }
         1.0 / (voters.len() + 1) as f64
--- a/crates/sablehaven-control/src/quotas/lease_renewal.rs
+++ b/crates/sablehaven-control/src/quotas/lease_renewal.rs
@@ -1,85 +1,87 @@
-//! Keeps this replica's part: asks the leader, or without one the other members, whether it may, and answers others.
+//! Renews the lease on this replica's part of the quotas by probing the leader, or the other members if there is none,
+//! and answers the probes of other replicas.
 
 use std::{sync::Arc, time::Duration};
 
 use sablehaven_consensus::{ReplicaId, Role};
 use tokio::time::{sleep, timeout};
 
-use super::lease::{MemberContact, ProbeNumber};
+use super::lease::{GroupView, ProbeNumber};
 use crate::{
     driver::{GroupState, read},
     peers::{PartAnswer, PartProbe, PeerPayload},
     server::Context,
 };
 
-/// Longest time between two questions.
-const ASK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two questions while a leader is known and the part is not held.
-const URGENT_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two probes while a leader is known and this replica has no lease.
+const URGENT_PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Keeps the part while there are tenants, until the replica stops.
+/// Renews the lease while there are tenants, until the replica stops.
 pub(crate) async fn renew_part_lease(context: Arc<Context>) {
     let mut published = context.published.clone();
     let election_timeout = context.config.election_timeout();
-    let usual_interval = ASK_INTERVAL.min(election_timeout / 5);
+    let usual_interval = PROBE_INTERVAL.min(election_timeout / 5);
     loop {
         published.mark_unchanged();
-        let is_held = context.quotas.holds();
+        let has_lease = context.quotas.has_lease();
         if context.quotas.has_tenants() {
-            ask(&context, is_held, election_timeout);
+            send_probe(&context, has_lease, election_timeout);
         }
-        if is_held {
+        if has_lease {
             sleep(usual_interval).await;
             continue;
         }
         let has_leader = published.borrow().leader.is_some();
         let pause = if has_leader {
-            URGENT_INTERVAL
+            URGENT_PROBE_INTERVAL
         } else {
             usual_interval
         };
-        // A new leader is asked at once; an ended driver publishes nothing more.
+        // A change ends the pause early, so that a new leader is probed at once. An error means that the driver has ended.
         if let Ok(Err(_)) = timeout(pause, published.changed()).await {
             return;
         }
     }
 }
 
-/// Asks the leader; where a hold has not been renewed for half of an election timeout, all other replicas.
-fn ask(context: &Context, is_held: bool, election_timeout: Duration) {
+/// Probes the leader, or all other replicas if the lease has not been renewed for half an election timeout.
+fn send_probe(context: &Context, has_lease: bool, election_timeout: Duration) {
     let leader = context.published.borrow().leader;
-    let number = context.quotas.ask();
+    let number = context.quotas.start_probe();
     if leader == Some(context.replica) {
-        context.probes.push(context.replica, number, !is_held);
+        context.probes.push(context.replica, number, !has_lease);
         return;
     }
     let probe = PartProbe {
         number,
-        is_urgent: !is_held,
+        is_urgent: !has_lease,
     };
-    let age = context.quotas.hold_age();
-    let is_overdue = is_held && age.is_some_and(|age| age >= election_timeout / 2);
-    let asked = if is_overdue {
+    let age = context.quotas.lease_age();
+    let is_overdue = has_lease && age.is_some_and(|age| age >= election_timeout / 2);
+    let recipients = if is_overdue {
         context.links.connected()
     } else {
         leader.into_iter().collect()
     };
-    for replica in asked {
+    for replica in recipients {
         let payload = PeerPayload::PartProbe(probe);
         context.links.send_payload(replica, payload);
     }
 }
 
-/// Answers another replica that asks whether it may keep its part.
+/// Answers another replica's probe: the leader queues it for its next proof of leadership, and any other member answers
+/// only if it has no leader.
 pub(crate) async fn answer_probe(context: &Context, from: ReplicaId, probe: PartProbe) {
     if context.is_leader() {
         context.probes.push(from, probe.number, probe.is_urgent);
         return;
     }
-    let Some(contact) = contact(context).await else {
+    let Some(view) = current_view(context).await else {
         return;
     };
-    if let Some(membership_index) = contact.leaderless_at() {
+    if let Some(membership_index) = view.leaderless_at() {
         let answer = PartAnswer::Leaderless {
             number: probe.number,
             membership_index,
@@ -90,42 +92,42 @@
     }
 }
 
-/// Takes an answer of another replica.
+/// Handles another replica's answer to a probe of this one.
 pub(crate) async fn handle_probe_answer(context: &Context, from: ReplicaId, answer: PartAnswer) {
     match answer {
         PartAnswer::Granted { number } => context.quotas.record_grant(number),
         PartAnswer::Leaderless {
             number,
             membership_index,
-        } => leaderless(context, from, number, membership_index).await,
+        } => handle_leaderless_answer(context, from, number, membership_index).await,
     }
 }
 
-async fn leaderless(
+async fn handle_leaderless_answer(
     context: &Context,
     from: ReplicaId,
     number: ProbeNumber,
     membership_index: u64,
 ) {
-    if let Some(contact) = contact(context).await {
+    if let Some(own_view) = current_view(context).await {
         let quotas = &context.quotas;
-        quotas.leaderless(number, from, membership_index, &contact);
+        quotas.record_leaderless(number, from, membership_index, &own_view);
     }
 }
 
-/// What this replica knows of leaders and of the group.
-async fn contact(context: &Context) -> Option<MemberContact> {
+/// This replica's current view of the leader and the membership; `None` if the driver has ended.
+async fn current_view(context: &Context) -> Option<GroupView> {
     let status = context.driver.status().await?;
     let group = status.groups.into_iter().next()?;
     let is_changing = read(&context.state, |state| state.replicas().change().is_some());
     let election_ticks = context.config.consensus().election_timeout_ticks;
-    Some(view(group, is_changing, election_ticks))
+    Some(group_view(group, is_changing, election_ticks))
 }
 
-fn view(group: GroupState, is_changing: bool, election_ticks: u32) -> MemberContact {
+fn group_view(group: GroupState, is_changing: bool, election_ticks: u32) -> GroupView {
     let status = group.replica;
     let is_silent = status.leader_silent_ticks >= election_ticks;
-    MemberContact {
+    GroupView {
         is_leaderless: is_silent && status.role != Role::Leader,
         is_settled: !group.has_unapplied_change && !is_changing,
         membership: status.membership,
--- a/crates/sablehaven-control/src/quotas/lease_renewal/tests.rs
+++ b/crates/sablehaven-control/src/quotas/lease_renewal/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of when a member states that it has no leader.
+
 use std::collections::BTreeMap;
 
 use sablehaven_consensus::{Membership, Status};
@@ -6,8 +8,8 @@
 
 const ELECTION_TICKS: u32 = 40;
 
-/// A follower that has heard no leader for an election timeout and has applied all that it has.
-fn leaderless() -> GroupState {
+/// The state of a follower that has heard no leader for an election timeout and has applied its whole log.
+fn leaderless_follower() -> GroupState {
     let voters = [1, 2, 3].map(ReplicaId).into();
     let membership = Membership {
         voters,
@@ -38,31 +40,43 @@
 }
 
 #[test]
-fn a_member_that_hears_no_leader_says_so_with_the_members_that_it_knows() {
-    let contact = view(leaderless(), false, ELECTION_TICKS);
-    assert_eq!(contact.leaderless_at(), Some(5));
+fn a_member_without_a_leader_answers_with_the_index_of_its_membership() {
+    let view = group_view(leaderless_follower(), false, ELECTION_TICKS);
+    assert_eq!(view.leaderless_at(), Some(5));
 }
 
 #[test]
-fn a_member_that_heard_a_leader_lately_or_leads_says_nothing() {
-    let mut group = leaderless();
+fn a_leader_or_a_member_that_has_recently_heard_one_is_not_leaderless() {
+    let mut group = leaderless_follower();
     group.replica.leader_silent_ticks = ELECTION_TICKS - 1;
-    assert_eq!(view(group, false, ELECTION_TICKS).leaderless_at(), None);
-    let mut group = leaderless();
+    assert_eq!(
+        group_view(group, false, ELECTION_TICKS).leaderless_at(),
+        None
+    );
+    let mut group = leaderless_follower();
     group.replica.role = Role::Leader;
-    assert_eq!(view(group, false, ELECTION_TICKS).leaderless_at(), None);
+    assert_eq!(
+        group_view(group, false, ELECTION_TICKS).leaderless_at(),
+        None
+    );
 }
 
 #[test]
-fn a_member_that_may_know_of_half_a_change_says_nothing() {
+fn a_member_that_knows_of_an_unfinished_membership_change_does_not_answer() {
     assert_eq!(
-        view(leaderless(), true, ELECTION_TICKS).leaderless_at(),
+        group_view(leaderless_follower(), true, ELECTION_TICKS).leaderless_at(),
         None
     );
-    let mut group = leaderless();
+    let mut group = leaderless_follower();
     group.has_unapplied_change = true;
-    assert_eq!(view(group, false, ELECTION_TICKS).leaderless_at(), None);
-    let mut group = leaderless();
+    assert_eq!(
+        group_view(group, false, ELECTION_TICKS).leaderless_at(),
+        None
+    );
+    let mut group = leaderless_follower();
     group.replica.membership.learners.insert(ReplicaId(4));
-    assert_eq!(view(group, false, ELECTION_TICKS).leaderless_at(), None);
+    assert_eq!(
+        group_view(group, false, ELECTION_TICKS).leaderless_at(),
+        None
+    );
 }
--- a/crates/sablehaven-control/src/quotas/loans.rs
+++ b/crates/sablehaven-control/src/quotas/loans.rs
@@ -1,4 +1,4 @@
-//! Loans of tokens between replicas: each asks another one in turn while its part of a tenant's quota is used up.
+//! Loans of tokens between replicas: while its part of a tenant's quota is used up, a replica asks the others in turn.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,34 +9,36 @@
 use super::replica_quotas::ReplicaQuotas;
 use crate::peers::{Links, PeerPayload};
 
-/// Time between two looks at what is wanted while gateways ask: short against the way between two replicas.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between two checks for missing tokens while gateways request some; short compared with the latency between two
+/// replicas.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Asks other replicas for what gateways want and this one lacks, until it is dropped. While no gateway asks for tokens
-/// it rests.
+/// Requests from other replicas the tokens that gateways want and this replica lacks, until the future is dropped. Does
+/// nothing while no gateway requests tokens.
 pub(crate) async fn request_loans(quotas: Arc<ReplicaQuotas>, links: Arc<Links>) {
     loop {
-        quotas.asked().await;
+        quotas.wait_for_requests().await;
         let lenders = links.connected();
-        quotas.note_lenders(!lenders.is_empty());
+        quotas.set_has_lenders(!lenders.is_empty());
         for request in quotas.loans_wanted() {
-            let Some(lender) = lender(&lenders, request.number) else {
+            let Some(lender) = select_lender(&lenders, request.number) else {
                 break;
             };
             links.send_payload(lender, PeerPayload::LoanRequest(request));
         }
-        quotas.settle();
-        sleep(LOOK_INTERVAL).await;
+        quotas.decide_waiting();
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// The replica that a request goes to: the numbers of a tenant's requests are consecutive, so each is asked in turn.
-fn lender(lenders: &[ReplicaId], number: u64) -> Option<ReplicaId> {
+/// The replica to which a request is sent. A tenant's requests have consecutive numbers, so the replicas are asked in
+/// turn.
+fn select_lender(lenders: &[ReplicaId], number: u64) -> Option<ReplicaId> {
     let position = number.checked_rem(lenders.len() as u64)?;
     lenders.get(position as usize).copied()
 }
 
-/// Answers other replicas' requests for loans, and takes what they lend.
+/// Handles other replicas' loan requests and the loans that they grant.
 pub(crate) struct LoanHandler {
     pub(crate) quotas: Arc<ReplicaQuotas>,
     /// The connections to the other replicas.
@@ -44,7 +46,7 @@
 }
 
 impl LoanHandler {
-    /// Lends to a replica what this one can spare; it hears nothing where that is nothing.
+    /// Lends the tokens that this replica can spare; sends no reply if there are none.
     pub(crate) fn handle_request(&self, borrower: ReplicaId, request: &LoanRequest) {
         if let Some(loan) = self.quotas.lend(request) {
             let payload = PeerPayload::TokenLoan(loan);
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Takes a loan.
+    /// Adds borrowed tokens to this replica's part.
     pub(crate) fn handle_loan(&self, loan: &TokenLoan) {
         self.quotas.receive(loan);
     }
--- a/crates/sablehaven-control/src/quotas/loans/tests.rs
+++ b/crates/sablehaven-control/src/quotas/loans/tests.rs
@@ -1,16 +1,20 @@
+//! Tests of which replica is asked for a loan.
+
 use super::*;
 
 #[test]
 fn replicas_are_asked_in_turn() {
     let lenders = [ReplicaId(3), ReplicaId(5)];
-    let turns: Vec<Option<ReplicaId>> = (0..3).map(|turn| lender(&lenders, turn)).collect();
+    let selected: Vec<Option<ReplicaId>> = (0..3)
+        .map(|number| select_lender(&lenders, number))
+        .collect();
     assert_eq!(
-        turns,
+        selected,
         [Some(ReplicaId(3)), Some(ReplicaId(5)), Some(ReplicaId(3))]
     );
 }
 
 #[test]
-fn without_connected_replicas_nobody_is_asked() {
-    assert_eq!(lender(&[], 9), None);
+fn no_lender_is_selected_without_connected_replicas() {
+    assert_eq!(select_lender(&[], 9), None);
 }
--- a/crates/sablehaven-control/src/quotas/mod.rs
+++ b/crates/sablehaven-control/src/quotas/mod.rs
@@ -1,4 +1,7 @@
-//! Tenants' quotas: what this replica grants to gateways of its part, and what replicas lend each other.
+//! Tenants' quotas: tokens that this replica grants to gateways, and loans of tokens between replicas.
+//!
+//! Each control replica holds one of several equal parts of every tenant's token bucket. It may spend its part only while
+//! it has a lease on it, so that the parts that replicas spend at the same time never add up to more than the quota.
 
 mod grants;
 mod lease;
--- a/crates/sablehaven-control/src/quotas/parts.rs
+++ b/crates/sablehaven-control/src/quotas/parts.rs
@@ -1,14 +1,14 @@
-//! Into how many parts tenants' quotas are cut, as a pure decision.
+//! The number of equal parts into which tenants' quotas are divided. Does no I/O.
 
 use crate::driver::Published;
 
-/// Parts beyond the members of group 0: a replica that an operator has taken out, and that has not noticed yet, may spend
-/// its former part until its hold is over. The next change of the members waits for that.
+/// Parts beyond one for each voter of group 0. A replica that an operator has removed, and that does not know it yet, may
+/// spend its former part until its lease expires. The next membership change waits until then.
 const SPARE_PARTS: u32 = 1;
 
-/// The number of equal parts of which this replica holds one; `None` while it may not spend any: it is no member, its
-/// hold is over ([`super::hold`]), or its driver has failed.
-pub(super) fn parts(published: &Published, holds: bool) -> Option<u32> {
-    let may_spend = holds && published.is_member && published.failure.is_none();
+/// The number of equal parts, of which this replica spends one. `None` if it may not spend any, because it is not a
+/// member, has no valid lease ([`super::lease`]), or its driver has failed.
+pub(super) fn part_count(published: &Published, has_lease: bool) -> Option<u32> {
+    let may_spend = has_lease && published.is_member && published.failure.is_none();
     may_spend.then_some(published.members + SPARE_PARTS)
 }
--- a/crates/sablehaven-control/src/quotas/probes.rs
+++ b/crates/sablehaven-control/src/quotas/probes.rs
@@ -1,4 +1,4 @@
-//! Questions of members whether they may keep their parts, until the leader answers them.
+//! A queue of members' probes for a lease on their parts of the quotas, which the leader answers.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -7,36 +7,36 @@
 
 use super::lease::ProbeNumber;
 
-/// The most questions that wait; more are dropped, and replicas ask again.
-const MAXIMUM_WAITING: usize = 256;
+/// Maximum number of queued probes. Further ones are dropped; their senders probe again.
+const MAX_QUEUED: usize = 256;
 
-/// Questions that wait for the leader's next proof.
+/// Probes that wait for the leader's next proof of leadership.
 #[derive(Default)]
 pub(crate) struct ProbeQueue {
-    waiting: Mutex<Vec<(ReplicaId, ProbeNumber)>>,
+    queued: Mutex<Vec<(ReplicaId, ProbeNumber)>>,
     urgent: Notify,
 }
 
 impl ProbeQueue {
-    /// Takes a question; an urgent one has the leader prove at once that it leads.
+    /// Queues a probe. An urgent one makes the leader start a proof of leadership at once.
     pub(crate) fn push(&self, member: ReplicaId, number: ProbeNumber, is_urgent: bool) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.len() < MAXIMUM_WAITING {
-            waiting.push((member, number));
+        let mut queued = self.queued.lock().unwrap_or_else(PoisonError::into_inner);
+        if queued.len() < MAX_QUEUED {
+            queued.push((member, number));
         }
-        drop(waiting);
+        drop(queued);
         if is_urgent {
             self.urgent.notify_one();
         }
     }
 
-    /// The questions that have come.
+    /// Removes and returns all queued probes.
     pub(crate) fn take(&self) -> Vec<(ReplicaId, ProbeNumber)> {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        std::mem::take(&mut *waiting)
+        let mut queued = self.queued.lock().unwrap_or_else(PoisonError::into_inner);
+        std::mem::take(&mut *queued)
     }
 
-    /// Waits for an urgent question.
+    /// Waits for an urgent probe.
     pub(crate) async fn wait_for_urgent(&self) {
         self.urgent.notified().await;
     }
--- a/crates/sablehaven-control/src/quotas/replica_quotas.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas.rs
@@ -1,4 +1,4 @@
-//! This replica's part of the quotas, shared by the connections of gateways and of other replicas.
+//! This replica's part of the quotas, shared by the connections to gateways and to other replicas.
 
 use std::{
     sync::{
@@ -19,8 +19,8 @@
 
 use super::{
     grants::PartGrants,
-    lease::{MemberContact, PartLease, ProbeNumber},
-    parts::parts,
+    lease::{GroupView, PartLease, ProbeNumber},
+    parts::part_count,
     waiting::{ReplySender, WaitingRequests},
 };
 use crate::{
@@ -28,25 +28,25 @@
     metrics::Metrics,
 };
 
-/// This replica's part of the quotas.
+/// This replica's part of the quotas, its lease on it, and the requests that wait for loans.
 pub(crate) struct ReplicaQuotas {
     published: watch::Receiver<Published>,
     state: SharedHandle,
     metrics: Metrics,
-    /// Times are counted from here.
+    /// The origin of the times that are passed to the part.
     started_at: Instant,
-    hold_clock: SuspensionClock,
-    hold: Mutex<PartLease>,
+    lease_clock: SuspensionClock,
+    lease: Mutex<PartLease>,
     grants: Arc<Mutex<PartGrants>>,
-    held: Mutex<HeldPart>,
-    /// Told when gateways ask while there are tenants.
-    asked: Notify,
-    /// Whether there is any replica that may lend tokens.
+    part: Mutex<PartState>,
+    /// Notified when gateways request tokens and there are tenants, and as long as requests wait for loans.
+    requested: Notify,
+    /// Whether any connected replica may lend tokens.
     has_lenders: AtomicBool,
 }
 
-/// The part, and the version of the routes whose tenants it knows.
-struct HeldPart {
+/// The part, the version of the routes from which its tenants were read, and the requests that wait for loans.
+struct PartState {
     part: QuotaPart,
     routes_version: u64,
     has_tenants: bool,
@@ -54,10 +54,10 @@
 }
 
 impl ReplicaQuotas {
-    /// Quotas that follow what the driver publishes.
+    /// Creates the quotas of a replica; they follow the state that the driver publishes.
     pub(crate) fn new(
         tolerance: QuotaTolerance,
-        hold: PartLease,
+        lease: PartLease,
         grants: Arc<Mutex<PartGrants>>,
         published: watch::Receiver<Published>,
         state: SharedHandle,
@@ -68,184 +68,184 @@
             state,
             metrics,
             started_at: Instant::now(),
-            hold_clock: SuspensionClock::default(),
-            hold: Mutex::new(hold),
+            lease_clock: SuspensionClock::default(),
+            lease: Mutex::new(lease),
             grants,
-            held: Mutex::new(HeldPart {
+            part: Mutex::new(PartState {
                 part: QuotaPart::new(tolerance),
                 routes_version: 0,
                 has_tenants: false,
                 waiting: WaitingRequests::default(),
             }),
-            asked: Notify::new(),
+            requested: Notify::new(),
             has_lenders: AtomicBool::new(false),
         }
     }
 
-    /// Answers the requests for tokens that can be decided on now. The answers to the others follow through `replying`,
-    /// within the time in which other replicas lend.
+    /// Decides on requests for tokens and returns the replies to those that can be decided now. The other requests wait for
+    /// loans; their replies are sent through `reply_sender`, within the time in which other replicas may lend.
     pub(crate) fn take(
         &self,
         requests: &[TokenRequest],
-        replying: &ReplySender,
+        reply_sender: &ReplySender,
     ) -> Vec<TokenReply> {
         let now = self.now();
         let may_wait = self.has_lenders.load(Ordering::Relaxed);
-        let mut held = self.current(now);
-        let HeldPart { part, waiting, .. } = &mut *held;
+        let mut state = self.lock_current_part(now);
+        let PartState { part, waiting, .. } = &mut *state;
         let replies = requests.iter().filter_map(|request| {
             if may_wait {
-                return waiting.take(part, now, request, replying);
+                return waiting.take_or_wait(part, now, request, reply_sender);
             }
             let verdict = part.take(now, request, rand::random());
             let number = request.number;
             Some(TokenReply { number, verdict })
         });
         let replies: Vec<TokenReply> = replies.collect();
-        let has_tenants = held.has_tenants;
-        drop(held);
+        let has_tenants = state.has_tenants;
+        drop(state);
         for reply in &replies {
-            self.count(reply.verdict);
+            self.count_verdict(reply.verdict);
         }
         if has_tenants {
-            self.asked.notify_one();
+            self.requested.notify_one();
         }
         replies
     }
 
-    /// Answers the requests that wait for loans, as far as they can be decided on now.
-    pub(super) fn settle(&self) {
+    /// Replies to the requests that wait for loans, as far as they can be decided now.
+    pub(super) fn decide_waiting(&self) {
         let now = self.now();
-        let mut held = self.current(now);
-        let HeldPart { part, waiting, .. } = &mut *held;
-        let settled = waiting.settle(part, now);
-        let is_settled = waiting.is_empty();
-        drop(held);
-        for (reply, replying) in settled {
-            self.count(reply.verdict);
-            if replying.try_send(vec![reply]).is_err() {
+        let mut state = self.lock_current_part(now);
+        let PartState { part, waiting, .. } = &mut *state;
+        let decided = waiting.decide(part, now);
+        let none_waits = waiting.is_empty();
+        drop(state);
+        for (reply, reply_sender) in decided {
+            self.count_verdict(reply.verdict);
+            if reply_sender.try_send(vec![reply]).is_err() {
                 self.metrics.token_replies_dropped.inc();
             }
         }
-        if !is_settled {
-            self.asked.notify_one();
+        if !none_waits {
+            self.requested.notify_one();
         }
     }
 
-    /// Notes whether any replica may lend tokens; without one, no request waits for a loan.
-    pub(super) fn note_lenders(&self, has_lenders: bool) {
+    /// Sets whether any connected replica may lend tokens. Without one, no request waits for a loan.
+    pub(super) fn set_has_lenders(&self, has_lenders: bool) {
         self.has_lenders.store(has_lenders, Ordering::Relaxed);
     }
 
-    /// Waits until gateways ask for tokens.
-    pub(super) async fn asked(&self) {
-        self.asked.notified().await;
+    /// Waits until gateways request tokens and there are tenants. Returns at once if requests still wait for loans.
+    pub(super) async fn wait_for_requests(&self) {
+        self.requested.notified().await;
     }
 
-    /// What is to be asked of other replicas.
+    /// The loans to request from other replicas.
     pub(super) fn loans_wanted(&self) -> Vec<LoanRequest> {
         let now = self.now();
-        self.current(now).part.loans_wanted(now)
+        self.lock_current_part(now).part.loans_wanted(now)
     }
 
-    /// Lends what this part can spare.
+    /// Lends the tokens that this part can spare; `None` if it can spare none.
     pub(crate) fn lend(&self, request: &LoanRequest) -> Option<TokenLoan> {
         let now = self.now();
-        let loan = self.current(now).part.lend(now, request)?;
+        let loan = self.lock_current_part(now).part.lend(now, request)?;
         self.metrics.tokens_lent.inc_by(loan.tokens.into());
         Some(loan)
     }
 
-    /// Takes a loan.
+    /// Adds borrowed tokens to the part and replies to requests that waited for them.
     pub(crate) fn receive(&self, loan: &TokenLoan) {
         let now = self.now();
-        self.current(now).part.receive(now, loan);
+        self.lock_current_part(now).part.receive(now, loan);
         self.metrics.tokens_borrowed.inc_by(loan.tokens.into());
-        self.settle();
+        self.decide_waiting();
     }
 
-    /// What each tenant has had of this replica.
+    /// The usage of each tenant at this replica.
     pub(crate) fn usage(&self) -> Vec<TenantUsage> {
         let now = self.now();
-        self.current(now).part.usage(now)
+        self.lock_current_part(now).part.usage(now)
     }
 
-    /// Whether the tenants are known and there are any.
+    /// Whether routes with at least one tenant are known.
     pub(super) fn has_tenants(&self) -> bool {
-        let held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        held.has_tenants
+        let state = self.part.lock().unwrap_or_else(PoisonError::into_inner);
+        state.has_tenants
     }
 
-    /// Whether the hold on the part lasts.
-    pub(super) fn holds(&self) -> bool {
-        let now = self.hold_clock.now();
-        self.hold().holds(now)
+    /// Whether this replica has a valid lease on its part.
+    pub(super) fn has_lease(&self) -> bool {
+        let now = self.lease_clock.now();
+        self.lease().is_valid(now)
     }
 
-    /// The time since the latest question that proves the hold.
-    pub(super) fn hold_age(&self) -> Option<Duration> {
-        let now = self.hold_clock.now();
-        self.hold().age(now)
+    /// The time since the latest probe that renewed the lease.
+    pub(super) fn lease_age(&self) -> Option<Duration> {
+        let now = self.lease_clock.now();
+        self.lease().age(now)
     }
 
-    /// Notes a question whether the part may be kept; it is sent after this call.
-    pub(super) fn ask(&self) -> ProbeNumber {
-        let now = self.hold_clock.now();
-        self.hold().ask(now)
+    /// Registers a new probe for the lease. The caller must send it after this call.
+    pub(super) fn start_probe(&self) -> ProbeNumber {
+        let now = self.lease_clock.now();
+        self.lease().start_probe(now)
     }
 
-    /// A leader has granted the part.
+    /// Records that a leader has granted the lease.
     pub(crate) fn record_grant(&self, number: ProbeNumber) {
-        self.hold().record_grant(number);
+        self.lease().record_grant(number);
     }
 
-    /// A member hears no leader.
-    pub(super) fn leaderless(
+    /// Records a member's answer that it hears no leader.
+    pub(super) fn record_leaderless(
         &self,
         number: ProbeNumber,
         member: ReplicaId,
         membership_index: u64,
-        contact: &MemberContact,
+        own_view: &GroupView,
     ) {
-        let now = self.hold_clock.now();
-        self.hold()
-            .leaderless(now, number, member, membership_index, contact);
+        let now = self.lease_clock.now();
+        self.lease()
+            .record_leaderless(now, number, member, membership_index, own_view);
     }
 
-    /// What this replica as a leader knows of the parts of others.
+    /// The record of the leases that other members may have; used while this replica leads.
     pub(crate) fn grants(&self) -> MutexGuard<'_, PartGrants> {
         self.grants.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn hold(&self) -> MutexGuard<'_, PartLease> {
-        self.hold.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lease(&self) -> MutexGuard<'_, PartLease> {
+        self.lease.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// The part by the hold and the latest word of the driver, so that one that is lost or made smaller is not spent any
-    /// more.
-    fn current(&self, now: Duration) -> MutexGuard<'_, HeldPart> {
-        let holds = self.holds();
+    /// Locks the part after updating it from the lease and the latest published state, so that a replica never spends a
+    /// part that it has lost or that has become smaller.
+    fn lock_current_part(&self, now: Duration) -> MutexGuard<'_, PartState> {
+        let has_lease = self.has_lease();
         let (parts, routes_version) = {
             let published = self.published.borrow();
-            (parts(&published, holds), published.routes_version)
+            (part_count(&published, has_lease), published.routes_version)
         };
-        let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        held.part.set_parts(now, parts);
-        if held.routes_version < routes_version {
-            held.take_routes(now, self.routes());
+        let mut state = self.part.lock().unwrap_or_else(PoisonError::into_inner);
+        state.part.set_parts(now, parts);
+        if state.routes_version < routes_version {
+            state.apply_routes(now, self.routes());
         }
-        held
+        state
     }
 
     fn routes(&self) -> Option<Arc<RouteDocument>> {
         read(&self.state, |state| state.routes().document())
     }
 
-    fn count(&self, verdict: TokenVerdict) {
+    fn count_verdict(&self, verdict: TokenVerdict) {
         match verdict {
             TokenVerdict::Granted(tokens) => {
                 self.metrics.tokens_granted.inc_by(tokens.into());
@@ -257,8 +257,8 @@
     }
 }
 
-impl HeldPart {
-    fn take_routes(&mut self, now: Duration, document: Option<Arc<RouteDocument>>) {
+impl PartState {
+    fn apply_routes(&mut self, now: Duration, document: Option<Arc<RouteDocument>>) {
         let Some(document) = document else {
             return;
         };
@@ -271,12 +271,13 @@
     }
 }
 
-/// Keeps the part by what the driver publishes, also while nobody asks: buckets fill from when their tenants are known.
+/// Updates the part on each change that the driver publishes, also while no gateway requests tokens: a tenant's bucket
+/// starts to fill only when the part learns of the tenant.
 pub(crate) async fn follow_published_state(quotas: Arc<ReplicaQuotas>) {
     let mut published = quotas.published.clone();
     loop {
         published.mark_unchanged();
-        drop(quotas.current(quotas.now()));
+        drop(quotas.lock_current_part(quotas.now()));
         if published.changed().await.is_err() {
             return;
         }
--- a/crates/sablehaven-control/src/quotas/replica_quotas/tests.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the tokens that a replica grants from its part, and of requests that wait for loans.
+
 use std::{collections::BTreeMap, thread::sleep};
 
 use sablehaven_consensus::ReplicaId;
@@ -11,35 +13,36 @@
     shared::{SharedCommand, SharedState},
 };
 
-/// A part gains nothing for 100 ms after its start, while loans to its former start may come; some tokens have come then.
-const FIRST_TOKENS: Duration = Duration::from_millis(200);
-/// Leaves room for tokens to be kept.
+/// Time after which a new part has some tokens. It gains none in its first 100 ms, because loans that its replica requested
+/// before a restart may still arrive then.
+const FIRST_TOKENS_DELAY: Duration = Duration::from_millis(200);
+/// A tolerance that lets a part accumulate tokens.
 const WITH_SLACK: QuotaTolerance = QuotaTolerance {
     window_ms: 1_000,
     excess_permille: 0,
     slack: 20,
 };
 
-/// A hold that outlasts a test that does not wait for its end.
-const HOLD: Duration = Duration::from_secs(600);
+/// A lease duration that is longer than any test here that does not wait for the lease to expire.
+const LONG_LEASE: Duration = Duration::from_secs(600);
 
-/// A replica's quotas, and what its driver publishes.
-struct Counter {
+/// A replica's quotas, with the driver's side of the published state and a gateway's side of the replies.
+struct Fixture {
     quotas: ReplicaQuotas,
     published: watch::Sender<Published>,
     state: SharedHandle,
-    replying: ReplySender,
+    reply_sender: ReplySender,
     replies: mpsc::Receiver<Vec<TokenReply>>,
 }
 
-impl Counter {
+impl Fixture {
     /// The quotas of a member of a group of one, which leads.
     fn new(tolerance: QuotaTolerance) -> Self {
-        Self::holding(tolerance, HOLD)
+        Self::with_lease(tolerance, LONG_LEASE)
     }
 
-    /// The same with another time for which it holds its part from now on.
-    fn holding(tolerance: QuotaTolerance, hold: Duration) -> Self {
+    /// As [`Self::new`], with a lease that starts now and lasts for about `lease_duration`.
+    fn with_lease(tolerance: QuotaTolerance, lease_duration: Duration) -> Self {
         let published = Published {
             leader: Some(ReplicaId(1)),
             members: 1,
@@ -49,29 +52,29 @@
         let (published, receiver) = watch::channel(published);
         let state = SharedHandle::default();
         let metrics = Metrics::default();
-        let limits = LeaseLimits::new(hold, hold);
-        let hold = PartLease::new(ReplicaId(1), limits, 0);
+        let limits = LeaseLimits::new(lease_duration, lease_duration);
+        let lease = PartLease::new(ReplicaId(1), limits, 0);
         let grants = Arc::default();
         let quotas = ReplicaQuotas::new(
             tolerance,
-            hold,
+            lease,
             grants,
             receiver,
             Arc::clone(&state),
             metrics,
         );
-        quotas.record_grant(quotas.ask());
-        let (replying, replies) = mpsc::channel(8);
+        quotas.record_grant(quotas.start_probe());
+        let (reply_sender, replies) = mpsc::channel(8);
         Self {
             quotas,
             published,
             state,
-            replying,
+            reply_sender,
             replies,
         }
     }
 
-    /// Applies a version of the routes with one tenant.
+    /// Applies a version of the routes with one tenant, whose quota is `per_second` tokens.
     fn apply(&self, version: u64, per_second: f64) {
         let quota = RequestQuota {
             per_second,
@@ -101,8 +104,8 @@
         drop(state);
         self.published
             .send_modify(|published| published.routes_version = version);
-        // As the task does that follows the driver.
-        drop(self.quotas.current(self.quotas.now()));
+        // Stands in for `follow_published_state`, which does not run here.
+        drop(self.quotas.lock_current_part(self.quotas.now()));
     }
 
     fn take(&self, number: u64, wanted: u32) -> TokenVerdict {
@@ -114,7 +117,7 @@
             patience_ms: 200,
             is_resend: false,
         };
-        let replies = self.quotas.take(&[request], &self.replying);
+        let replies = self.quotas.take(&[request], &self.reply_sender);
         assert_eq!(replies.len(), 1);
         assert_eq!(replies[0].number, number);
         replies[0].verdict
@@ -122,19 +125,19 @@
 }
 
 #[test]
-fn a_replica_grants_what_has_come_into_its_part() {
-    let counter = Counter::new(WITH_SLACK);
-    counter.apply(1, 1_000.0);
-    sleep(FIRST_TOKENS);
-    assert_eq!(counter.take(7, 3), TokenVerdict::Granted(3));
+fn a_replica_grants_the_tokens_that_its_part_has_gained() {
+    let fixture = Fixture::new(WITH_SLACK);
+    fixture.apply(1, 1_000.0);
+    sleep(FIRST_TOKENS_DELAY);
+    assert_eq!(fixture.take(7, 3), TokenVerdict::Granted(3));
 }
 
 #[test]
-fn a_replica_that_has_just_started_refuses_and_says_when_a_token_is_there() {
-    let counter = Counter::new(QuotaTolerance::default());
-    // One of two parts: a token in 10 s, of which some has passed, after the pause of a start.
-    counter.apply(1, 0.2);
-    let TokenVerdict::OverQuota { retry_after_ms } = counter.take(1, 1) else {
+fn a_replica_that_has_just_started_refuses_and_tells_when_to_retry() {
+    let fixture = Fixture::new(QuotaTolerance::default());
+    // One of two parts gains a token in 10 s, some of which have passed. Its first 100 ms without a gain come on top.
+    fixture.apply(1, 0.2);
+    let TokenVerdict::OverQuota { retry_after_ms } = fixture.take(1, 1) else {
         panic!("granted from an empty part");
     };
     assert!(
@@ -144,26 +147,26 @@
 }
 
 #[test]
-fn an_unknown_tenant_is_no_business_of_a_replica_without_its_version() {
-    let counter = Counter::new(QuotaTolerance::default());
-    assert_eq!(counter.take(1, 1), TokenVerdict::NoPart);
+fn a_replica_without_the_routes_of_a_tenant_has_no_part_of_its_quota() {
+    let fixture = Fixture::new(QuotaTolerance::default());
+    assert_eq!(fixture.take(1, 1), TokenVerdict::NoPart);
 }
 
 #[test]
-fn a_replica_whose_hold_is_over_has_no_part_at_once() {
-    let hold = Duration::from_millis(200);
-    let counter = Counter::holding(WITH_SLACK, hold);
-    counter.apply(1, 1_000.0);
-    sleep(FIRST_TOKENS);
-    counter
+fn a_replica_loses_its_part_as_soon_as_its_lease_expires() {
+    let lease_duration = Duration::from_millis(200);
+    let fixture = Fixture::with_lease(WITH_SLACK, lease_duration);
+    fixture.apply(1, 1_000.0);
+    sleep(FIRST_TOKENS_DELAY);
+    fixture
         .published
         .send_modify(|published| published.leader = None);
-    sleep(hold);
-    assert_eq!(counter.take(1, 1), TokenVerdict::NoPart);
-    // Its part is empty when it has one again: what it held may have been granted elsewhere by then.
-    counter.quotas.record_grant(counter.quotas.ask());
-    counter.apply(2, 0.1);
-    let verdict = counter.take(2, 1);
+    sleep(lease_duration);
+    assert_eq!(fixture.take(1, 1), TokenVerdict::NoPart);
+    // With a new lease the part starts empty: another replica may have granted the former tokens in the meantime.
+    fixture.quotas.record_grant(fixture.quotas.start_probe());
+    fixture.apply(2, 0.1);
+    let verdict = fixture.take(2, 1);
     assert!(
         matches!(verdict, TokenVerdict::OverQuota { .. }),
         "{verdict:?}"
@@ -171,46 +174,48 @@
 }
 
 #[test]
-fn a_replica_that_knows_no_leader_keeps_its_part_while_its_hold_lasts() {
-    let counter = Counter::new(WITH_SLACK);
-    counter.apply(1, 1_000.0);
-    counter
+fn a_replica_without_a_leader_keeps_its_part_while_its_lease_is_valid() {
+    let fixture = Fixture::new(WITH_SLACK);
+    fixture.apply(1, 1_000.0);
+    fixture
         .published
         .send_modify(|published| published.leader = None);
-    sleep(FIRST_TOKENS);
-    assert_eq!(counter.take(1, 1), TokenVerdict::Granted(1));
+    sleep(FIRST_TOKENS_DELAY);
+    assert_eq!(fixture.take(1, 1), TokenVerdict::Granted(1));
 }
 
 #[test]
-fn a_replica_that_has_just_started_has_no_part_until_a_leader_grants_it() {
-    let counter = Counter::new(WITH_SLACK);
-    *counter.quotas.hold() = PartLease::new(ReplicaId(1), LeaseLimits::new(HOLD, HOLD), 0);
-    counter.apply(1, 1_000.0);
+fn a_replica_that_has_just_started_has_no_part_until_a_leader_grants_a_lease() {
+    let fixture = Fixture::new(WITH_SLACK);
+    *fixture.quotas.lease() =
+        PartLease::new(ReplicaId(1), LeaseLimits::new(LONG_LEASE, LONG_LEASE), 0);
+    fixture.apply(1, 1_000.0);
     sleep(Duration::from_millis(50));
-    assert_eq!(counter.take(1, 1), TokenVerdict::NoPart);
+    assert_eq!(fixture.take(1, 1), TokenVerdict::NoPart);
 }
 
 #[test]
-fn a_lower_limit_binds_with_its_version() {
-    let counter = Counter::new(WITH_SLACK);
-    counter.apply(1, 10_000.0);
-    sleep(FIRST_TOKENS);
-    // What the lower limit leaves no room for is gone, and more of it may be owed; the rate is the lower one from here on.
-    counter.apply(2, 0.1);
-    if let TokenVerdict::Granted(granted) = counter.take(1, 100) {
+fn a_lower_quota_applies_as_soon_as_its_version_is_applied() {
+    let fixture = Fixture::new(WITH_SLACK);
+    fixture.apply(1, 10_000.0);
+    sleep(FIRST_TOKENS_DELAY);
+    // The lower quota discards the tokens for which it has no room and may leave a debt; from here on the part fills at
+    // the lower rate.
+    fixture.apply(2, 0.1);
+    if let TokenVerdict::Granted(granted) = fixture.take(1, 100) {
         assert!(granted <= 10, "{granted}");
     }
-    let TokenVerdict::OverQuota { retry_after_ms } = counter.take(2, 1) else {
+    let TokenVerdict::OverQuota { retry_after_ms } = fixture.take(2, 1) else {
         panic!("granted at the former rate");
     };
-    // The tolerance gives each part a token a window; at the former rate there were thousands.
+    // The tolerance lets each part gain one token per window; at the former rate it would gain thousands.
     let window_ms = u32::try_from(WITH_SLACK.window_ms).expect("a second");
     assert!(retry_after_ms > window_ms / 2, "{retry_after_ms}");
 }
 
 #[test]
 fn replies_keep_the_numbers_of_their_requests() {
-    let counter = Counter::new(QuotaTolerance::default());
+    let fixture = Fixture::new(QuotaTolerance::default());
     let request = |number| TokenRequest {
         number,
         tenant: "desk".into(),
@@ -219,45 +224,46 @@
         patience_ms: 200,
         is_resend: false,
     };
-    let replies = counter
+    let replies = fixture
         .quotas
-        .take(&[request(5), request(3)], &counter.replying);
+        .take(&[request(5), request(3)], &fixture.reply_sender);
     let numbers: Vec<u64> = replies.iter().map(|reply| reply.number).collect();
     assert_eq!(numbers, [5, 3]);
 }
 
 #[test]
-fn parts_are_one_more_than_members_and_none_without_a_hold_a_vote_or_a_driver() {
+fn there_is_one_more_part_than_members_and_none_without_lease_vote_or_driver() {
     let member = Published {
         leader: Some(ReplicaId(1)),
         members: 9,
         is_member: true,
         ..Published::default()
     };
-    assert_eq!(parts(&member, true), Some(10));
-    assert_eq!(parts(&member, false), None);
+    assert_eq!(part_count(&member, true), Some(10));
+    assert_eq!(part_count(&member, false), None);
     let failed = Published {
         failure: Some("store: no space".to_owned()),
         ..member.clone()
     };
-    assert_eq!(parts(&failed, true), None);
-    let replaced = Published {
+    assert_eq!(part_count(&failed, true), None);
+    let removed = Published {
         is_member: false,
         ..member
     };
-    assert_eq!(parts(&replaced, true), None);
+    assert_eq!(part_count(&removed, true), None);
 }
 
 #[tokio::test]
-async fn without_tenants_nothing_asks_for_loans() {
-    let counter = Counter::new(QuotaTolerance::default());
-    counter.take(1, 1);
-    // The word would be there at once.
-    let asked = tokio::time::timeout(Duration::from_millis(50), counter.quotas.asked()).await;
-    assert!(asked.is_err());
-    counter.apply(1, 1.0);
-    counter.take(2, 1);
-    counter.quotas.asked().await;
+async fn without_tenants_token_requests_do_not_start_loan_requests() {
+    let fixture = Fixture::new(QuotaTolerance::default());
+    fixture.take(1, 1);
+    // A notification would be there at once.
+    let wait = fixture.quotas.wait_for_requests();
+    let notified = tokio::time::timeout(Duration::from_millis(50), wait).await;
+    assert!(notified.is_err());
+    fixture.apply(1, 1.0);
+    fixture.take(2, 1);
+    fixture.quotas.wait_for_requests().await;
 }
 
 fn waiting_request(number: u64) -> TokenRequest {
@@ -271,45 +277,45 @@
     }
 }
 
-/// Quotas whose part is empty, beside replicas that may lend.
-fn beside_lenders() -> Counter {
-    let counter = Counter::new(WITH_SLACK);
-    counter.apply(1, 0.5);
-    counter.quotas.note_lenders(true);
-    counter
+/// A replica with an empty part, connected to replicas that may lend.
+fn fixture_with_lenders() -> Fixture {
+    let fixture = Fixture::new(WITH_SLACK);
+    fixture.apply(1, 0.5);
+    fixture.quotas.set_has_lenders(true);
+    fixture
 }
 
 #[test]
-fn a_request_waits_for_a_loan_and_is_answered_when_it_comes() {
-    let mut counter = beside_lenders();
-    let now = counter
+fn a_request_waits_for_a_loan_and_is_answered_when_it_arrives() {
+    let mut fixture = fixture_with_lenders();
+    let replies = fixture
         .quotas
-        .take(&[waiting_request(5)], &counter.replying);
-    assert!(now.is_empty(), "it waits");
-    let asked = counter.quotas.loans_wanted();
+        .take(&[waiting_request(5)], &fixture.reply_sender);
+    assert!(replies.is_empty(), "answered without waiting for a loan");
+    let loan_requests = fixture.quotas.loans_wanted();
     let loan = TokenLoan {
-        number: asked[0].number,
+        number: loan_requests[0].number,
         tenant: "desk".into(),
         tokens: 1,
     };
-    counter.quotas.receive(&loan);
-    let replies = counter.replies.try_recv().expect("an answer");
+    fixture.quotas.receive(&loan);
+    let replies = fixture.replies.try_recv().expect("a reply");
     assert_eq!(replies[0].number, 5);
     assert_eq!(replies[0].verdict, TokenVerdict::Granted(1));
-    counter.quotas.receive(&loan);
-    assert!(counter.replies.try_recv().is_err(), "it is answered once");
+    fixture.quotas.receive(&loan);
+    assert!(fixture.replies.try_recv().is_err(), "answered twice");
 }
 
 #[test]
-fn a_request_that_no_loan_comes_for_is_refused_in_the_end() {
-    let mut counter = beside_lenders();
-    let now = counter
+fn a_request_is_refused_if_no_loan_arrives_in_time() {
+    let mut fixture = fixture_with_lenders();
+    let replies = fixture
         .quotas
-        .take(&[waiting_request(5)], &counter.replying);
-    assert!(now.is_empty(), "it waits");
-    sleep(FIRST_TOKENS);
-    counter.quotas.settle();
-    let replies = counter.replies.try_recv().expect("an answer");
+        .take(&[waiting_request(5)], &fixture.reply_sender);
+    assert!(replies.is_empty(), "answered without waiting for a loan");
+    sleep(FIRST_TOKENS_DELAY);
+    fixture.quotas.decide_waiting();
+    let replies = fixture.replies.try_recv().expect("a reply");
     let verdict = replies[0].verdict;
     assert!(
         matches!(verdict, TokenVerdict::OverQuota { .. }),
@@ -318,16 +324,21 @@
 }
 
 #[test]
-fn a_request_whose_gateway_has_gone_takes_no_token() {
-    let counter = beside_lenders();
-    let (gone, closed) = mpsc::channel(8);
-    assert!(counter.quotas.take(&[waiting_request(5)], &gone).is_empty());
-    drop(closed);
-    let asked = counter.quotas.loans_wanted();
-    counter.quotas.receive(&TokenLoan {
-        number: asked[0].number,
+fn a_request_of_a_disconnected_gateway_takes_no_token() {
+    let fixture = fixture_with_lenders();
+    let (disconnected, receiver) = mpsc::channel(8);
+    assert!(
+        fixture
+            .quotas
+            .take(&[waiting_request(5)], &disconnected)
+            .is_empty()
+    );
+    drop(receiver);
+    let loan_requests = fixture.quotas.loans_wanted();
+    fixture.quotas.receive(&TokenLoan {
+        number: loan_requests[0].number,
         tenant: "desk".into(),
         tokens: 1,
     });
-    assert_eq!(counter.take(6, 1), TokenVerdict::Granted(1));
+    assert_eq!(fixture.take(6, 1), TokenVerdict::Granted(1));
 }
--- a/crates/sablehaven-control/src/quotas/waiting.rs
+++ b/crates/sablehaven-control/src/quotas/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests for tokens that wait while other replicas may lend some.
+//! Requests for tokens that wait for loans from other replicas.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use sablehaven_types::{TokenReply, TokenRequest};
 use tokio::sync::mpsc;
 
-/// Takes the answers to one gateway's requests.
+/// Sends replies to one gateway.
 pub(crate) type ReplySender = mpsc::Sender<Vec<TokenReply>>;
 
-/// The requests that wait, in the order in which they came.
+/// The waiting requests, in order of arrival.
 #[derive(Default)]
 pub(super) struct WaitingRequests {
     requests: Vec<WaitingRequest>,
@@ -17,61 +17,62 @@
 
 struct WaitingRequest {
     request: TokenRequest,
-    asked_at: Duration,
+    received_at: Duration,
     draw: f64,
-    replying: ReplySender,
+    reply_sender: ReplySender,
 }
 
 impl WaitingRequests {
-    /// Whether none waits.
+    /// Whether no request waits.
     pub(super) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Decides on a request that has just come; `None` where it waits from now on.
-    pub(super) fn take(
+    /// Decides on a new request. Returns `None` if the request has to wait.
+    pub(super) fn take_or_wait(
         &mut self,
         part: &mut QuotaPart,
         now: Duration,
         request: &TokenRequest,
-        replying: &ReplySender,
+        reply_sender: &ReplySender,
     ) -> Option<TokenReply> {
         let draw = rand::random();
         let verdict = part.take_or_hold(now, request, draw, Duration::ZERO);
         if verdict.is_none() {
             self.requests.push(WaitingRequest {
                 request: request.clone(),
-                asked_at: now,
+                received_at: now,
                 draw,
-                replying: replying.clone(),
+                reply_sender: reply_sender.clone(),
             });
         }
         let number = request.number;
         verdict.map(|verdict| TokenReply { number, verdict })
     }
 
-    /// Decides on those that wait; what is decided goes to their gateways. One whose gateway has gone takes no token.
-    pub(super) fn settle(
+    /// Decides on the waiting requests and returns the replies to send. A request whose gateway has disconnected is
+    /// dropped and takes no token.
+    pub(super) fn decide(
         &mut self,
         part: &mut QuotaPart,
         now: Duration,
     ) -> Vec<(TokenReply, ReplySender)> {
-        let mut settled = Vec::new();
+        let mut decided = Vec::new();
         self.requests.retain(|waiting| {
-            if waiting.replying.is_closed() {
+            if waiting.reply_sender.is_closed() {
                 return false;
             }
-            // A time of 0 would count it once more.
-            let held = now.saturating_sub(waiting.asked_at);
-            let held = held.max(Duration::from_nanos(1));
-            let verdict = part.take_or_hold(now, &waiting.request, waiting.draw, held);
+            // A waiting time of 0 marks a new request, so the part would count this one twice.
+            let waited = now.saturating_sub(waiting.received_at);
+            let waited = waited.max(Duration::from_nanos(1));
+            let verdict = part.take_or_hold(now, &waiting.request, waiting.draw, waited);
             let Some(verdict) = verdict else {
                 return true;
             };
             let number = waiting.request.number;
-            settled.push((TokenReply { number, verdict }, waiting.replying.clone()));
+            decided.push((TokenReply { number, verdict }, waiting.reply_sender.clone()));
             false
         });
-        settled
+        decided
     }
 }
