--- a/crates/sablehaven-control/src/codec.rs
+++ b/crates/sablehaven-control/src/codec.rs
@@ -5,7 +5,7 @@
 /// The version of the encoding of commands, snapshots and messages between replicas.
 pub const ENCODING_VERSION: u8 = 1;
 
-/// Errors of encoding; each names the step.
+/// Why encoding or decoding failed, with the step that failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CodecError {
     /// {step}: {source}
@@ -22,11 +22,11 @@
         /// The cause.
         source: rmp_serde::decode::Error,
     },
-    /// {step}: encoding version is {version:?}, this program knows 1
+    /// {step}: encoding version is {version:?}, only version 1 is supported
     Version {
         /// What was decoded.
         step: &'static str,
-        /// The version found; `None` for an empty input.
+        /// The version found; `None` if the input is empty.
         version: Option<u8>,
     },
 }
@@ -39,7 +39,7 @@
     Ok(encoded)
 }
 
-/// Decodes a value; an unknown version is refused.
+/// Decodes a value. Input with an unknown version is an error.
 pub fn decode<Value: DeserializeOwned>(
     step: &'static str,
     encoded: &[u8],
--- a/crates/sablehaven-control/src/error.rs
+++ b/crates/sablehaven-control/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a control replica did not start.
+//! Errors of starting a control replica.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,12 @@
 
 use crate::codec::CodecError;
 
-/// Why a control replica did not start; each error names the step and the place.
+/// Why a control replica did not start. Each error names the step that failed and where it failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StartError {
     /// check settings: {errors:?}
     Settings {
-        /// Every setting that cannot be used.
+        /// All invalid settings.
         errors: Vec<SettingError>,
     },
     /// listen on {address}: {source}
@@ -24,7 +24,7 @@
     },
     /// open data folder: {source}
     Storage {
-        /// The cause, with the file.
+        /// The cause, which names the file.
         source: StorageError,
     },
     /// restore group {group}: {source}
@@ -34,11 +34,11 @@
         /// The cause.
         source: CodecError,
     },
-    /// open data folder: it holds {stored} ledger groups, settings say {configured}
+    /// open data folder: it contains {stored} ledger groups, but the settings configure {configured}
     LedgerGroups {
-        /// In the data folder.
+        /// The number of groups in the data folder.
         stored: u32,
-        /// In the settings.
+        /// The number of groups in the settings.
         configured: u32,
     },
     /// start storage thread: {source}
--- a/crates/sablehaven-control/src/evacuation/mod.rs
+++ b/crates/sablehaven-control/src/evacuation/mod.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones as a deterministic state machine: orders take effect one after the other.
+//! The evacuated zones as a deterministic state machine, which applies commands in log order.
 
 use sablehaven_types::{EvacuatedZones, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -7,12 +7,12 @@
 
 pub use service::{EvacuationError, EvacuationService};
 
-/// An operator's order about one zone.
+/// An operator's command to start or end the evacuation of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationCommand {
     /// The zone.
     pub zone: ZoneName,
-    /// Whether its servers are to get nothing new from now on, or work again.
+    /// `true` to evacuate the zone, so that its servers get no new requests; `false` to let them get requests again.
     pub is_evacuated: bool,
 }
 
@@ -23,20 +23,20 @@
 }
 
 impl EvacuationState {
-    /// The zones that are evacuated.
+    /// The zones that are evacuated now.
     pub fn zones(&self) -> &EvacuatedZones {
         &self.zones
     }
 
-    /// Applies a committed order, the log's entry `index`. One that says what holds already changes nothing.
-    pub fn apply(&mut self, index: u64, order: EvacuationCommand) {
+    /// Applies the committed command of log entry `index`. A command that describes the present state has no effect.
+    pub fn apply(&mut self, index: u64, command: EvacuationCommand) {
         let zones = &mut self.zones.zones;
-        let is_new = if order.is_evacuated {
-            zones.insert(order.zone)
+        let is_changed = if command.is_evacuated {
+            zones.insert(command.zone)
         } else {
-            zones.remove(&order.zone)
+            zones.remove(&command.zone)
         };
-        if is_new {
+        if is_changed {
             self.zones.revision = index;
         }
     }
--- a/crates/sablehaven-control/src/evacuation/service.rs
+++ b/crates/sablehaven-control/src/evacuation/service.rs
@@ -1,4 +1,4 @@
-//! Operators' calls that evacuate a zone and end that.
+//! Operators' calls that start and end the evacuation of a zone.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     shared::SharedCommand,
 };
 
-/// Why an order about a zone was not taken.
+/// Why a call to start or end an evacuation failed.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display, thiserror::Error)]
 pub enum EvacuationError {
     /// evacuate zone '{zone}': no zone has this name
@@ -23,7 +23,7 @@
     Quorum(#[from] QuorumCallError),
 }
 
-/// Takes operators' orders about zones; cheap to clone.
+/// Starts and ends evacuations of zones for operators. Cheap to clone.
 #[derive(Clone)]
 pub struct EvacuationService {
     context: Arc<Context>,
@@ -34,33 +34,33 @@
         Self { context }
     }
 
-    /// Orders that the servers of a zone get nothing new.
+    /// Starts the evacuation of a zone: its servers get no new requests.
     ///
     /// # Errors
-    /// See [`EvacuationError`]. After [`QuorumCallError::Unavailable`] the order may or may not take
-    /// effect; send it again, to any replica.
+    /// See [`EvacuationError`]. After [`QuorumCallError::Unavailable`] the command may or may not take effect; the caller
+    /// should send it again, to any replica.
     pub async fn start(&self, zone: ZoneName) -> Result<(), EvacuationError> {
-        self.order(zone, true).await
+        self.propose(zone, true).await
     }
 
-    /// Takes an evacuation back.
+    /// Ends the evacuation of a zone.
     ///
     /// # Errors
     /// As for [`Self::start`].
     pub async fn end(&self, zone: ZoneName) -> Result<(), EvacuationError> {
-        self.order(zone, false).await
+        self.propose(zone, false).await
     }
 
-    /// Each order goes through the log, also one that seems to hold already: a replica that is behind does
-    /// not know of an order that came after it.
-    async fn order(&self, zone: ZoneName, is_evacuated: bool) -> Result<(), EvacuationError> {
+    /// Proposes every command, even one that describes the state that this replica has applied: the replica may be behind
+    /// and not know of a later command that reversed it.
+    async fn propose(&self, zone: ZoneName, is_evacuated: bool) -> Result<(), EvacuationError> {
         let zones = &self.context.config.zones;
         if !zones.is_empty() && !zones.contains(&zone) {
             return Err(EvacuationError::UnknownZone { zone });
         }
-        log::info!(event = "evacuation", zone:% = zone, starts = is_evacuated; "order about a zone");
-        let order = EvacuationCommand { zone, is_evacuated };
-        propose_as_leader(&self.context, SharedCommand::Evacuation(order)).await?;
+        log::info!(event = "evacuation", zone:% = zone, starts = is_evacuated; "zone evacuation command received");
+        let command = EvacuationCommand { zone, is_evacuated };
+        propose_as_leader(&self.context, SharedCommand::Evacuation(command)).await?;
         Ok(())
     }
 }
--- a/crates/sablehaven-control/src/lib.rs
+++ b/crates/sablehaven-control/src/lib.rs
@@ -1,8 +1,9 @@
-//! Configuration, membership and request ledger state machines and the server that replicates them.
+//! The control replica: deterministic state machines, and the server that replicates them by consensus.
 //!
-//! Group 0 holds [`shared::SharedState`] (configuration, membership and the control replicas);
-//! groups 1 and up hold [`ledger::LedgerState`], keys spread over them by hash. The state machines
-//! are pure: a command carries its proposer's time, and applying it gives the same on every replica.
+//! Consensus group 0 replicates [`shared::SharedState`]: the configuration, the back ends, the control replicas, the routes
+//! and the evacuated zones. Groups 1 and up replicate [`ledger::LedgerState`], the ledger of requests, whose keys are
+//! distributed over these groups by hash. The state machines do no I/O and read no clock: a command carries its
+//! proposer's time, so applying it has the same result on every replica.
 
 mod clock;
 pub mod codec;
--- a/crates/sablehaven-control/src/quorum_call.rs
+++ b/crates/sablehaven-control/src/quorum_call.rs
@@ -1,4 +1,4 @@
-//! What calls have in common that need the leader and a quorum.
+//! Helpers for calls that only the leader can answer and that need a quorum.
 
 use std::time::Duration;
 
@@ -8,25 +8,26 @@
     driver::ProposeError, replicas::ReplicaAddresses, server::Context, shared::SharedCommand,
 };
 
-/// Longest time that a call waits for a quorum: a caller moves on after a second.
-const QUORUM_LIMIT: Duration = Duration::from_millis(850);
+/// Maximum time that a call waits for a quorum. Callers try another replica after 1 s, so the call must fail before that.
+const QUORUM_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// Why a call that needs the leader and a quorum has no answer.
+/// Why a call that needs the leader and a quorum failed.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display, thiserror::Error)]
 pub enum QuorumCallError {
     /// this replica does not lead
     NotLeader {
-        /// The leader's addresses, where known.
+        /// The leader's addresses, if known.
         leader: Option<ReplicaAddresses>,
     },
     /// {reason}
     Unavailable {
-        /// What was missing.
+        /// Why the quorum could not answer.
         reason: &'static str,
     },
 }
 
-/// Has a quorum commit a command. After [`QuorumCallError::Unavailable`] it may or may not take effect.
+/// Proposes a command and waits until it is committed and applied. After [`QuorumCallError::Unavailable`] the command may
+/// or may not take effect.
 pub(crate) async fn propose_as_leader(
     context: &Context,
     command: SharedCommand,
@@ -34,7 +35,7 @@
     if !context.is_leader() {
         return Err(not_leader(context));
     }
-    match timeout(QUORUM_LIMIT, context.driver.propose(command)).await {
+    match timeout(QUORUM_TIMEOUT, context.driver.propose(command)).await {
         Ok(Ok(_)) => Ok(()),
         Ok(Err(ProposeError::NotLeader)) => Err(not_leader(context)),
         Ok(Err(_)) => Err(unavailable("leadership was lost")),
@@ -42,12 +43,12 @@
     }
 }
 
-/// Has a quorum confirm that this replica leads, so that what it has applied is current.
+/// Waits until a quorum confirms that this replica leads, so that a read of the state after this call is linearizable.
 pub(crate) async fn prove_leadership(context: &Context) -> Result<(), QuorumCallError> {
     if !context.is_leader() {
         return Err(not_leader(context));
     }
-    match timeout(QUORUM_LIMIT, context.driver.prove_leadership()).await {
+    match timeout(QUORUM_TIMEOUT, context.driver.prove_leadership()).await {
         Ok(Some(_)) => Ok(()),
         Ok(None) => Err(not_leader(context)),
         Err(_) => Err(unavailable("no quorum answered in time")),
--- a/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
@@ -311,6 +311,7 @@
         probes.filter(|(member, _)| is_granted(member)).collect()
     }
 
+    /// Proposes the next membership change that the repair policy asks for.
     pub(super) fn repair(&mut self, members: &[ReplicaId], connected: &[ReplicaId]) {
         let policy = RepairPolicy {
             patience: at(PATIENCE_MS),
--- a/crates/sablehaven-control/src/routes/mod.rs
+++ b/crates/sablehaven-control/src/routes/mod.rs
@@ -1,4 +1,4 @@
-//! The routes as a deterministic state machine: the highest version wins.
+//! The routes as a deterministic state machine, in which the highest version wins.
 
 use std::{fmt, sync::Arc};
 
@@ -10,17 +10,17 @@
 
 pub use service::{RoutesCallError, RoutesService};
 
-/// An operator's whole set of routes.
+/// A complete set of routes from an operator.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub struct PutRoutes {
-    /// The routes; valid by themselves.
+    /// The routes; already validated.
     pub document: Arc<RouteDocument>,
-    /// The operator's own text, given back unchanged when it is read.
+    /// The text that the operator sent, returned unchanged to readers.
     pub source: Bytes,
 }
 
 impl fmt::Debug for PutRoutes {
-    /// The operator's text holds the tenants' keys, so only its length is shown.
+    /// Shows only the length of the operator's text, because the text contains the tenants' keys.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut fields = formatter.debug_struct("PutRoutes");
         fields.field("document", &self.document);
@@ -32,32 +32,36 @@
 /// The routes in force.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RoutesState {
-    held: Option<PutRoutes>,
+    #[serde(rename = "held")]
+    current: Option<PutRoutes>,
 }
 
 impl RoutesState {
     /// The document of the routes in force; `None` before the first.
     pub fn document(&self) -> Option<Arc<RouteDocument>> {
-        let held = self.held.as_ref()?;
-        Some(Arc::clone(&held.document))
+        let current = self.current.as_ref()?;
+        Some(Arc::clone(&current.document))
     }
 
     /// The routes in force; `None` before the first.
     pub fn current(&self) -> Option<&PutRoutes> {
-        self.held.as_ref()
+        self.current.as_ref()
     }
 
     /// The version in force; 0 before the first.
     pub fn version(&self) -> u64 {
-        self.held.as_ref().map_or(0, |held| held.document.version)
+        self.current
+            .as_ref()
+            .map_or(0, |current| current.document.version)
     }
 
-    /// Applies a committed command. A version that is not above the held one changes nothing, other
-    /// content under the held version neither: a resend and an older change are no news.
+    /// Applies a committed command and returns whether the routes changed. They change only if the new version is higher
+    /// than the current one, so a resent or outdated command has no effect, and neither has different content under the
+    /// current version.
     pub fn apply(&mut self, put: PutRoutes) -> bool {
-        let is_newer = self.held.is_none() || put.document.version > self.version();
+        let is_newer = self.current.is_none() || put.document.version > self.version();
         if is_newer {
-            self.held = Some(put);
+            self.current = Some(put);
         }
         is_newer
     }
--- a/crates/sablehaven-control/src/routes/service.rs
+++ b/crates/sablehaven-control/src/routes/service.rs
@@ -1,4 +1,4 @@
-//! Calls that put and read the routes, and answer callers where to go.
+//! Calls that put and read the routes, and that direct callers to gateways.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -13,7 +13,7 @@
     shared::SharedCommand,
 };
 
-/// Why a call about the routes has no answer.
+/// Why a call about the routes failed.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display, thiserror::Error)]
 pub enum RoutesCallError {
     /// put routes: {0}
@@ -22,7 +22,7 @@
     Quorum(#[from] QuorumCallError),
 }
 
-/// Puts and reads the routes of one control replica; cheap to clone.
+/// Puts and reads the routes through one control replica. Cheap to clone.
 #[derive(Clone)]
 pub struct RoutesService {
     context: Arc<Context>,
@@ -33,17 +33,17 @@
         Self { context }
     }
 
-    /// Puts routes in force, unless a version that is not older is in force already. Validity is
-    /// looked at first and from the document alone, whatever its version.
+    /// Puts routes in force, unless the same or a newer version is in force already. The document is validated first, on
+    /// its own and whatever its version.
     ///
     /// # Errors
-    /// See [`RoutesCallError`]. After [`QuorumCallError::Unavailable`] the routes may or may not
-    /// come into force; send the same again, to any replica.
+    /// See [`RoutesCallError`]. After [`QuorumCallError::Unavailable`] the routes may or may not come into force; the
+    /// caller should send the same document again, to any replica.
     pub async fn put(&self, document: RouteDocument, source: Bytes) -> Result<(), RoutesCallError> {
         document.validate().map_err(RoutesCallError::Invalid)?;
-        let held = read(&self.context.state, |state| state.routes().version());
-        // What is applied is committed, so this is true on every replica, a follower too.
-        if held >= document.version && held > 0 {
+        let current = read(&self.context.state, |state| state.routes().version());
+        // Applied entries are committed, so this check is correct on every replica, including followers.
+        if current >= document.version && current > 0 {
             return Ok(());
         }
         let document = Arc::new(document);
@@ -52,26 +52,30 @@
         Ok(())
     }
 
-    /// The newest routes as the operator sent them, proved by a quorum; `None` before the first.
+    /// The newest routes as the operator sent them, or `None` before the first. A linearizable read: a quorum confirms
+    /// that this replica leads.
     ///
     /// # Errors
-    /// See [`RoutesCallError`]; never an older version.
+    /// See [`RoutesCallError`]. An older version is never returned instead.
     pub async fn newest(&self) -> Result<Option<Bytes>, RoutesCallError> {
         prove_leadership(&self.context).await?;
         Ok(read(&self.context.state, |state| {
-            state.routes().current().map(|held| held.source.clone())
+            state
+                .routes()
+                .current()
+                .map(|current| current.source.clone())
         }))
     }
 
-    /// Where a caller of a place is to go for a host: near gateways first. Empty while this replica cannot
-    /// tell.
+    /// The addresses of the gateways that a caller at this placement should use for a host, the nearest first. Empty until
+    /// gateways have had time to connect to this replica after its start.
     pub fn gateway_addresses(&self, host: &str, caller: &Placement) -> Vec<SocketAddr> {
         if !self.context.gateways.is_settled() {
             return Vec::new();
         }
         let allowed = read(&self.context.state, |state| {
-            let held = state.routes().current();
-            held.map(|held| held.document.regions_of(host))
+            let current = state.routes().current();
+            current.map(|current| current.document.regions_of(host))
         });
         self.context
             .gateways
--- a/crates/sablehaven-control/src/routes/tests.rs
+++ b/crates/sablehaven-control/src/routes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is shown of the routes.
+//! Tests of the routes' debug output.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::{PutRoutes, RoutesState};
 
 #[test]
-fn the_debug_form_of_routes_holds_no_key() {
+fn the_debug_output_of_routes_contains_no_key() {
     let key = "sesame-7f3a91";
     let tenant = Tenant {
         name: "desk".into(),
@@ -28,8 +28,8 @@
     };
     let mut state = RoutesState::default();
     state.apply(put.clone());
-    for shown in [format!("{put:?}"), format!("{state:?}")] {
-        assert!(shown.contains("desk"), "{shown}");
-        assert!(!shown.contains(key), "{shown}");
+    for output in [format!("{put:?}"), format!("{state:?}")] {
+        assert!(output.contains("desk"), "{output}");
+        assert!(!output.contains(key), "{output}");
     }
 }
--- a/crates/sablehaven-control/src/shared/history.rs
+++ b/crates/sablehaven-control/src/shared/history.rs
@@ -1,16 +1,16 @@
-//! Which keys changed at which revision, in bounded form, so that relays get deltas.
+//! A bounded history of the keys that changed at each revision, from which updates for relays are built as deltas.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use sablehaven_types::{BackendId, ServiceName};
 
-/// Changes that are kept; a relay that is further behind gets the whole state.
-const CHANGE_LIMIT: usize = 1_024;
+/// Maximum number of revisions in the history. A relay that is further behind gets a full update.
+const MAX_CHANGES: usize = 1_024;
 
-/// What an update must carry; the values are taken from the state when it is sent.
+/// The keys that an update must contain. Their values are read from the state when the update is built.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct ChangeKeys {
-    /// Whether the configuration's version changed (perhaps with nothing else).
+    /// Whether the configuration's version changed, possibly without any other change.
     pub(super) version: bool,
     pub(super) schema: bool,
     pub(super) services: BTreeSet<ServiceName>,
@@ -36,46 +36,50 @@
     }
 }
 
+/// The changed keys of the latest revisions, in order of revision.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ChangeHistory {
-    /// Every change after this revision is in `changes`.
-    floor: u64,
+    /// `changes` contains every change after this revision.
+    complete_since: u64,
     changes: VecDeque<(u64, ChangeKeys)>,
 }
 
 impl ChangeHistory {
-    /// A history without changes, complete from a revision on.
+    /// An empty history that is complete for all changes after this revision.
     pub(super) fn starting_at(revision: u64) -> Self {
         Self {
-            floor: revision,
+            complete_since: revision,
             changes: VecDeque::new(),
         }
     }
 
+    /// Adds the keys that changed at a revision, which must be higher than all before it.
     pub(super) fn record(&mut self, revision: u64, keys: ChangeKeys) {
         self.changes.push_back((revision, keys));
-        while self.changes.len() > CHANGE_LIMIT {
-            if let Some((forgotten, _)) = self.changes.pop_front() {
-                self.floor = forgotten;
+        while self.changes.len() > MAX_CHANGES {
+            if let Some((dropped, _)) = self.changes.pop_front() {
+                self.complete_since = dropped;
             }
         }
     }
 
-    /// Every key that changed after a revision, or `None` if that is no longer known.
+    /// All keys that changed after a revision, or `None` if the history does not reach back to it.
     ///
-    /// A revision that is not one of this history's (0 included) gets `None`: a delta is sound only
-    /// on top of a state that this log made.
-    pub(super) fn since(&self, revision: u64) -> Option<ChangeKeys> {
-        let is_known = revision == self.floor
+    /// Also returns `None` for a revision that is not part of this history, including 0: a delta is correct only on top of
+    /// a state that results from this log.
+    pub(super) fn changes_since(&self, revision: u64) -> Option<ChangeKeys> {
+        let is_known = revision == self.complete_since
             || self
                 .changes
-                .binary_search_by_key(&revision, |(each, _)| *each)
+                .binary_search_by_key(&revision, |(recorded, _)| *recorded)
                 .is_ok();
         if revision == 0 || !is_known {
             return None;
         }
         let mut keys = ChangeKeys::default();
-        let start = self.changes.partition_point(|(each, _)| *each <= revision);
+        let start = self
+            .changes
+            .partition_point(|(recorded, _)| *recorded <= revision);
         for (_, change) in self.changes.range(start..) {
             keys.merge(change);
         }
--- a/crates/sablehaven-control/src/shared/mod.rs
+++ b/crates/sablehaven-control/src/shared/mod.rs
@@ -1,5 +1,5 @@
-//! The state of group 0: configuration, membership and the control replicas, with a revision that
-//! grows with every change that relays must hear of.
+//! The replicated state of group 0: the configuration, the back ends, the control replicas, the routes and the evacuated
+//! zones. Its revision increases with every change that relays must receive.
 
 mod history;
 
@@ -29,28 +29,28 @@
         /// The proposer's time, in milliseconds since the Unix epoch.
         proposed_at_ms: u64,
     },
-    /// What changed in the platform's list.
+    /// Changes in the platform's list of servers.
     Platform(PlatformUpdate),
-    /// What agents saw.
+    /// Agents' observations of back ends.
     Observations(ObservationBatch),
-    /// How many agents watch each service.
+    /// The number of agents that watch each service.
     Watchers(BTreeMap<ServiceName, ServiceWatchers>),
-    /// About the control replicas.
+    /// A change of the control replicas.
     Replicas(ReplicasCommand),
-    /// An operator's routes.
+    /// Routes that an operator has put.
     Routes(PutRoutes),
-    /// An operator's order about a zone.
+    /// An operator's command to start or end the evacuation of a zone.
     Evacuation(EvacuationCommand),
 }
 
-/// What became of a command of group 0.
+/// The outcome of a command of group 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SharedOutcome {
-    /// Of an operator's change of the configuration.
+    /// The outcome of an operator's change of the configuration.
     Configuration(ApplyOutcome),
-    /// Of a command about the control replicas.
+    /// The outcome of a command about the control replicas.
     Replicas(ReplicasOutcome),
-    /// Of any other command.
+    /// Any other command was applied.
     Recorded,
 }
 
@@ -64,7 +64,7 @@
     revision: u64,
     #[serde(default)]
     evacuation: EvacuationState,
-    /// Which keys changed lately; not part of the replicated state, empty after a restore.
+    /// The keys that changed recently. Not part of the replicated state; empty after a restore.
     #[serde(skip)]
     changes: ChangeHistory,
 }
@@ -95,12 +95,12 @@
         &self.evacuation
     }
 
-    /// The index of the latest entry that changed what relays hear of; 0 before the first.
+    /// The index of the latest log entry that changed anything that relays receive; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Applies a committed command; the same on every replica.
+    /// Applies a committed command, with the same result on every replica.
     pub fn apply(&mut self, index: u64, command: SharedCommand) -> SharedOutcome {
         let mut keys = ChangeKeys::default();
         let outcome = self.apply_command(index, command, &mut keys);
@@ -149,26 +149,26 @@
                 self.routes.apply(put);
                 SharedOutcome::Recorded
             }
-            SharedCommand::Evacuation(order) => {
-                self.evacuation.apply(index, order);
+            SharedCommand::Evacuation(command) => {
+                self.evacuation.apply(index, command);
                 SharedOutcome::Recorded
             }
         }
     }
 
-    /// The update that brings a relay from its revision to the current one: `None` if it is there
-    /// (or ahead of this replica), a delta if the changes since are still known, else the whole.
+    /// The update that brings a relay from its revision to the current one: `None` if the relay is up to date or ahead of
+    /// this replica, a delta if the history reaches back to the relay's revision, otherwise a full update.
     pub fn update_since(&self, revision: u64) -> Option<StateUpdate> {
         if revision >= self.revision {
             return None;
         }
-        match self.changes.since(revision) {
+        match self.changes.changes_since(revision) {
             Some(keys) => Some(self.delta(revision, &keys)),
             None => Some(self.full_update()),
         }
     }
 
-    /// The whole state as an update.
+    /// An update that contains everything that relays receive.
     pub fn full_update(&self) -> StateUpdate {
         let configuration = self.configuration.current();
         let services = configuration.services.iter();
@@ -223,12 +223,12 @@
         }
     }
 
-    /// The state's encoding for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn snapshot(&self) -> Result<Vec<u8>, CodecError> {
         codec::encode("encode snapshot of the shared state", self)
     }
 
-    /// The state from a snapshot.
+    /// Decodes the state from a snapshot.
     pub fn restore(data: &[u8]) -> Result<Self, CodecError> {
         let mut state: Self = codec::decode("decode snapshot of the shared state", data)?;
         state.changes = ChangeHistory::starting_at(state.revision);
