--- a/crates/sablehaven-control/src/quotas/lease/tests/simulation.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests/simulation.rs
@@ -85,6 +85,7 @@
         self.next_random() % limit
     }
 
+    /// Runs the simulation for `RUN_LENGTH_MS` and returns what it measured.
     pub(super) fn run(mut self) -> Maxima {
         while self.now_ms < RUN_LENGTH_MS {
             self.now_ms += TICK_MS;
@@ -97,8 +98,11 @@
                     self.run_node(position);
                 }
             }
-            let nodes = self.nodes.iter();
-            let leased_share: f64 = nodes.map(|node| node.leased_share(self.now_ms)).sum();
+            let leased_share: f64 = self
+                .nodes
+                .iter()
+                .map(|node| node.leased_share(self.now_ms))
+                .sum();
             self.maxima.leased_share = self.maxima.leased_share.max(leased_share);
             self.measure_removed_holders();
             self.measure_leaderless();
@@ -305,6 +309,7 @@
         }
     }
 
+    /// Splits the nodes at random into two sides that cannot reach each other.
     fn partition(&mut self) {
         self.blocked.clear();
         let sides = self.next_random();
@@ -318,6 +323,7 @@
         }
     }
 
+    /// Blocks up to 12 random directions between two nodes, in addition to those already blocked.
     fn block_some_directions(&mut self) {
         for _ in 0..1 + self.random_below(12) {
             let from = ReplicaId(1 + self.random_below(NODE_COUNT));
--- a/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
@@ -28,7 +28,7 @@
 /// The whole bucket, with a tolerance for rounding.
 pub(in super::super) const ONE_BUCKET: f64 = 1.0 + 1e-9;
 
-/// The rule of the lease that a simulation breaks, to check that the test detects it.
+/// A rule of the lease that the simulation breaks on purpose, to check that the violation is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in super::super) enum BrokenRule {
     None,
@@ -40,10 +40,12 @@
     Gaps,
 }
 
+/// The content of a simulated message.
 pub(super) enum Payload {
     Consensus(Message),
     Probe(ProbeNumber),
     Granted(ProbeNumber),
+    /// With the log index of the membership to which the answer refers.
     Leaderless(ProbeNumber, u64),
 }
 
@@ -56,6 +58,7 @@
     pub(super) probes: Vec<(ReplicaId, ProbeNumber)>,
 }
 
+/// The state of one replica; only `disk` and `frozen_until_ms` survive a restart.
 pub(super) struct Node {
     pub(super) id: ReplicaId,
     pub(super) replica: Replica,
--- a/crates/sablehaven-control/src/quotas/replica_quotas.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas.rs
@@ -119,7 +119,7 @@
         let mut state = self.lock_current_part(now);
         let PartState { part, waiting, .. } = &mut *state;
         let decided = waiting.decide(part, now);
-        let none_waits = waiting.is_empty();
+        let all_decided = waiting.is_empty();
         drop(state);
         for (reply, reply_sender) in decided {
             self.count_verdict(reply.verdict);
@@ -127,7 +127,7 @@
                 self.metrics.token_replies_dropped.inc();
             }
         }
-        if !none_waits {
+        if !all_decided {
             self.requested.notify_one();
         }
     }
--- a/crates/sablehaven-control/src/quotas/replica_quotas/tests.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas/tests.rs
@@ -258,8 +258,11 @@
     let fixture = Fixture::new(QuotaTolerance::default());
     fixture.take(1, 1);
     // A notification would be there at once.
-    let wait = fixture.quotas.wait_for_requests();
-    let notified = tokio::time::timeout(Duration::from_millis(50), wait).await;
+    let notified = tokio::time::timeout(
+        Duration::from_millis(50),
+        fixture.quotas.wait_for_requests(),
+    )
+    .await;
     assert!(notified.is_err());
     fixture.apply(1, 1.0);
     fixture.take(2, 1);
