--- a/crates/sablehaven-control/src/quorum_call.rs
+++ b/crates/sablehaven-control/src/quorum_call.rs
@@ -21,7 +21,7 @@
     },
     /// {reason}
     Unavailable {
-        /// Why the quorum could not answer.
+        /// Why a quorum could not confirm the call.
         reason: &'static str,
     },
 }
--- a/crates/sablehaven-control/src/routes/mod.rs
+++ b/crates/sablehaven-control/src/routes/mod.rs
@@ -56,8 +56,8 @@
     }
 
     /// Applies a committed command and returns whether the routes changed. They change only if the new version is higher
-    /// than the current one, so a resent or outdated command has no effect, and neither has different content under the
-    /// current version.
+    /// than the current one: a resent or outdated command has no effect, nor does different content with the current
+    /// version.
     pub fn apply(&mut self, put: PutRoutes) -> bool {
         let is_newer = self.current.is_none() || put.document.version > self.version();
         if is_newer {
