--- a/crates/sablehaven-gateway/src/caller.rs
+++ b/crates/sablehaven-gateway/src/caller.rs
@@ -8,7 +8,7 @@
 use crate::{
     names::HeaderNames,
     route_table::RouteTable,
-    tenant_table::{KnownTenant, TenantTable},
+    tenant_table::{TenantRef, TenantTable},
 };
 
 /// The caller of a request, as identified by the configuration that was in force when it was looked up.
@@ -17,7 +17,7 @@
     version: Cell<u64>,
     /// The key that identified the tenant.
     key: Option<KeyDigest>,
-    tenant: Option<KnownTenant>,
+    tenant: Option<TenantRef>,
     /// Whether the route needs no key.
     is_public: bool,
     /// Whether the configuration had any tenants.
@@ -58,7 +58,7 @@
 
     /// The caller's tenant; `None` if it was not identified by a key.
     pub(crate) fn tenant(&self) -> Option<&Tenant> {
-        self.tenant.as_ref().map(KnownTenant::tenant)
+        self.tenant.as_ref().map(TenantRef::tenant)
     }
 
     /// Checks whether the caller is still valid in the version of the configuration that `table` holds.
@@ -84,7 +84,7 @@
                 false => CallerValidity::Changed,
             };
         };
-        let name = |tenant: &KnownTenant| tenant.tenant().name.clone();
+        let name = |tenant: &TenantRef| tenant.tenant().name.clone();
         match tenants.find(key) {
             Some(found) if Some(name(&found)) == self.tenant.as_ref().map(name) => {
                 CallerValidity::Valid
@@ -101,7 +101,7 @@
         if self.has_tenants {
             headers.remove(AUTHORIZATION);
         }
-        if let Some(name) = self.tenant.as_ref().and_then(KnownTenant::header) {
+        if let Some(name) = self.tenant.as_ref().and_then(TenantRef::to_header_value) {
             headers.insert(&names.tenant, name);
         }
     }
--- a/crates/sablehaven-gateway/src/control_link.rs
+++ b/crates/sablehaven-gateway/src/control_link.rs
@@ -19,11 +19,11 @@
 use crate::{control_links::LinkQueue, gateway::Gateway};
 
 /// Pause before a lost connection is opened again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Time between two signs of life towards a replica.
-const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// A replica that is silent for so long is dialled anew.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time that one write may take.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -33,21 +33,21 @@
     /// {0}
     Wire(#[from] WireError),
     /// connection to control {peer}: no sign of life
-    Silent {
+    Timeout {
         /// The replica.
         peer: SocketAddr,
     },
 }
 
 /// Keeps a connection to every known replica.
-pub(crate) async fn keep_links(gateway: Rc<Gateway>) {
+pub(crate) async fn maintain_links(gateway: Rc<Gateway>) {
     let mut controls = gateway.controls();
-    let mut running: BTreeMap<SocketAddr, AbortHandle> = BTreeMap::new();
+    let mut link_tasks: BTreeMap<SocketAddr, AbortHandle> = BTreeMap::new();
     loop {
-        let wanted = controls.borrow_and_update().clone();
-        for address in wanted {
-            running.entry(address).or_insert_with(|| {
-                let link = keep_link(Rc::clone(&gateway), address);
+        let known_addresses = controls.borrow_and_update().clone();
+        for address in known_addresses {
+            link_tasks.entry(address).or_insert_with(|| {
+                let link = maintain_link(Rc::clone(&gateway), address);
                 spawn_local(link).abort_handle()
             });
         }
@@ -57,24 +57,24 @@
     }
 }
 
-async fn keep_link(gateway: Rc<Gateway>, address: SocketAddr) {
+async fn maintain_link(gateway: Rc<Gateway>, address: SocketAddr) {
     let mut was_connected = false;
-    let mut patience = DialPatience::default();
+    let mut backoff = DialPatience::default();
     loop {
-        let Some(dialled) = patience.attempt(dial(&gateway, address)).await else {
+        let Some(dial_result) = backoff.attempt(dial(&gateway, address)).await else {
             continue;
         };
-        match dialled {
+        match dial_result {
             Ok(connection) => {
                 log::info!(event = "control_connected", peer:% = address; "control");
                 gateway.metrics.control_connections.inc();
                 let queue = gateway.control_links.open(address);
-                let ended = follow(&gateway, address, connection, queue).await;
+                let result = run_connection(&gateway, address, connection, queue).await;
                 gateway.control_links.close(address);
-                gateway.tokens.close(address);
+                gateway.tokens.remove_replica(address);
                 gateway.metrics.control_connections.dec();
                 was_connected = true;
-                if let Err(error) = ended {
+                if let Err(error) = result {
                     log::warn!(event = "control_lost", peer:% = address,
                         reason:% = error; "control");
                 }
@@ -87,7 +87,7 @@
             // It has not been there yet, or is still away: said once.
             Err(_) => {}
         }
-        sleep(RECONNECT_PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -104,7 +104,7 @@
     connect_from(gateway.config.connect_from, address, &hello, Role::Control).await
 }
 
-async fn follow(
+async fn run_connection(
     gateway: &Gateway,
     peer: SocketAddr,
     connection: Connection<ControlToGateway, GatewayToControl>,
@@ -117,52 +117,52 @@
     } = connection;
     let mut status = gateway.status();
     status.mark_changed();
-    let mut reports = gateway.crash_reports();
+    let mut reports = gateway.subscribe_crash_reports();
     // The replica may have started since it was told.
-    let mut known = Some(gateway.crashes.borrow().reports(gateway.clock.now()));
-    let mut alive = interval(ALIVE_INTERVAL);
-    alive.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut last_sign = Instant::now();
+    let mut unsent_reports = Some(gateway.crashes.borrow().reports(gateway.clock.now()));
+    let mut keepalive = interval(KEEPALIVE_INTERVAL);
+    keepalive.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut last_received_at = Instant::now();
     let mut arrived_bytes = 0;
-    let mut told: Option<GatewayStatus> = None;
+    let mut last_sent: Option<GatewayStatus> = None;
     loop {
         // The first status goes out before any sign of life.
         let message = tokio::select! {
             biased;
             Ok(()) = status.changed() => {
                 let status = status.borrow_and_update().clone();
-                let is_due = is_due(gateway, peer, told.as_ref(), &status);
-                is_due.then(|| GatewayToControl::Status(told.insert(status).clone()))
+                let must_send = must_send(gateway, peer, last_sent.as_ref(), &status);
+                must_send.then(|| GatewayToControl::Status(last_sent.insert(status).clone()))
             }
             received = reader.receive() => {
-                take(gateway, peer, received?);
+                handle_message(gateway, peer, received?);
                 None
             }
             Some(message) = queue.recv() => Some(message),
-            () = std::future::ready(()), if known.is_some() => {
-                let known = known.take().filter(|known| !known.is_empty());
-                known.map(GatewayToControl::Crashes)
+            () = std::future::ready(()), if unsent_reports.is_some() => {
+                let unsent_reports = unsent_reports.take().filter(|unsent_reports| !unsent_reports.is_empty());
+                unsent_reports.map(GatewayToControl::Crashes)
             }
             report = reports.recv() => match report {
                 Ok(report) => Some(GatewayToControl::Crashes(vec![report])),
                 Err(RecvError::Lagged(_) | RecvError::Closed) => {
-                    known = Some(gateway.crashes.borrow().reports(gateway.clock.now()));
+                    unsent_reports = Some(gateway.crashes.borrow().reports(gateway.clock.now()));
                     None
                 }
             },
-            _ = alive.tick() => Some(GatewayToControl::Alive(gateway.load.load())),
+            _ = keepalive.tick() => Some(GatewayToControl::Alive(gateway.load.load())),
         };
         if reader.arrived_bytes() != arrived_bytes {
             arrived_bytes = reader.arrived_bytes();
-            last_sign = Instant::now();
+            last_received_at = Instant::now();
         }
-        if last_sign.elapsed() > SILENCE_LIMIT {
-            return Err(LinkError::Silent { peer });
+        if last_received_at.elapsed() > SILENCE_TIMEOUT {
+            return Err(LinkError::Timeout { peer });
         }
         if let Some(message) = message {
             match timeout(SEND_TIMEOUT, writer.send(&message)).await {
                 Ok(sent) => sent?,
-                Err(_) => return Err(LinkError::Silent { peer }),
+                Err(_) => return Err(LinkError::Timeout { peer }),
             }
         }
     }
@@ -171,31 +171,31 @@
 /// Whether a replica must hear a status. Every one hears where the gateway is and whether it is ready, which callers
 /// are told; the versions in force are for the preferred one alone, since each change of them would else be a message
 /// from every gateway to every replica.
-fn is_due(
+fn must_send(
     gateway: &Gateway,
     peer: SocketAddr,
-    told: Option<&GatewayStatus>,
+    last_sent: Option<&GatewayStatus>,
     status: &GatewayStatus,
 ) -> bool {
     gateway.control_links.is_preferred(peer)
-        || told.is_none_or(|told| told.is_ready != status.is_ready)
+        || last_sent.is_none_or(|last_sent| last_sent.is_ready != status.is_ready)
 }
 
-fn take(gateway: &Gateway, peer: SocketAddr, message: ControlToGateway) {
+fn handle_message(gateway: &Gateway, peer: SocketAddr, message: ControlToGateway) {
     match message {
         ControlToGateway::Placement(placement) => {
             let distance = Distance::between(&gateway.config.placement, &placement);
-            gateway.control_links.place(peer, distance);
+            gateway.control_links.set_distance(peer, distance);
         }
-        ControlToGateway::Versions(versions) => gateway.control_links.offer(peer, versions),
-        ControlToGateway::Routes(document) => gateway.take_routes(document),
-        ControlToGateway::RoutesChange(change) => gateway.take_routes_change(&change),
-        ControlToGateway::Listing(listing) => gateway.take_listing(&listing),
-        ControlToGateway::ListingChange(change) => gateway.take_listing_change(&change),
-        ControlToGateway::Members(members) => gateway.take_members(members),
-        ControlToGateway::Evacuation(zones) => gateway.take_evacuation(zones),
-        ControlToGateway::Crashes(reports) => gateway.take_crashes(&reports),
-        ControlToGateway::Tokens(replies) => gateway.tokens.take(peer, &replies),
+        ControlToGateway::Versions(versions) => gateway.control_links.set_versions(peer, versions),
+        ControlToGateway::Routes(document) => gateway.apply_routes(document),
+        ControlToGateway::RoutesChange(change) => gateway.apply_routes_change(&change),
+        ControlToGateway::Listing(listing) => gateway.apply_listing(&listing),
+        ControlToGateway::ListingChange(change) => gateway.apply_listing_change(&change),
+        ControlToGateway::Members(members) => gateway.apply_members(members),
+        ControlToGateway::Evacuation(zones) => gateway.apply_evacuation(zones),
+        ControlToGateway::Crashes(reports) => gateway.apply_crash_reports(&reports),
+        ControlToGateway::Tokens(replies) => gateway.tokens.handle_replies(peer, &replies),
         ControlToGateway::Alive => {}
     }
 }
--- a/crates/sablehaven-gateway/src/control_links.rs
+++ b/crates/sablehaven-gateway/src/control_links.rs
@@ -19,27 +19,27 @@
 
 /// Messages for one replica that wait for its connection to take them.
 pub(crate) struct LinkQueue {
-    waiting: mpsc::UnboundedReceiver<GatewayToControl>,
+    queue: mpsc::UnboundedReceiver<GatewayToControl>,
     /// Taken while requests for tokens were put together.
-    next: Option<GatewayToControl>,
+    pending: Option<GatewayToControl>,
 }
 
 impl LinkQueue {
     /// The next message; all requests for tokens that wait side by side are one. `None` when there will be no more.
     /// Nothing is lost where this is dropped before it ends.
     pub(crate) async fn recv(&mut self) -> Option<GatewayToControl> {
-        let first = match self.next.take() {
+        let first = match self.pending.take() {
             Some(first) => first,
-            None => self.waiting.recv().await?,
+            None => self.queue.recv().await?,
         };
         let GatewayToControl::TakeTokens(mut requests) = first else {
             return Some(first);
         };
-        while let Ok(message) = self.waiting.try_recv() {
+        while let Ok(message) = self.queue.try_recv() {
             match message {
-                GatewayToControl::TakeTokens(more) => requests.extend(more),
+                GatewayToControl::TakeTokens(more_requests) => requests.extend(more_requests),
                 other => {
-                    self.next = Some(other);
+                    self.pending = Some(other);
                     break;
                 }
             }
@@ -53,7 +53,7 @@
 pub(crate) struct ControlLinks {
     sources: RefCell<StateSources>,
     queues: RefCell<BTreeMap<SocketAddr, mpsc::UnboundedSender<GatewayToControl>>>,
-    changed: Notify,
+    woken: Notify,
 }
 
 impl ControlLinks {
@@ -63,8 +63,8 @@
         let (sender, queue) = mpsc::unbounded_channel();
         self.queues.borrow_mut().insert(replica, sender);
         LinkQueue {
-            waiting: queue,
-            next: None,
+            queue,
+            pending: None,
         }
     }
 
@@ -72,19 +72,19 @@
     pub(crate) fn close(&self, replica: SocketAddr) {
         self.queues.borrow_mut().remove(&replica);
         self.sources.borrow_mut().remove(replica);
-        self.look_again();
+        self.wake();
     }
 
     /// The replica has said where it is.
-    pub(crate) fn place(&self, replica: SocketAddr, distance: Distance) {
+    pub(crate) fn set_distance(&self, replica: SocketAddr, distance: Distance) {
         self.sources.borrow_mut().add(replica, distance);
-        self.look_again();
+        self.wake();
     }
 
     /// The replica has said what it has.
-    pub(crate) fn offer(&self, replica: SocketAddr, versions: StateVersions) {
-        self.sources.borrow_mut().offer(replica, versions);
-        self.look_again();
+    pub(crate) fn set_versions(&self, replica: SocketAddr, versions: StateVersions) {
+        self.sources.borrow_mut().set_versions(replica, versions);
+        self.wake();
     }
 
     /// Whether the replica is the one that tells this gateway who takes part.
@@ -98,7 +98,7 @@
     }
 
     /// Hands a request for tokens to a replica's connection; whether there is one.
-    pub(crate) fn take_tokens(&self, replica: SocketAddr, request: TokenRequest) -> bool {
+    pub(crate) fn send_token_request(&self, replica: SocketAddr, request: TokenRequest) -> bool {
         let queues = self.queues.borrow();
         let queue = queues.get(&replica);
         queue.is_some_and(|queue| {
@@ -108,21 +108,21 @@
     }
 
     /// Something may have to be fetched from elsewhere now.
-    pub(crate) fn look_again(&self) {
-        self.changed.notify_one();
+    pub(crate) fn wake(&self) {
+        self.woken.notify_one();
     }
 
     /// Sends what is due; answers when to look again.
-    fn step(&self, now: Duration, held: StateVersions) -> Option<Duration> {
-        let steps = self.sources.borrow_mut().next(now, held, rand::random());
+    fn send_due(&self, now: Duration, held: StateVersions) -> Option<Duration> {
+        let plan = self.sources.borrow_mut().plan(now, held, rand::random());
         let queues = self.queues.borrow();
-        for (replica, message) in steps.messages {
+        for (replica, message) in plan.messages {
             if let Some(queue) = queues.get(&replica) {
                 // Whoever reads the queue may just have ended; it is removed from the sources then.
                 let _ = queue.send(message);
             }
         }
-        steps.look_at
+        plan.wake_at
     }
 }
 
@@ -131,11 +131,11 @@
     let links = &gateway.control_links;
     loop {
         let now = gateway.clock.now();
-        let look_at = links.step(now, gateway.versions());
-        let wait = look_at.map(|at| Instant::now() + at.saturating_sub(now));
+        let wake_at = links.send_due(now, gateway.versions());
+        let wake_instant = wake_at.map(|at| Instant::now() + at.saturating_sub(now));
         tokio::select! {
-            () = links.changed.notified() => {}
-            () = sleep_until(wait.unwrap_or_else(Instant::now).into()), if wait.is_some() => {}
+            () = links.woken.notified() => {}
+            () = sleep_until(wake_instant.unwrap_or_else(Instant::now).into()), if wake_instant.is_some() => {}
         }
     }
 }
--- a/crates/sablehaven-gateway/src/gateway.rs
+++ b/crates/sablehaven-gateway/src/gateway.rs
@@ -35,7 +35,7 @@
 };
 
 /// Reports that a connection to a control replica may be behind; one that is further behind begins anew.
-const UNSENT_REPORTS: usize = 64;
+const MAX_UNSENT_REPORTS: usize = 64;
 
 /// Steady time since the start.
 pub(crate) struct Clock {
@@ -71,7 +71,7 @@
     pub(crate) signals: ServerSignals,
     pub(crate) metrics: Metrics,
     routes: RefCell<Option<Rc<RouteTable>>>,
-    advertised: SocketAddr,
+    advertised_address: SocketAddr,
     is_stopping: Cell<bool>,
     status: watch::Sender<GatewayStatus>,
     /// The connections to control replicas, and what is fetched on them.
@@ -83,10 +83,10 @@
 }
 
 impl Gateway {
-    pub(crate) fn new(config: Config, names: HeaderNames, listening: SocketAddr) -> Self {
-        let advertised = config.advertise.unwrap_or(listening);
+    pub(crate) fn new(config: Config, names: HeaderNames, listen_address: SocketAddr) -> Self {
+        let advertised_address = config.advertise.unwrap_or(listen_address);
         let status = GatewayStatus {
-            address: advertised,
+            address: advertised_address,
             placement: config.placement.clone(),
             is_ready: false,
             routes_version: 0,
@@ -104,12 +104,12 @@
             clock: Clock::new(),
             resends: RefCell::default(),
             crashes: Rc::default(),
-            crash_reports: broadcast::channel(UNSENT_REPORTS).0,
+            crash_reports: broadcast::channel(MAX_UNSENT_REPORTS).0,
             load: LoadMeter::default(),
             signals: ServerSignals::default(),
             metrics: Metrics::new(),
             routes: RefCell::default(),
-            advertised,
+            advertised_address,
             is_stopping: Cell::new(false),
             status: watch::channel(status).0,
             control_links: ControlLinks::default(),
@@ -124,11 +124,11 @@
     }
 
     /// What the version in force says of a caller who was looked up in it or an earlier one.
-    pub(crate) fn standing(&self, caller: &Caller) -> CallerValidity {
+    pub(crate) fn caller_validity(&self, caller: &Caller) -> CallerValidity {
         let routes = self.routes.borrow();
-        let standing = routes.as_ref().map(|table| caller.check_validity(table));
+        let validity = routes.as_ref().map(|table| caller.check_validity(table));
         // There are always routes once a caller was looked up in them.
-        standing.unwrap_or(CallerValidity::Valid)
+        validity.unwrap_or(CallerValidity::Valid)
     }
 
     /// The limits in force.
@@ -159,7 +159,7 @@
     }
 
     /// Puts routes in force. Only forward: a version that is not newer is ignored.
-    pub(crate) fn take_routes(&self, document: Arc<RouteDocument>) {
+    pub(crate) fn apply_routes(&self, document: Arc<RouteDocument>) {
         let former = self.routes();
         let held = former.as_ref().map_or(0, |table| table.document().version);
         if former.is_some() && document.version <= held {
@@ -176,7 +176,7 @@
 
     /// Takes what a version of the routes says otherwise than the one that was in force when it was asked for. Where another
     /// replica's answer has come first, what is still missing is fetched anew.
-    pub(crate) fn take_routes_change(&self, change: &RoutesChange) {
+    pub(crate) fn apply_routes_change(&self, change: &RoutesChange) {
         let Some(held) = self.routes() else {
             log::info!(event = "routes_change_ignored", base = change.base, held = 0; "routes");
             return;
@@ -186,7 +186,7 @@
             return;
         }
         match change.apply(held) {
-            Some(document) => self.take_routes(Arc::new(document)),
+            Some(document) => self.apply_routes(Arc::new(document)),
             None => log::info!(
                 event = "routes_change_ignored", base = change.base, held = held.version;
                 "routes"
@@ -195,7 +195,7 @@
     }
 
     /// Takes a reading of the list of servers.
-    pub(crate) fn take_listing(&self, listing: &ServerListing) {
+    pub(crate) fn apply_listing(&self, listing: &ServerListing) {
         if !self.registry.take_listing(listing) {
             return;
         }
@@ -213,7 +213,7 @@
 
     /// Takes what a reading says otherwise than the one that was in force when it was asked for. Where another replica's
     /// answer has come first, what is still missing is fetched anew.
-    pub(crate) fn take_listing_change(&self, change: &ListingChange) {
+    pub(crate) fn apply_listing_change(&self, change: &ListingChange) {
         let held = self.registry.number();
         if change.number <= held {
             return;
@@ -239,7 +239,7 @@
     }
 
     /// Takes the evacuated zones. Only forward, as routes.
-    pub(crate) fn take_evacuation(&self, evacuated: EvacuatedZones) {
+    pub(crate) fn apply_evacuation(&self, evacuated: EvacuatedZones) {
         let revision = evacuated.revision;
         let zones: Vec<&str> = evacuated.zones.iter().map(ZoneName::as_str).collect();
         let zones = zones.join(", ");
@@ -250,7 +250,7 @@
     }
 
     /// Takes who takes part.
-    pub(crate) fn take_members(&self, members: DeploymentMembers) {
+    pub(crate) fn apply_members(&self, members: DeploymentMembers) {
         // A replica that has just started has counted nobody yet.
         if !members.gateways.is_empty() {
             self.registry
@@ -261,37 +261,37 @@
 
     /// Tells the control replicas what was newly seen of a request's servers, if anything.
     pub(crate) fn report_crashes(&self, fingerprint: RequestFingerprint) {
-        let news = self
+        let new_report = self
             .crashes
             .borrow_mut()
             .take_unsent_report(self.clock.now(), fingerprint);
-        if let Some(report) = news {
+        if let Some(report) = new_report {
             // Without any connection nobody hears it; the next one begins with all that is known.
             let _ = self.crash_reports.send(report);
         }
     }
 
     /// What is reported from now on.
-    pub(crate) fn crash_reports(&self) -> broadcast::Receiver<CrashReport> {
+    pub(crate) fn subscribe_crash_reports(&self) -> broadcast::Receiver<CrashReport> {
         self.crash_reports.subscribe()
     }
 
     /// Takes what other gateways have seen of requests under which servers ended.
-    pub(crate) fn take_crashes(&self, reports: &[CrashReport]) {
+    pub(crate) fn apply_crash_reports(&self, reports: &[CrashReport]) {
         let now = self.clock.now();
         let mut crashes = self.crashes.borrow_mut();
         for report in reports {
-            let begun = crashes.merge_report(now, report);
-            log_quarantine(begun, "control");
+            let quarantine = crashes.merge_report(now, report);
+            log_quarantine(quarantine, "control");
         }
     }
 
     /// Adds addresses of control replicas to those that are known.
     pub(crate) fn add_controls(&self, controls: impl IntoIterator<Item = SocketAddr>) {
         self.controls.send_if_modified(|known| {
-            let before = known.len();
+            let previous_count = known.len();
             known.extend(controls);
-            known.len() != before
+            known.len() != previous_count
         });
     }
 
@@ -312,9 +312,9 @@
 
     fn refresh_status(&self) {
         let versions = self.versions();
-        self.control_links.look_again();
+        self.control_links.wake();
         self.status.send_replace(GatewayStatus {
-            address: self.advertised,
+            address: self.advertised_address,
             placement: self.config.placement.clone(),
             is_ready: self.is_ready(),
             routes_version: versions.routes,
--- a/crates/sablehaven-gateway/src/lib.rs
+++ b/crates/sablehaven-gateway/src/lib.rs
@@ -41,4 +41,4 @@
 mod urgency;
 
 pub use config::{Config, RetryBounds};
-pub use role::{Figures, Handle, StartError, start};
+pub use role::{Handle, MetricsHandle, StartError, start};
--- a/crates/sablehaven-gateway/src/load.rs
+++ b/crates/sablehaven-gateway/src/load.rs
@@ -10,12 +10,12 @@
 
 /// Readings that a load spans: with one each half second, the last second. Long enough that a few requests
 /// at once don't look like a busy gateway, short enough that a burst shows before callers renew what they know.
-const SPANNED_READINGS: usize = 3;
+const MAX_SAMPLES: usize = 3;
 
 /// Sums since the start, at one moment.
 #[derive(Clone, Copy, Debug)]
-struct LoadReading {
-    at: Duration,
+struct LoadSample {
+    recorded_at: Duration,
     busy: Duration,
     attempts: u64,
 }
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct LoadMeter {
     attempts: Cell<u64>,
-    readings: RefCell<VecDeque<LoadReading>>,
+    samples: RefCell<VecDeque<LoadSample>>,
 }
 
 impl LoadMeter {
@@ -34,25 +34,25 @@
     }
 
     /// Takes a reading: `busy` is how long the gateway has worked since its start, `now` any steady time.
-    pub(crate) fn read(&self, now: Duration, busy: Duration) {
-        let mut readings = self.readings.borrow_mut();
-        readings.push_back(LoadReading {
-            at: now,
+    pub(crate) fn record(&self, now: Duration, busy: Duration) {
+        let mut samples = self.samples.borrow_mut();
+        samples.push_back(LoadSample {
+            recorded_at: now,
             busy,
             attempts: self.attempts.get(),
         });
-        if readings.len() > SPANNED_READINGS {
-            readings.pop_front();
+        if samples.len() > MAX_SAMPLES {
+            samples.pop_front();
         }
     }
 
     /// The load over the readings that are held; none before there are two.
     pub(crate) fn load(&self) -> GatewayLoad {
-        let readings = self.readings.borrow();
-        let (Some(first), Some(last)) = (readings.front(), readings.back()) else {
+        let samples = self.samples.borrow();
+        let (Some(first), Some(last)) = (samples.front(), samples.back()) else {
             return GatewayLoad::default();
         };
-        let elapsed = last.at.saturating_sub(first.at);
+        let elapsed = last.recorded_at.saturating_sub(first.recorded_at);
         if elapsed.is_zero() {
             return GatewayLoad::default();
         }
--- a/crates/sablehaven-gateway/src/load/tests.rs
+++ b/crates/sablehaven-gateway/src/load/tests.rs
@@ -4,13 +4,13 @@
 
 use super::LoadMeter;
 
-const HALF: Duration = Duration::from_millis(500);
+const HALF_SECOND: Duration = Duration::from_millis(500);
 
 #[test]
 fn nothing_is_told_before_there_are_two_readings() {
     let meter = LoadMeter::default();
     assert_eq!(meter.load().busy_permille, 0);
-    meter.read(HALF, HALF);
+    meter.record(HALF_SECOND, HALF_SECOND);
     meter.count_attempt();
     assert_eq!(meter.load().busy_permille, 0);
     assert_eq!(meter.load().attempts, 0);
@@ -20,16 +20,16 @@
 fn the_load_is_that_of_the_last_second() {
     let meter = LoadMeter::default();
     let mut busy = Duration::ZERO;
-    for reading in 0..3 {
-        meter.read(HALF * reading, busy);
+    for sample in 0..3 {
+        meter.record(HALF_SECOND * sample, busy);
         meter.count_attempt();
-        busy += HALF / 2;
+        busy += HALF_SECOND / 2;
     }
     assert_eq!(meter.load().busy_permille, 500);
     assert_eq!(meter.load().attempts, 2);
     // Two quiet readings later nothing of it is left.
-    for reading in 3..6 {
-        meter.read(HALF * reading, busy);
+    for sample in 3..6 {
+        meter.record(HALF_SECOND * sample, busy);
     }
     assert_eq!(meter.load().busy_permille, 0);
     assert_eq!(meter.load().attempts, 0);
@@ -38,8 +38,8 @@
 #[test]
 fn a_gateway_that_never_rests_is_wholly_busy() {
     let meter = LoadMeter::default();
-    meter.read(Duration::ZERO, Duration::ZERO);
+    meter.record(Duration::ZERO, Duration::ZERO);
     // The two clocks are read one after the other.
-    meter.read(HALF, HALF + Duration::from_millis(1));
+    meter.record(HALF_SECOND, HALF_SECOND + Duration::from_millis(1));
     assert_eq!(meter.load().busy_permille, 1_000);
 }
--- a/crates/sablehaven-gateway/src/metrics.rs
+++ b/crates/sablehaven-gateway/src/metrics.rs
@@ -12,11 +12,11 @@
 };
 
 /// The shortest time told apart, in seconds.
-const SHORTEST_SECONDS: f64 = 0.004;
+const MIN_DURATION_SECONDS: f64 = 0.004;
 /// The shortest wait for a token told apart, in seconds.
-const SHORTEST_TOKEN_SECONDS: f64 = 0.000_5;
+const MIN_TOKEN_WAIT_SECONDS: f64 = 0.000_5;
 /// Buckets, each twice as long as the one before.
-const BUCKETS: u16 = 12;
+const BUCKET_COUNT: u16 = 12;
 
 /// How a request ended, for its label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,12 +78,16 @@
 }
 
 fn duration_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(SHORTEST_SECONDS, 2.0, BUCKETS))
+    Histogram::new(exponential_buckets(MIN_DURATION_SECONDS, 2.0, BUCKET_COUNT))
 }
 
 /// Tokens mostly come within a few milliseconds.
-fn token_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(SHORTEST_TOKEN_SECONDS, 2.0, BUCKETS))
+fn token_wait_histogram() -> Histogram {
+    Histogram::new(exponential_buckets(
+        MIN_TOKEN_WAIT_SECONDS,
+        2.0,
+        BUCKET_COUNT,
+    ))
 }
 
 impl Metrics {
@@ -98,7 +102,7 @@
             quarantined_requests: Counter::default(),
             tokens_spent: Family::default(),
             tokens_refused: Family::default(),
-            token_wait_seconds: token_histogram(),
+            token_wait_seconds: token_wait_histogram(),
             unknown_key_requests: Counter::default(),
             open_requests: Gauge::default(),
             routes_version: Gauge::default(),
@@ -212,7 +216,7 @@
     }
 
     /// The metrics in Prometheus text.
-    pub(crate) fn text(&self) -> String {
+    pub(crate) fn encode(&self) -> String {
         let mut text = String::new();
         // Encoding into a `String` cannot fail; an empty page would show if it did.
         let _ = encode(&mut text, &self.registry);
--- a/crates/sablehaven-gateway/src/quotas/client.rs
+++ b/crates/sablehaven-gateway/src/quotas/client.rs
@@ -22,9 +22,9 @@
 
 /// The longest time for which a request waits for a token, whatever its route: a token that comes later may be of a
 /// window that is over.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const MAX_WAIT: Duration = Duration::from_millis(500);
 /// Time after which an answer is not expected any more. The connection has ended by then if it is a replica's fault.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+const PENDING_TTL: Duration = Duration::from_secs(10);
 
 /// Where requests for tokens are sent.
 pub(crate) trait TokenRequester {
@@ -37,16 +37,16 @@
 
 /// What a request that needs a token asks for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct TokenAsk<'a> {
+pub(crate) struct AcquireOptions<'a> {
     pub(crate) tenant: &'a TenantName,
     /// Part of such requests that this gateway refuses lately, in thousandths. Above 0 it asks for this request alone.
     pub(crate) shed_permille: u16,
     /// How long a replica may keep it waiting for tokens of others.
-    pub(crate) patience: Duration,
+    pub(crate) replica_wait: Duration,
     /// Whether its caller was refused before.
     pub(crate) is_resend: bool,
     /// How long it may wait in all.
-    pub(crate) limit: Duration,
+    pub(crate) timeout: Duration,
 }
 
 /// What a request for a token came to.
@@ -65,201 +65,209 @@
 /// The tokens of this gateway, and its requests for more.
 pub(crate) struct TokenClient<Clock> {
     clock: Clock,
-    held: RefCell<HeldTokens>,
+    state: RefCell<ClientState>,
 }
 
-struct HeldTokens {
+struct ClientState {
     stock: TokenStock,
     replicas: TokenReplicas,
-    asked: BTreeMap<TokenRequestNumber, AskedToken>,
+    pending: BTreeMap<TokenRequestNumber, PendingRequest>,
     last_number: TokenRequestNumber,
 }
 
 /// A request for tokens without an answer.
-struct AskedToken {
+struct PendingRequest {
     replica: SocketAddr,
     tenant: TenantName,
     /// By the clock that counts suspension.
-    asked_at: Duration,
-    waiter: UnboundedSender<Decision>,
+    requested_at: Duration,
+    decision_sender: UnboundedSender<Decision>,
 }
 
 /// A replica's word, and when it was asked for it by the clock that counts suspension.
 #[derive(Clone, Copy, Debug)]
 struct Decision {
     replica: SocketAddr,
-    asked_at: Duration,
+    requested_at: Duration,
     verdict: TokenVerdict,
 }
 
 impl<Clock: AgeClock> TokenClient<Clock> {
     /// A client without tokens.
     pub(crate) fn new(clock: Clock, tolerance: &QuotaTolerance) -> Self {
-        let held = HeldTokens {
+        let state = ClientState {
             stock: TokenStock::new(tolerance),
             replicas: TokenReplicas::default(),
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             last_number: 0,
         };
         Self {
             clock,
-            held: RefCell::new(held),
+            state: RefCell::new(state),
         }
     }
 
     /// Spends a token that is there.
     pub(crate) fn spend(&self, tenant: &TenantName) -> bool {
         let now = self.clock.now();
-        self.held.borrow_mut().stock.spend(now, tenant)
+        self.state.borrow_mut().stock.spend(now, tenant)
     }
 
     /// Asks for a token, one replica after the other. Where all have said lately that they have no part, only the first
     /// is asked again. When the future is dropped, what is granted later goes into the stock.
-    pub(crate) async fn ask<Requester: TokenRequester>(
+    pub(crate) async fn acquire<Requester: TokenRequester>(
         &self,
         requester: &Requester,
-        ask: TokenAsk<'_>,
+        options: AcquireOptions<'_>,
     ) -> TokenOutcome {
-        let limit = ask.limit.min(LONGEST_WAIT);
+        let timeout = options.timeout.min(MAX_WAIT);
         let started = Instant::now();
-        let (waiter, decisions) = unbounded_channel();
+        let (decision_sender, decisions) = unbounded_channel();
         let mut waiting = WaitingRequest {
             client: self,
-            tenant: ask.tenant,
+            tenant: options.tenant,
             decisions,
         };
         let connected = requester.connected();
         let order = {
-            let held = self.held.borrow();
-            held.replicas.in_order(self.clock.now(), &connected)
+            let state = self.state.borrow();
+            state.replicas.ordered(self.clock.now(), &connected)
         };
         for (position, (replica, distance)) in order.iter().enumerate() {
-            let left = limit.saturating_sub(started.elapsed());
-            if left.is_zero() {
+            let time_left = timeout.saturating_sub(started.elapsed());
+            if time_left.is_zero() {
                 break;
             }
-            let request = self.open(*replica, &ask, &waiter);
+            let request = self.create_request(*replica, &options, &decision_sender);
             let number = request.number;
             if !requester.send(*replica, request) {
-                self.held.borrow_mut().asked.remove(&number);
+                self.state.borrow_mut().pending.remove(&number);
                 continue;
             }
             let is_last = position + 1 == order.len();
-            let patience = self.held.borrow().replicas.patience(*replica, *distance);
-            let patience = if is_last { left } else { patience.min(left) };
-            match waiting.decided(*replica, limit, patience).await {
-                Answered::Decided(waited) => return waited,
-                Answered::NoPart => {}
-                Answered::Nothing if patience < left => {
-                    self.held.borrow_mut().replicas.fell_silent(*replica);
+            let wait = self.state.borrow().replicas.max_wait(*replica, *distance);
+            let wait = if is_last {
+                time_left
+            } else {
+                wait.min(time_left)
+            };
+            match waiting.wait_for_decision(*replica, timeout, wait).await {
+                WaitResult::Decided(outcome) => return outcome,
+                WaitResult::NoPart => {}
+                WaitResult::TimedOut if wait < time_left => {
+                    self.state.borrow_mut().replicas.record_timeout(*replica);
                 }
                 // It had less than its time.
-                Answered::Nothing => {}
+                WaitResult::TimedOut => {}
             }
         }
         TokenOutcome::Undecided
     }
 
     /// Takes a replica's answers. What is granted beyond the requests that wait goes into the stock.
-    pub(crate) fn take(&self, replica: SocketAddr, replies: &[TokenReply]) {
+    pub(crate) fn handle_replies(&self, replica: SocketAddr, replies: &[TokenReply]) {
         let now = self.clock.now();
-        let mut held = self.held.borrow_mut();
+        let mut state = self.state.borrow_mut();
         for reply in replies {
-            held.take(now, replica, *reply);
+            state.handle_reply(now, replica, *reply);
         }
     }
 
     /// The connection to a replica has ended; it answers nothing more.
-    pub(crate) fn close(&self, replica: SocketAddr) {
-        let mut held = self.held.borrow_mut();
-        held.replicas.forget(replica);
-        held.asked.retain(|_, asked| {
-            let is_lost = asked.replica == replica;
-            if is_lost {
+    pub(crate) fn remove_replica(&self, replica: SocketAddr) {
+        let mut state = self.state.borrow_mut();
+        state.replicas.remove(replica);
+        state.pending.retain(|_, pending| {
+            let is_disconnected = pending.replica == replica;
+            if is_disconnected {
                 // Whoever waited may have left.
-                let _ = asked.waiter.send(Decision {
+                let _ = pending.decision_sender.send(Decision {
                     replica,
-                    asked_at: asked.asked_at,
+                    requested_at: pending.requested_at,
                     verdict: TokenVerdict::NoPart,
                 });
             }
-            !is_lost
+            !is_disconnected
         });
     }
 
-    fn open(
+    fn create_request(
         &self,
         replica: SocketAddr,
-        ask: &TokenAsk<'_>,
-        waiter: &UnboundedSender<Decision>,
+        options: &AcquireOptions<'_>,
+        decision_sender: &UnboundedSender<Decision>,
     ) -> TokenRequest {
-        let tenant = ask.tenant;
+        let tenant = options.tenant;
         let now = self.clock.now();
-        let mut held = self.held.borrow_mut();
-        let held = &mut *held;
-        held.asked
-            .retain(|_, asked| now.saturating_sub(asked.asked_at) < FORGET_AFTER);
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        state
+            .pending
+            .retain(|_, pending| now.saturating_sub(pending.requested_at) < PENDING_TTL);
         // The others that wait have asked for what is needed beyond them.
-        let is_asked = held.asked.values().any(|asked| asked.tenant == *tenant);
-        let wanted = if is_asked || ask.shed_permille > 0 {
+        let has_pending = state
+            .pending
+            .values()
+            .any(|pending| pending.tenant == *tenant);
+        let wanted = if has_pending || options.shed_permille > 0 {
             1
         } else {
-            held.stock.wanted(now, tenant)
+            state.stock.wanted(now, tenant)
         };
-        held.last_number += 1;
-        let number = held.last_number;
-        let asked = AskedToken {
+        state.last_number += 1;
+        let number = state.last_number;
+        let pending = PendingRequest {
             replica,
             tenant: tenant.clone(),
-            asked_at: now,
-            waiter: waiter.clone(),
+            requested_at: now,
+            decision_sender: decision_sender.clone(),
         };
-        held.asked.insert(number, asked);
+        state.pending.insert(number, pending);
         TokenRequest {
             number,
             tenant: tenant.clone(),
             wanted,
-            shed_permille: ask.shed_permille,
-            patience_ms: u16::try_from(ask.patience.as_millis()).unwrap_or(u16::MAX),
-            is_resend: ask.is_resend,
+            shed_permille: options.shed_permille,
+            patience_ms: u16::try_from(options.replica_wait.as_millis()).unwrap_or(u16::MAX),
+            is_resend: options.is_resend,
         }
     }
 }
 
-impl HeldTokens {
-    fn take(&mut self, now: Duration, replica: SocketAddr, reply: TokenReply) {
+impl ClientState {
+    fn handle_reply(&mut self, now: Duration, replica: SocketAddr, reply: TokenReply) {
         // Numbers are the gateway's own, so one that is not known is only long forgotten; but the word of another replica
         // must not count as this one's.
-        let known = self.asked.get(&reply.number);
-        if known.is_none_or(|asked| asked.replica != replica) {
+        let known = self.pending.get(&reply.number);
+        if known.is_none_or(|pending| pending.replica != replica) {
             return;
         }
-        let Some(asked) = self.asked.remove(&reply.number) else {
+        let Some(pending) = self.pending.remove(&reply.number) else {
             return;
         };
-        let asked_at = asked.asked_at;
+        let requested_at = pending.requested_at;
         self.replicas
-            .answered(replica, now.saturating_sub(asked_at).min(LONGEST_WAIT));
+            .record_reply(replica, now.saturating_sub(requested_at).min(MAX_WAIT));
         match reply.verdict {
             TokenVerdict::Granted(tokens) => {
                 let verdict = TokenVerdict::Granted(1);
                 let decision = Decision {
                     replica,
-                    asked_at,
+                    requested_at,
                     verdict,
                 };
-                let is_taken = asked.waiter.send(decision).is_ok();
-                let surplus = tokens.saturating_sub(u32::from(is_taken));
-                self.stock.put(asked_at, &asked.tenant, surplus);
+                let is_received = pending.decision_sender.send(decision).is_ok();
+                let surplus = tokens.saturating_sub(u32::from(is_received));
+                self.stock.put(requested_at, &pending.tenant, surplus);
             }
             verdict => {
                 if verdict == TokenVerdict::NoPart {
-                    self.replicas.has_no_part(now, replica);
+                    self.replicas.record_no_part(now, replica);
                 }
                 // Whoever waited may have left.
-                let _ = asked.waiter.send(Decision {
+                let _ = pending.decision_sender.send(Decision {
                     replica,
-                    asked_at,
+                    requested_at,
                     verdict,
                 });
             }
@@ -268,10 +276,10 @@
 }
 
 /// What came while a replica's answer was waited for.
-enum Answered {
+enum WaitResult {
     Decided(TokenOutcome),
     NoPart,
-    Nothing,
+    TimedOut,
 }
 
 /// A request that waits for a token. When it is dropped, tokens that have come for it go into the stock.
@@ -284,45 +292,49 @@
 impl<Clock: AgeClock> WaitingRequest<'_, Clock> {
     /// Waits until some replica decides, or the one that was asked last has no part. A token that is older than `oldest`
     /// by then is no good.
-    async fn decided(
+    async fn wait_for_decision(
         &mut self,
         replica: SocketAddr,
-        oldest: Duration,
-        patience: Duration,
-    ) -> Answered {
-        let until = Instant::now() + patience;
+        max_age: Duration,
+        wait: Duration,
+    ) -> WaitResult {
+        let wait_until = Instant::now() + wait;
         // The sender is held by whoever asks, so this ends with a decision or the patience.
-        while let Ok(Some(decision)) = timeout_at(until.into(), self.decisions.recv()).await {
-            let age = self.client.clock.now().saturating_sub(decision.asked_at);
+        while let Ok(Some(decision)) = timeout_at(wait_until.into(), self.decisions.recv()).await {
+            let age = self
+                .client
+                .clock
+                .now()
+                .saturating_sub(decision.requested_at);
             match decision.verdict {
-                TokenVerdict::Granted(_) if age <= oldest => {
-                    return Answered::Decided(TokenOutcome::Granted);
+                TokenVerdict::Granted(_) if age <= max_age => {
+                    return WaitResult::Decided(TokenOutcome::Granted);
                 }
                 TokenVerdict::OverQuota { retry_after_ms } => {
-                    let left = Duration::from_millis(retry_after_ms.into());
-                    return Answered::Decided(TokenOutcome::OverQuota(left));
+                    let retry_after = Duration::from_millis(retry_after_ms.into());
+                    return WaitResult::Decided(TokenOutcome::OverQuota(retry_after));
                 }
                 TokenVerdict::OverFairShare => {
-                    return Answered::Decided(TokenOutcome::OverFairShare);
+                    return WaitResult::Decided(TokenOutcome::OverFairShare);
                 }
                 TokenVerdict::Granted(_) | TokenVerdict::NoPart if decision.replica == replica => {
-                    return Answered::NoPart;
+                    return WaitResult::NoPart;
                 }
                 // Another replica than the one that is waited for now.
                 TokenVerdict::Granted(_) | TokenVerdict::NoPart => {}
             }
         }
-        Answered::Nothing
+        WaitResult::TimedOut
     }
 }
 
 impl<Clock: AgeClock> Drop for WaitingRequest<'_, Clock> {
     fn drop(&mut self) {
         self.decisions.close();
-        let mut held = self.client.held.borrow_mut();
+        let mut state = self.client.state.borrow_mut();
         while let Ok(decision) = self.decisions.try_recv() {
             if let TokenVerdict::Granted(tokens) = decision.verdict {
-                held.stock.put(decision.asked_at, self.tenant, tokens);
+                state.stock.put(decision.requested_at, self.tenant, tokens);
             }
         }
     }
--- a/crates/sablehaven-gateway/src/quotas/mod.rs
+++ b/crates/sablehaven-gateway/src/quotas/mod.rs
@@ -3,4 +3,4 @@
 mod client;
 mod replicas;
 
-pub(crate) use client::{TokenAsk, TokenClient, TokenOutcome, TokenRequester};
+pub(crate) use client::{AcquireOptions, TokenClient, TokenOutcome, TokenRequester};
--- a/crates/sablehaven-gateway/src/quotas/replicas/tests.rs
+++ b/crates/sablehaven-gateway/src/quotas/replicas/tests.rs
@@ -14,7 +14,7 @@
         (replica(2), Distance::Region),
         (replica(3), FAR),
     ];
-    let ordered = replicas.in_order(now, &connected);
+    let ordered = replicas.ordered(now, &connected);
     ordered.into_iter().map(|(replica, _)| replica).collect()
 }
 
@@ -27,33 +27,33 @@
 #[test]
 fn a_silent_replica_is_asked_last_until_it_answers() {
     let mut replicas = TokenReplicas::default();
-    replicas.fell_silent(replica(1));
+    replicas.record_timeout(replica(1));
     assert_eq!(order(&replicas, NOW), [replica(2), replica(3), replica(1)]);
-    replicas.answered(replica(1), Duration::from_millis(40));
+    replicas.record_reply(replica(1), Duration::from_millis(40));
     assert_eq!(order(&replicas, NOW)[0], replica(1));
 }
 
 #[test]
 fn a_silent_replica_that_is_dialled_anew_is_asked_first_again() {
     let mut replicas = TokenReplicas::default();
-    replicas.fell_silent(replica(1));
-    replicas.forget(replica(1));
+    replicas.record_timeout(replica(1));
+    replicas.remove(replica(1));
     assert_eq!(order(&replicas, NOW)[0], replica(1));
 }
 
 #[test]
 fn a_replica_without_a_part_is_asked_last_for_a_moment() {
     let mut replicas = TokenReplicas::default();
-    replicas.has_no_part(NOW, replica(1));
+    replicas.record_no_part(NOW, replica(1));
     assert_eq!(order(&replicas, NOW)[0], replica(2));
-    assert_eq!(order(&replicas, NOW + NO_PART_PAUSE)[0], replica(1));
+    assert_eq!(order(&replicas, NOW + NO_PART_RETRY_DELAY)[0], replica(1));
 }
 
 #[test]
 fn a_far_replica_is_waited_for_longer() {
     let replicas = TokenReplicas::default();
-    let near = replicas.patience(replica(1), NEAR);
-    assert!(near < replicas.patience(replica(3), FAR));
+    let near = replicas.max_wait(replica(1), NEAR);
+    assert!(near < replicas.max_wait(replica(3), FAR));
 }
 
 #[test]
@@ -61,14 +61,14 @@
     let mut replicas = TokenReplicas::default();
     let slow = Duration::from_millis(30);
     for _ in 0..50 {
-        replicas.answered(replica(1), slow);
+        replicas.record_reply(replica(1), slow);
     }
-    let patience = replicas.patience(replica(1), NEAR);
-    assert!(patience >= slow, "{patience:?}");
+    let max_wait = replicas.max_wait(replica(1), NEAR);
+    assert!(max_wait >= slow, "{max_wait:?}");
     for _ in 0..50 {
-        replicas.answered(replica(1), Duration::from_millis(1));
+        replicas.record_reply(replica(1), Duration::from_millis(1));
     }
-    let patience = replicas.patience(replica(1), NEAR);
-    assert!(patience < slow, "{patience:?}");
-    assert!(patience >= least_patience(NEAR), "{patience:?}");
+    let max_wait = replicas.max_wait(replica(1), NEAR);
+    assert!(max_wait < slow, "{max_wait:?}");
+    assert!(max_wait >= min_wait(NEAR), "{max_wait:?}");
 }
--- a/crates/sablehaven-gateway/src/request/authorize.rs
+++ b/crates/sablehaven-gateway/src/request/authorize.rs
@@ -48,7 +48,7 @@
     head: &Parts,
     caller: Caller,
 ) -> Result<Caller, Refusal> {
-    match gateway.standing(&caller) {
+    match gateway.caller_validity(&caller) {
         CallerValidity::Valid => Ok(caller),
         CallerValidity::Changed | CallerValidity::KeyRevoked => find_caller(gateway, planned, head),
     }
--- a/crates/sablehaven-gateway/src/request/head.rs
+++ b/crates/sablehaven-gateway/src/request/head.rs
@@ -26,7 +26,10 @@
     let now = gateway.clock.now();
     let mut resends = gateway.resends.borrow_mut();
     match resends.observe(now, &resend_key, time_left) {
-        CallerTry::First => (CallerTry::First, resends.spent(&resend_key, time_left)),
+        CallerTry::First => (
+            CallerTry::First,
+            resends.elapsed_before_arrival(&resend_key, time_left),
+        ),
         CallerTry::Resend => (CallerTry::Resend, Duration::ZERO),
     }
 }
--- a/crates/sablehaven-gateway/src/request/in_flight.rs
+++ b/crates/sablehaven-gateway/src/request/in_flight.rs
@@ -66,7 +66,7 @@
 /// Time after which an attempt is hedged even if its server answers other requests: it takes much longer than usual,
 /// or a later hedge could not return in time.
 fn tail_limit(accepted: &Accepted, server: &Server) -> Duration {
-    let typical = accepted.planned.profile.typical();
+    let typical = accepted.planned.profile.typical_service_time();
     let tail = server.round_trip() + typical.mul_f64(TAIL_RATIO) + SCHEDULING_ALLOWANCE;
     let latency_target = Duration::from_millis(accepted.planned.route().aim_ms);
     let hedge_time = server.round_trip() + typical.mul_f64(HEDGE_SERVICE_TIME_RATIO);
--- a/crates/sablehaven-gateway/src/request/lateness.rs
+++ b/crates/sablehaven-gateway/src/request/lateness.rs
@@ -38,7 +38,8 @@
 impl BodyObserver for SendObserver {
     fn taken(self) {
         let overrun = self.planned_at.elapsed();
-        self.profile.overran(self.gateway.clock.now(), overrun);
+        self.profile
+            .record_overrun(self.gateway.clock.now(), overrun);
     }
 }
 
@@ -72,7 +73,7 @@
             return;
         };
         let profile = &accepted.planned.profile;
-        profile.overran(accepted.gateway.clock.now(), now - due_at);
+        profile.record_overrun(accepted.gateway.clock.now(), now - due_at);
         self.next_at = Some(now + self.interval);
     }
 }
--- a/crates/sablehaven-gateway/src/request/mod.rs
+++ b/crates/sablehaven-gateway/src/request/mod.rs
@@ -201,7 +201,7 @@
 /// Regions that both the route and the tenant allow.
 fn regions(planned: &PlannedRoute, tenant: Option<&Tenant>) -> ServingRegions {
     match tenant {
-        Some(tenant) => planned.regions.within(&tenant.allowed_regions),
+        Some(tenant) => planned.regions.intersect(&tenant.allowed_regions),
         None => planned.regions.clone(),
     }
 }
@@ -262,14 +262,14 @@
     }
 
     fn is_caller_valid(&self) -> bool {
-        self.gateway.standing(&self.outgoing.caller) == CallerValidity::Valid
+        self.gateway.caller_validity(&self.outgoing.caller) == CallerValidity::Valid
     }
 
     /// The refusal that the caller gets. If no server has run the request and its key was revoked meanwhile, the
     /// refusal says so. If the key belongs to another tenant now, the caller is told that it may retry.
     fn final_refusal(&self, refusal: Refusal) -> Refusal {
         let has_not_run = matches!(refusal, Refusal::NoServerAvailable | Refusal::NotRun);
-        match self.gateway.standing(&self.outgoing.caller) {
+        match self.gateway.caller_validity(&self.outgoing.caller) {
             CallerValidity::KeyRevoked if has_not_run => Refusal::UnknownKey,
             CallerValidity::Changed if has_not_run => Refusal::NotRun,
             _ => refusal,
--- a/crates/sablehaven-gateway/src/request/tokens.rs
+++ b/crates/sablehaven-gateway/src/request/tokens.rs
@@ -13,7 +13,7 @@
 use crate::{
     control_links::ControlLinks,
     gateway::Gateway,
-    quotas::{TokenAsk, TokenOutcome, TokenRequester},
+    quotas::{AcquireOptions, TokenOutcome, TokenRequester},
     resends::CallerTry,
 };
 
@@ -29,7 +29,7 @@
     }
 
     fn send(&self, replica: SocketAddr, request: TokenRequest) -> bool {
-        self.take_tokens(replica, request)
+        self.send_token_request(replica, request)
     }
 }
 
@@ -67,14 +67,14 @@
     let started = Instant::now();
     let latency_target = Duration::from_millis(need.route.aim_ms);
     let ask = || {
-        let ask = TokenAsk {
+        let options = AcquireOptions {
             tenant: &tenant.name,
             shed_permille,
-            patience: latency_target.mul_f64(PATIENCE_FRACTION),
+            replica_wait: latency_target.mul_f64(PATIENCE_FRACTION),
             is_resend: need.caller_try == CallerTry::Resend,
-            limit: latency_target.mul_f64(MAX_WAIT_FRACTION),
+            timeout: latency_target.mul_f64(MAX_WAIT_FRACTION),
         };
-        gateway.tokens.ask(&gateway.control_links, ask)
+        gateway.tokens.acquire(&gateway.control_links, options)
     };
     let outcome = if tenant.quota.is_some() {
         ask_until_decided(need.wait, ask).await
--- a/crates/sablehaven-gateway/src/resends.rs
+++ b/crates/sablehaven-gateway/src/resends.rs
@@ -8,11 +8,11 @@
 use std::{collections::HashMap, time::Duration};
 
 /// A second try has less than this share of the time of a first one; first tries differ by less.
-const RESEND_SHARE: f64 = 0.98;
+const RESEND_TIME_FRACTION: f64 = 0.98;
 /// Time after which the longest time is forgotten when no request had it: callers may have changed.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+const RETENTION: Duration = Duration::from_secs(10);
 /// Places that are kept; beyond them those that nobody asked for lately are forgotten.
-const KEPT_PLACES: usize = 256;
+const MAX_KEYS: usize = 256;
 
 /// Whether a caller asks for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,51 +24,51 @@
 /// The longest times that callers had lately, by place.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ResendDetector {
-    places: HashMap<String, LongestTime>,
+    max_times: HashMap<String, MaxTimeLeft>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LongestTime {
+struct MaxTimeLeft {
     time: Duration,
     seen_at: Duration,
 }
 
 impl ResendDetector {
     /// Takes in a request for a place whose caller has `left`. `now` is any steady time.
-    pub(crate) fn observe(&mut self, now: Duration, place: &str, left: Duration) -> CallerTry {
-        let is_kept = |longest: &LongestTime| now.saturating_sub(longest.seen_at) < KEPT_FOR;
-        let Some(longest) = self.places.get_mut(place) else {
-            if self.places.len() >= KEPT_PLACES {
-                self.places.retain(|_, longest| is_kept(longest));
+    pub(crate) fn observe(&mut self, now: Duration, key: &str, time_left: Duration) -> CallerTry {
+        let is_recent = |longest: &MaxTimeLeft| now.saturating_sub(longest.seen_at) < RETENTION;
+        let Some(longest) = self.max_times.get_mut(key) else {
+            if self.max_times.len() >= MAX_KEYS {
+                self.max_times.retain(|_, longest| is_recent(longest));
             }
-            if self.places.len() < KEPT_PLACES {
-                let time = LongestTime {
-                    time: left,
+            if self.max_times.len() < MAX_KEYS {
+                let time = MaxTimeLeft {
+                    time: time_left,
                     seen_at: now,
                 };
-                self.places.insert(place.to_owned(), time);
+                self.max_times.insert(key.to_owned(), time);
             }
             return CallerTry::First;
         };
-        let is_less = left < longest.time.mul_f64(RESEND_SHARE);
-        if is_less && is_kept(longest) {
+        let is_shorter = time_left < longest.time.mul_f64(RESEND_TIME_FRACTION);
+        if is_shorter && is_recent(longest) {
             return CallerTry::Resend;
         }
         // A little less than the longest confirms it; much less replaces one that is not seen any more.
-        let time = if is_less {
-            left
+        let time = if is_shorter {
+            time_left
         } else {
-            longest.time.max(left)
+            longest.time.max(time_left)
         };
-        *longest = LongestTime { time, seen_at: now };
+        *longest = MaxTimeLeft { time, seen_at: now };
         CallerTry::First
     }
 
     /// What passed at the caller and on its way before a first try that has `left` arrived, such as opening a
     /// connection: what it has less than the longest time for its place.
-    pub(crate) fn spent(&self, place: &str, left: Duration) -> Duration {
-        let longest = self.places.get(place).map(|longest| longest.time);
-        longest.unwrap_or_default().saturating_sub(left)
+    pub(crate) fn elapsed_before_arrival(&self, key: &str, time_left: Duration) -> Duration {
+        let longest = self.max_times.get(key).map(|longest| longest.time);
+        longest.unwrap_or_default().saturating_sub(time_left)
     }
 }
 
--- a/crates/sablehaven-gateway/src/role.rs
+++ b/crates/sablehaven-gateway/src/role.rs
@@ -17,16 +17,16 @@
 };
 
 use crate::{
-    Config, control_link::keep_links, control_links::fetch_state, gateway::Gateway,
+    Config, control_link::maintain_links, control_links::fetch_state, gateway::Gateway,
     names::HeaderNames, request::answer,
 };
 
 /// Time between two looks for connections that have rested too long.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+const CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two readings of the load: that between two signs of life, with which it is told.
-const LOAD_INTERVAL: Duration = Duration::from_millis(500);
+const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two looks whether all requests of a stopping gateway are answered.
-const STOP_LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a gateway did not start.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
@@ -49,22 +49,22 @@
 pub struct Handle {
     gateway: Rc<Gateway>,
     addresses: BoundAddresses,
-    accepting: JoinHandle<()>,
-    ready: Option<SocketAddr>,
+    accept_task: JoinHandle<()>,
+    ready_address: Option<SocketAddr>,
 }
 
 /// The figures of a running gateway; cheap to clone.
 #[derive(Clone)]
-pub struct Figures {
+pub struct MetricsHandle {
     gateway: Rc<Gateway>,
 }
 
-impl Figures {
+impl MetricsHandle {
     /// All figures in Prometheus text.
-    pub fn text(&self) -> String {
+    pub fn encode_metrics(&self) -> String {
         let open = i64::try_from(self.gateway.admission.open()).unwrap_or(i64::MAX);
         self.gateway.metrics.open_requests.set(open);
-        self.gateway.metrics.text()
+        self.gateway.metrics.encode()
     }
 }
 
@@ -77,16 +77,16 @@
     if !errors.is_empty() {
         return Err(StartError::Settings { errors });
     }
-    let (callers, address) = bind(config.listen)?;
-    let ready = config.ready_listen.map(bind).transpose()?;
+    let (caller_listener, address) = bind(config.listen)?;
+    let readiness_listener = config.ready_listen.map(bind).transpose()?;
     let gateway = Rc::new(Gateway::new(config, names, address));
-    let accepting = spawn_local(accept_callers(Rc::clone(&gateway), callers));
-    spawn_local(keep_links(Rc::clone(&gateway)));
+    let accept_task = spawn_local(accept_callers(Rc::clone(&gateway), caller_listener));
+    spawn_local(maintain_links(Rc::clone(&gateway)));
     spawn_local(fetch_state(Rc::clone(&gateway)));
-    spawn_local(sweep(Rc::clone(&gateway)));
-    spawn_local(read_load(Rc::clone(&gateway)));
+    spawn_local(sweep_connections(Rc::clone(&gateway)));
+    spawn_local(sample_load(Rc::clone(&gateway)));
     let mut ready_address = None;
-    if let Some((listener, address)) = ready {
+    if let Some((listener, address)) = readiness_listener {
         ready_address = Some(address);
         spawn_local(accept_readiness(Rc::clone(&gateway), listener));
     }
@@ -97,8 +97,8 @@
             http: Some(address),
             internal: None,
         },
-        accepting,
-        ready: ready_address,
+        accept_task,
+        ready_address,
     })
 }
 
@@ -122,12 +122,12 @@
 
     /// Where `GET /ready` is answered.
     pub fn ready_address(&self) -> Option<SocketAddr> {
-        self.ready
+        self.ready_address
     }
 
     /// The gateway's figures, for whoever serves them.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn metrics(&self) -> MetricsHandle {
+        MetricsHandle {
             gateway: Rc::clone(&self.gateway),
         }
     }
@@ -146,24 +146,24 @@
         log::info!(event = "stop", open = gateway.admission.open(); "stop begins");
         gateway.begin_stop();
         sleep(Duration::from_millis(gateway.config.stop_linger_ms)).await;
-        self.accepting.abort();
+        self.accept_task.abort();
         gateway.signals.closing.cancel();
-        let limit = started + Duration::from_millis(gateway.config.stop_limit_ms);
+        let stop_by = started + Duration::from_millis(gateway.config.stop_limit_ms);
         // Connections whose bytes are still under way get a moment to be read.
-        sleep(STOP_LOOK_INTERVAL).await;
-        while gateway.admission.open() > 0 && Instant::now() < limit {
-            sleep(STOP_LOOK_INTERVAL).await;
+        sleep(STOP_POLL_INTERVAL).await;
+        while gateway.admission.open() > 0 && Instant::now() < stop_by {
+            sleep(STOP_POLL_INTERVAL).await;
         }
         // Answers that were made are on their way out.
-        sleep_until((Instant::now() + STOP_LOOK_INTERVAL).into()).await;
+        sleep_until((Instant::now() + STOP_POLL_INTERVAL).into()).await;
         log::info!(event = "stopped", open = gateway.admission.open(); "stop ends");
     }
 }
 
 async fn accept_callers(gateway: Rc<Gateway>, listener: TcpListener) {
-    let limited = Rc::clone(&gateway);
+    let settings_source = Rc::clone(&gateway);
     let bounds = move || {
-        let limits = limited.limits();
+        let limits = settings_source.limits();
         ConnectionBounds {
             max_head_bytes: limits.max_header_bytes,
             head_timeout: Duration::from_millis(limits.header_timeout_ms),
@@ -198,8 +198,8 @@
     response
 }
 
-async fn sweep(gateway: Rc<Gateway>) {
-    let mut ticker = interval(SWEEP_INTERVAL);
+async fn sweep_connections(gateway: Rc<Gateway>) {
+    let mut ticker = interval(CONNECTION_SWEEP_INTERVAL);
     loop {
         ticker.tick().await;
         gateway.registry.drop_stale_connections();
@@ -208,12 +208,12 @@
 
 /// The runtime's one thread is busy from when it wakes to when it waits again. On a machine with a part of
 /// a core that includes the time in which the system did not let it run, which is what callers feel.
-async fn read_load(gateway: Rc<Gateway>) {
+async fn sample_load(gateway: Rc<Gateway>) {
     let runtime = tokio::runtime::Handle::current().metrics();
-    let mut ticker = interval(LOAD_INTERVAL);
+    let mut ticker = interval(LOAD_SAMPLE_INTERVAL);
     loop {
         ticker.tick().await;
         let busy = runtime.worker_total_busy_duration(0);
-        gateway.load.read(gateway.clock.now(), busy);
+        gateway.load.record(gateway.clock.now(), busy);
     }
 }
--- a/crates/sablehaven-gateway/src/route_table.rs
+++ b/crates/sablehaven-gateway/src/route_table.rs
@@ -22,7 +22,7 @@
     by_host: HashMap<String, Vec<Rc<PlannedRoute>>>,
     tenants: TenantTable,
     /// Kinds of request that were named so far, by this table and those before it.
-    kinds: usize,
+    kind_count: usize,
 }
 
 /// A route with what has been learned of its requests.
@@ -39,26 +39,26 @@
 pub(crate) struct RouteProfile {
     kind: KindOfRequest,
     /// What a server usually takes, without the way there, in milliseconds.
-    typical_ms: Cell<f64>,
+    service_time_ms: Cell<f64>,
     /// How much later than planned its answers left of late.
     answer_margin: RefCell<AnswerMargin>,
 }
 
 /// Weight of one new time in the running average.
-const TYPICAL_WEIGHT: f64 = 0.03;
+const EWMA_WEIGHT: f64 = 0.03;
 /// A time counts as at most this many times the average: one slow server must not move it.
-const OUTLIER_RATIO: f64 = 3.0;
+const MAX_OUTLIER_RATIO: f64 = 3.0;
 /// Part of the aim that a server is taken to need before any time is known.
-const FIRST_GUESS: f64 = 0.125;
+const INITIAL_TARGET_FRACTION: f64 = 0.125;
 /// The least typical time, in milliseconds.
-const LEAST_TYPICAL_MS: f64 = 0.5;
+const MIN_SERVICE_TIME_MS: f64 = 0.5;
 
 impl RouteProfile {
     fn new(route: &Route, kind: KindOfRequest) -> Self {
-        let guess = route.aim_ms as f64 * FIRST_GUESS;
+        let initial_ms = route.aim_ms as f64 * INITIAL_TARGET_FRACTION;
         Self {
             kind,
-            typical_ms: Cell::new(guess.max(LEAST_TYPICAL_MS)),
+            service_time_ms: Cell::new(initial_ms.max(MIN_SERVICE_TIME_MS)),
             answer_margin: RefCell::default(),
         }
     }
@@ -68,20 +68,20 @@
         self.kind
     }
 
-    pub(crate) fn typical(&self) -> Duration {
-        Duration::from_secs_f64(self.typical_ms.get() / 1_000.0)
+    pub(crate) fn typical_service_time(&self) -> Duration {
+        Duration::from_secs_f64(self.service_time_ms.get() / 1_000.0)
     }
 
     /// Takes in what a server took, without the way there.
-    pub(crate) fn record(&self, taken: Duration) {
-        let typical = self.typical_ms.get();
-        let taken = (taken.as_secs_f64() * 1_000.0).min(typical * OUTLIER_RATIO);
-        let next = typical + TYPICAL_WEIGHT * (taken - typical);
-        self.typical_ms.set(next.max(LEAST_TYPICAL_MS));
+    pub(crate) fn record_service_time(&self, service_time: Duration) {
+        let average = self.service_time_ms.get();
+        let service_time = (service_time.as_secs_f64() * 1_000.0).min(average * MAX_OUTLIER_RATIO);
+        let next = average + EWMA_WEIGHT * (service_time - average);
+        self.service_time_ms.set(next.max(MIN_SERVICE_TIME_MS));
     }
 
     /// Takes in how much later than planned a request was acted on.
-    pub(crate) fn overran(&self, now: Duration, overrun: Duration) {
+    pub(crate) fn record_overrun(&self, now: Duration, overrun: Duration) {
         self.answer_margin.borrow_mut().observe(now, overrun);
     }
 
@@ -99,14 +99,14 @@
 
 impl RouteTable {
     /// The table of a document; what `former` has learned of a route's place is kept.
-    pub(crate) fn new(document: Arc<RouteDocument>, former: Option<&Self>) -> Self {
+    pub(crate) fn new(document: Arc<RouteDocument>, previous: Option<&Self>) -> Self {
         let mut by_host: HashMap<String, Vec<Rc<PlannedRoute>>> = HashMap::new();
-        let mut kinds = former.map_or(0, |former| former.kinds);
+        let mut kind_count = previous.map_or(0, |previous| previous.kind_count);
         for (position, route) in document.routes.iter().enumerate() {
-            let known = former.and_then(|former| former.profile_of(route));
-            let profile = known.unwrap_or_else(|| {
-                kinds += 1;
-                Rc::new(RouteProfile::new(route, KindOfRequest(kinds)))
+            let existing = previous.and_then(|previous| previous.find_profile(route));
+            let profile = existing.unwrap_or_else(|| {
+                kind_count += 1;
+                Rc::new(RouteProfile::new(route, KindOfRequest(kind_count)))
             });
             let planned = Rc::new(PlannedRoute {
                 document: Arc::clone(&document),
@@ -125,7 +125,7 @@
             tenants: TenantTable::new(Arc::clone(&document)),
             document,
             by_host,
-            kinds,
+            kind_count,
         }
     }
 
@@ -142,16 +142,18 @@
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<&Rc<PlannedRoute>> {
         let host = without_port(host).to_ascii_lowercase();
         let routes = self.by_host.get(&host)?;
-        let begins = |planned: &&Rc<PlannedRoute>| path.starts_with(&planned.route().path_prefix);
-        routes.iter().find(begins)
+        let is_prefix =
+            |planned: &&Rc<PlannedRoute>| path.starts_with(&planned.route().path_prefix);
+        routes.iter().find(is_prefix)
     }
 
-    fn profile_of(&self, route: &Route) -> Option<Rc<RouteProfile>> {
+    fn find_profile(&self, route: &Route) -> Option<Rc<RouteProfile>> {
         let routes = self.by_host.get(&route.host.to_ascii_lowercase())?;
-        let same = |planned: &&Rc<PlannedRoute>| planned.route().path_prefix == route.path_prefix;
+        let is_same_prefix =
+            |planned: &&Rc<PlannedRoute>| planned.route().path_prefix == route.path_prefix;
         routes
             .iter()
-            .find(same)
+            .find(is_same_prefix)
             .map(|planned| Rc::clone(&planned.profile))
     }
 }
--- a/crates/sablehaven-gateway/src/route_table/tests.rs
+++ b/crates/sablehaven-gateway/src/route_table/tests.rs
@@ -24,16 +24,16 @@
     }
 }
 
-fn table(version: u64, former: Option<&RouteTable>) -> RouteTable {
+fn table(version: u64, previous: Option<&RouteTable>) -> RouteTable {
     let routes = vec![
         route("all", "stock.example", "/"),
         route("short", "stock.example", "/a/"),
         route("long", "Stock.example", "/a/b/"),
     ];
-    table_of(version, routes, former)
+    table_of(version, routes, previous)
 }
 
-fn table_of(version: u64, routes: Vec<Route>, former: Option<&RouteTable>) -> RouteTable {
+fn table_of(version: u64, routes: Vec<Route>, previous: Option<&RouteTable>) -> RouteTable {
     let document = RouteDocument {
         version,
         routes,
@@ -41,7 +41,7 @@
         limits: CallerLimits::default(),
         tenants: Vec::new(),
     };
-    RouteTable::new(Arc::new(document), former)
+    RouteTable::new(Arc::new(document), previous)
 }
 
 fn found(host: &str, path: &str) -> Option<String> {
@@ -66,11 +66,11 @@
     let first = table(1, None);
     let profile = &first.find("stock.example", "/a/").expect("a route").profile;
     for _ in 0..500 {
-        profile.record(Duration::from_millis(40));
+        profile.record_service_time(Duration::from_millis(40));
     }
     let second = table(2, Some(&first));
     let kept = second.find("stock.example", "/a/").expect("a route");
-    assert!(kept.profile.typical() > Duration::from_millis(35));
+    assert!(kept.profile.typical_service_time() > Duration::from_millis(35));
     assert_eq!(kept.version, 2);
 }
 
@@ -78,9 +78,9 @@
 fn one_slow_answer_moves_the_typical_time_little() {
     let table = table(1, None);
     let profile = &table.find("stock.example", "/a/").expect("a route").profile;
-    let before = profile.typical();
-    profile.record(Duration::from_secs(10));
-    assert!(profile.typical() < before.mul_f64(1.1));
+    let before = profile.typical_service_time();
+    profile.record_service_time(Duration::from_secs(10));
+    assert!(profile.typical_service_time() < before.mul_f64(1.1));
 }
 
 #[test]
--- a/crates/sablehaven-gateway/src/servers/attempt.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt.rs
@@ -162,7 +162,7 @@
     fn begin(gateway: Rc<Gateway>, server: Rc<Server>, request: Rc<OutgoingRequest>) -> Self {
         let now = gateway.clock.now();
         let profile = &request.profile;
-        let expected = profile.typical() + server.round_trip();
+        let expected = profile.typical_service_time() + server.round_trip();
         let mut health = server.health.borrow_mut();
         let attempt = health.sent(now, expected);
         drop(health);
@@ -187,7 +187,7 @@
         let whole = now.saturating_sub(self.sent_at);
         let taken = whole.saturating_sub(self.server.round_trip());
         let profile = &self.request.profile;
-        let usual = profile.typical();
+        let usual = profile.typical_service_time();
         let mut ending = self.ending;
         // An attempt that was cancelled after a long silence is a sign of its own.
         let patience = 4 * usual + self.server.round_trip() + Duration::from_millis(250);
@@ -195,7 +195,7 @@
             ending = Ending::Silent;
         }
         if ending == Ending::Answered {
-            profile.record(taken);
+            profile.record_service_time(taken);
         }
         self.gateway.metrics.attempt_ended(ending.name());
         let taken = Taken {
@@ -221,7 +221,7 @@
     match &mut result {
         Ok(_) | Err(AttemptFailure::Answered(_)) => request.crash_watch.answered(now),
         Err(AttemptFailure::Lost { is_server_gone, .. }) => {
-            let usual = request.profile.typical();
+            let usual = request.profile.typical_service_time();
             request.crash_watch.lost(now, &server.id, usual);
             if looks_for_crash {
                 *is_server_gone = is_gone(&gateway, &server).await;
--- a/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
@@ -79,7 +79,7 @@
             "send to {address}: the server is to get nothing new"
         )));
     }
-    if gateway.standing(&request.caller) != CallerValidity::Valid {
+    if gateway.caller_validity(&request.caller) != CallerValidity::Valid {
         return Err(not_sent(format!(
             "send to {address}: the caller's key does not hold any more"
         )));
--- a/crates/sablehaven-gateway/src/servers/service_pool.rs
+++ b/crates/sablehaven-gateway/src/servers/service_pool.rs
@@ -125,7 +125,7 @@
         let servers = self.servers.borrow();
         // Read once: a query makes a choice for each of its shards.
         let at = Instant::now();
-        let mut choice = Choice::new(profile.typical());
+        let mut choice = Choice::new(profile.typical_service_time());
         for server in servers.iter() {
             let is_open = server.may_serve(allowed) && !tried.contains(&server.id);
             let is_too_far = choice.is_too_far(server.distance, server.round_trip());
--- a/crates/sablehaven-gateway/src/serving_regions.rs
+++ b/crates/sablehaven-gateway/src/serving_regions.rs
@@ -23,16 +23,16 @@
     }
 
     /// Where this and what a tenant allows agree.
-    pub(crate) fn within(&self, allowed: &AllowedRegions) -> Self {
+    pub(crate) fn intersect(&self, allowed: &AllowedRegions) -> Self {
         if allowed.is_unrestricted() {
             return self.clone();
         }
         let Some(named) = &self.named else {
             return Self::new(allowed);
         };
-        let both = named.iter().filter(|region| allowed.admit(Some(region)));
+        let common = named.iter().filter(|region| allowed.admit(Some(region)));
         Self {
-            named: Some(Rc::new(both.cloned().collect())),
+            named: Some(Rc::new(common.cloned().collect())),
         }
     }
 
--- a/crates/sablehaven-gateway/src/serving_regions/tests.rs
+++ b/crates/sablehaven-gateway/src/serving_regions/tests.rs
@@ -11,7 +11,7 @@
 /// The regions of three that serve a request whose route and tenant are bound so, and whether a place without a known
 /// region does.
 fn serving(route: &[&str], tenant: &[&str]) -> (Vec<&'static str>, bool) {
-    let regions = ServingRegions::new(&allowed(route)).within(&allowed(tenant));
+    let regions = ServingRegions::new(&allowed(route)).intersect(&allowed(tenant));
     let named = ["north", "south", "west"].into_iter();
     let serving = named.filter(|region| regions.admit(Some(&(*region).into())));
     (serving.collect(), regions.admit(None))
@@ -33,8 +33,8 @@
 
 #[test]
 fn two_bounds_leave_what_they_have_in_common() {
-    let both = serving(&["north", "south"], &["south", "west"]);
-    assert_eq!(both, (vec!["south"], false));
+    let common = serving(&["north", "south"], &["south", "west"]);
+    assert_eq!(common, (vec!["south"], false));
 }
 
 #[test]
--- a/crates/sablehaven-gateway/src/sources.rs
+++ b/crates/sablehaven-gateway/src/sources.rs
@@ -15,23 +15,23 @@
 const REGION_DELAY: Duration = Duration::from_millis(100);
 /// Time that nearer replicas have before one of another region is asked: a few ways there and back, and a small
 /// part of the seconds within which a change must be in force.
-const FAR_DELAY: Duration = Duration::from_millis(300);
+const REMOTE_DELAY: Duration = Duration::from_millis(300);
 /// Time after which another replica is asked too. With a list that is read each second, a server that leaves is
 /// still known within 3 s where three replicas in turn don't answer; one that only sends slowly costs a second copy.
-const FETCH_PATIENCE: Duration = Duration::from_millis(500);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What is to be sent to control replicas, and when to look again.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(crate) struct SourceSteps {
+pub(crate) struct FetchPlan {
     pub(crate) messages: Vec<(SocketAddr, GatewayToControl)>,
     /// Any steady time.
-    pub(crate) look_at: Option<Duration>,
+    pub(crate) wake_at: Option<Duration>,
 }
 
 /// The connected control replicas, and what is being fetched from them. Times are any steady time.
 #[derive(Debug, Default)]
 pub(crate) struct StateSources {
-    replicas: BTreeMap<SocketAddr, ReplicaOffer>,
+    replicas: BTreeMap<SocketAddr, ReplicaState>,
     preferred: Option<SocketAddr>,
     routes: StateFetch<u64>,
     listing: StateFetch<ListingNumber>,
@@ -39,7 +39,7 @@
 
 /// A connected replica, and what it has.
 #[derive(Clone, Copy, Debug)]
-struct ReplicaOffer {
+struct ReplicaState {
     distance: Distance,
     versions: StateVersions,
 }
@@ -48,14 +48,14 @@
     /// A replica has connected.
     pub(crate) fn add(&mut self, replica: SocketAddr, distance: Distance) {
         let versions = StateVersions::default();
-        let offer = ReplicaOffer { distance, versions };
-        self.replicas.insert(replica, offer);
+        let state = ReplicaState { distance, versions };
+        self.replicas.insert(replica, state);
     }
 
     /// A connected replica has said what it has.
-    pub(crate) fn offer(&mut self, replica: SocketAddr, versions: StateVersions) {
-        if let Some(offer) = self.replicas.get_mut(&replica) {
-            offer.versions = versions;
+    pub(crate) fn set_versions(&mut self, replica: SocketAddr, versions: StateVersions) {
+        if let Some(state) = self.replicas.get_mut(&replica) {
+            state.versions = versions;
         }
     }
 
@@ -65,8 +65,8 @@
         if self.preferred == Some(replica) {
             self.preferred = None;
         }
-        self.routes.forget(replica);
-        self.listing.forget(replica);
+        self.routes.remove(replica);
+        self.listing.remove(replica);
     }
 
     /// The replica that tells this gateway who takes part.
@@ -78,79 +78,82 @@
     pub(crate) fn by_distance(&self) -> Vec<(SocketAddr, Distance)> {
         let replicas = self.replicas.iter();
         let mut ordered: Vec<(SocketAddr, Distance)> = replicas
-            .map(|(replica, offer)| (*replica, offer.distance))
+            .map(|(replica, state)| (*replica, state.distance))
             .collect();
         ordered.sort_by_key(|(replica, distance)| (Some(*replica) != self.preferred, *distance));
         ordered
     }
 
     /// What to do, where the gateway has `held`; `draw` (0 to 1) decides among equally near replicas.
-    pub(crate) fn next(&mut self, now: Duration, held: StateVersions, draw: f64) -> SourceSteps {
-        let mut steps = SourceSteps::default();
-        self.prefer(draw, &mut steps);
-        let offers = self.offers(|versions| versions.routes);
-        let step = self.routes.next(now, held.routes, &offers, draw);
-        steps.take(step, GatewayToControl::FetchRoutes(held.routes));
-        let offers = self.offers(|versions| versions.listing);
-        let step = self.listing.next(now, held.listing, &offers, draw);
-        steps.take(step, GatewayToControl::FetchListing(held.listing));
-        steps
+    pub(crate) fn plan(&mut self, now: Duration, held: StateVersions, random: f64) -> FetchPlan {
+        let mut plan = FetchPlan::default();
+        self.update_preferred(random, &mut plan);
+        let versions = self.versions(|versions| versions.routes);
+        let step = self.routes.next(now, held.routes, &versions, random);
+        plan.add_step(step, GatewayToControl::FetchRoutes(held.routes));
+        let versions = self.versions(|versions| versions.listing);
+        let step = self.listing.next(now, held.listing, &versions, random);
+        plan.add_step(step, GatewayToControl::FetchListing(held.listing));
+        plan
     }
 
-    fn offers<Version>(&self, version: impl Fn(&StateVersions) -> Version) -> Vec<Offer<Version>> {
+    fn versions<Version>(
+        &self,
+        version: impl Fn(&StateVersions) -> Version,
+    ) -> Vec<ReplicaVersion<Version>> {
         let replicas = self.replicas.iter();
-        let offers = replicas.map(|(replica, offer)| Offer {
+        let versions = replicas.map(|(replica, state)| ReplicaVersion {
             replica: *replica,
-            distance: offer.distance,
-            version: version(&offer.versions),
+            distance: state.distance,
+            version: version(&state.versions),
         });
-        offers.collect()
+        versions.collect()
     }
 
     /// Prefers the nearest replica, and stays with it while none is nearer.
-    fn prefer(&mut self, draw: f64, steps: &mut SourceSteps) {
-        let nearest = self.replicas.values().map(|offer| offer.distance).min();
-        let distance = |replica| self.replicas.get(&replica).map(|offer| offer.distance);
+    fn update_preferred(&mut self, random: f64, plan: &mut FetchPlan) {
+        let nearest = self.replicas.values().map(|state| state.distance).min();
+        let distance = |replica| self.replicas.get(&replica).map(|state| state.distance);
         if self.preferred.and_then(distance) == nearest {
             return;
         }
         let candidates = self.replicas.iter();
         let candidates: Vec<SocketAddr> = candidates
-            .filter(|(_, offer)| Some(offer.distance) == nearest)
+            .filter(|(_, state)| Some(state.distance) == nearest)
             .map(|(replica, _)| *replica)
             .collect();
-        let Some(chosen) = pick(&candidates, draw) else {
+        let Some(chosen) = pick(&candidates, random) else {
             return;
         };
-        if let Some(former) = self.preferred.replace(chosen) {
+        if let Some(previous) = self.preferred.replace(chosen) {
             let message = GatewayToControl::Prefer(false);
-            steps.messages.push((former, message));
+            plan.messages.push((previous, message));
         }
         let message = GatewayToControl::Prefer(true);
-        steps.messages.push((chosen, message));
+        plan.messages.push((chosen, message));
     }
 }
 
-impl SourceSteps {
-    fn take(&mut self, step: FetchStep, message: GatewayToControl) {
+impl FetchPlan {
+    fn add_step(&mut self, step: FetchStep, message: GatewayToControl) {
         match step {
             FetchStep::Nothing => {}
-            FetchStep::Fetch(replica, look_at) => {
+            FetchStep::Fetch(replica, wake_at) => {
                 self.messages.push((replica, message));
-                self.look_by(look_at);
+                self.wake_by(wake_at);
             }
-            FetchStep::WaitUntil(at) => self.look_by(at),
+            FetchStep::WaitUntil(wake_at) => self.wake_by(wake_at),
         }
     }
 
-    fn look_by(&mut self, at: Duration) {
-        self.look_at = Some(self.look_at.map_or(at, |sooner| sooner.min(at)));
+    fn wake_by(&mut self, wake_at: Duration) {
+        self.wake_at = Some(self.wake_at.map_or(wake_at, |earlier| earlier.min(wake_at)));
     }
 }
 
 /// What a connected replica has of one kind of state.
 #[derive(Clone, Copy, Debug)]
-struct Offer<Version> {
+struct ReplicaVersion<Version> {
     replica: SocketAddr,
     distance: Distance,
     version: Version,
@@ -173,10 +176,10 @@
     /// The version that the gateway had when it was last looked at.
     held: Version,
     /// Since when something newer than that has been offered.
-    lacking_since: Option<Duration>,
+    outdated_since: Option<Duration>,
     /// Replicas that were asked for something newer than that, and when the last of them was.
-    asked: Vec<SocketAddr>,
-    asked_at: Option<Duration>,
+    requested_from: Vec<SocketAddr>,
+    requested_at: Option<Duration>,
 }
 
 impl<Version: Copy + Default + Ord> StateFetch<Version> {
@@ -184,11 +187,11 @@
         &mut self,
         now: Duration,
         held: Version,
-        offers: &[Offer<Version>],
-        draw: f64,
+        versions: &[ReplicaVersion<Version>],
+        random: f64,
     ) -> FetchStep {
-        let newer = offers.iter().filter(|offer| offer.version > held);
-        let newer: Vec<&Offer<Version>> = newer.collect();
+        let newer = versions.iter().filter(|offered| offered.version > held);
+        let newer: Vec<&ReplicaVersion<Version>> = newer.collect();
         if held != self.held || newer.is_empty() {
             *self = Self {
                 held,
@@ -198,62 +201,64 @@
         if newer.is_empty() {
             return FetchStep::Nothing;
         }
-        let lacking_since = *self.lacking_since.get_or_insert(now);
-        let patient_until = self.asked_at.map(|at| at + FETCH_PATIENCE);
-        if let Some(until) = patient_until.filter(|until| now < *until) {
+        let outdated_since = *self.outdated_since.get_or_insert(now);
+        let retry_at = self.requested_at.map(|at| at + FETCH_TIMEOUT);
+        if let Some(until) = retry_at.filter(|until| now < *until) {
             return FetchStep::WaitUntil(until);
         }
         if newer
             .iter()
-            .all(|offer| self.asked.contains(&offer.replica))
+            .all(|offered| self.requested_from.contains(&offered.replica))
         {
-            self.asked.clear();
+            self.requested_from.clear();
         }
-        let open = newer.into_iter();
-        let open = open.filter(|offer| !self.asked.contains(&offer.replica));
-        let Some(distance) = open.clone().map(|offer| offer.distance).min() else {
+        let candidates = newer.into_iter();
+        let candidates =
+            candidates.filter(|offered| !self.requested_from.contains(&offered.replica));
+        let Some(distance) = candidates.clone().map(|offered| offered.distance).min() else {
             return FetchStep::Nothing;
         };
         // Only where a nearer one is connected is there something to wait for.
-        let is_nearest = offers.iter().all(|offer| offer.distance >= distance);
-        let ask_at = lacking_since
+        let is_nearest = versions.iter().all(|offered| offered.distance >= distance);
+        let request_at = outdated_since
             + if is_nearest {
                 Duration::ZERO
             } else {
-                delay(distance)
+                fetch_delay(distance)
             };
-        if now < ask_at {
-            return FetchStep::WaitUntil(ask_at);
+        if now < request_at {
+            return FetchStep::WaitUntil(request_at);
         }
-        let nearest = open.filter(|offer| offer.distance == distance);
-        let nearest: Vec<SocketAddr> = nearest.map(|offer| offer.replica).collect();
-        let Some(replica) = pick(&nearest, draw) else {
+        let nearest = candidates.filter(|offered| offered.distance == distance);
+        let nearest: Vec<SocketAddr> = nearest.map(|offered| offered.replica).collect();
+        let Some(replica) = pick(&nearest, random) else {
             return FetchStep::Nothing;
         };
-        self.asked.push(replica);
-        self.asked_at = Some(now);
-        FetchStep::Fetch(replica, now + FETCH_PATIENCE)
+        self.requested_from.push(replica);
+        self.requested_at = Some(now);
+        FetchStep::Fetch(replica, now + FETCH_TIMEOUT)
     }
 
     /// The connection to a replica has ended. If it was the one that is waited for, the next is asked at once.
-    fn forget(&mut self, replica: SocketAddr) {
-        if self.asked.last() == Some(&replica) {
-            self.asked_at = None;
+    fn remove(&mut self, replica: SocketAddr) {
+        if self.requested_from.last() == Some(&replica) {
+            self.requested_at = None;
         }
-        self.asked.retain(|asked| *asked != replica);
+        self.requested_from
+            .retain(|requested| *requested != replica);
     }
 }
 
-fn delay(distance: Distance) -> Duration {
+fn fetch_delay(distance: Distance) -> Duration {
     match distance {
         Distance::Zone => Duration::ZERO,
         Distance::Region => REGION_DELAY,
-        Distance::Remote => FAR_DELAY,
+        Distance::Remote => REMOTE_DELAY,
     }
 }
 
-fn pick(replicas: &[SocketAddr], draw: f64) -> Option<SocketAddr> {
-    let position = (draw * replicas.len() as f64) as usize;
+fn pick(replicas: &[SocketAddr], random: f64) -> Option<SocketAddr> {
+    let position = (random * replicas.len() as f64) as usize;
     let position = position.min(replicas.len().saturating_sub(1));
     replicas.get(position).copied()
 }
--- a/crates/sablehaven-gateway/src/tenant_table.rs
+++ b/crates/sablehaven-gateway/src/tenant_table.rs
@@ -15,7 +15,7 @@
 
 /// A tenant of one version; cheap to clone.
 #[derive(Clone)]
-pub(crate) struct KnownTenant {
+pub(crate) struct TenantRef {
     document: Arc<RouteDocument>,
     position: usize,
 }
@@ -39,24 +39,24 @@
     }
 
     /// The tenant that has a key.
-    pub(crate) fn find(&self, key: KeyDigest) -> Option<KnownTenant> {
+    pub(crate) fn find(&self, key: KeyDigest) -> Option<TenantRef> {
         let found = self.by_key.binary_search_by_key(&key, |(known, _)| *known);
         let (_, position) = self.by_key[found.ok()?];
-        Some(KnownTenant {
+        Some(TenantRef {
             document: Arc::clone(&self.document),
             position: position as usize,
         })
     }
 }
 
-impl KnownTenant {
+impl TenantRef {
     pub(crate) fn tenant(&self) -> &Tenant {
         &self.document.tenants[self.position]
     }
 
     /// The tenant's name as servers are told it; `None` where no header can hold it, which
     /// [`RouteDocument::validate`] refuses.
-    pub(crate) fn header(&self) -> Option<HeaderValue> {
+    pub(crate) fn to_header_value(&self) -> Option<HeaderValue> {
         HeaderValue::from_bytes(self.tenant().name.as_str().as_bytes()).ok()
     }
 }
--- a/crates/sablehaven-gateway/src/tenant_table/tests.rs
+++ b/crates/sablehaven-gateway/src/tenant_table/tests.rs
@@ -51,7 +51,7 @@
 fn servers_are_told_the_name_as_it_is_written() {
     let table = table(&[("Van Oordt élève", &["k"])]);
     let found = table.find(KeyDigest::of(b"k")).expect("a tenant");
-    let header = found.header().expect("a header");
+    let header = found.to_header_value().expect("a header");
     assert_eq!(header.as_bytes(), "Van Oordt élève".as_bytes());
 }
 
--- a/crates/sablehaven-gateway/tests/gateway/tenant_keys.rs
+++ b/crates/sablehaven-gateway/tests/gateway/tenant_keys.rs
@@ -281,7 +281,12 @@
         let answer = bed.send("2", "GET", "/q/x", &headers, "").await;
         assert_eq!(answer.status, StatusCode::UNAUTHORIZED);
         answers.push(format!("{:?} {:?}", answer.headers, answer.body));
-        let figures = bed.gateway.as_ref().expect("a gateway").figures().text();
+        let figures = bed
+            .gateway
+            .as_ref()
+            .expect("a gateway")
+            .metrics()
+            .encode_metrics();
         assert!(
             figures.contains("sablehaven_gateway_unknown_key_requests_total 16"),
             "{figures}"
