--- a/crates/sablehaven-gateway/src/control_link.rs
+++ b/crates/sablehaven-gateway/src/control_link.rs
@@ -1,7 +1,8 @@
-//! Connections to the control replicas: one to each that is known.
+//! Maintains a connection to each known control replica.
 //!
-//! Routes count as soon as any replica has applied them, so a gateway that hears of every replica what it has
-//! gets them while any of them is reached; an old leader's word only comes too late and is ignored.
+//! Routes are valid as soon as any replica has applied them. The gateway learns from every replica which
+//! versions it has, so it gets new routes as long as it reaches any replica that has them. A message from a
+//! former leader can only be out of date, and is ignored.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,13 +19,13 @@
 
 use crate::{control_links::LinkQueue, gateway::Gateway};
 
-/// Pause before a lost connection is opened again.
+/// Delay before a reconnection.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// Time between two signs of life towards a replica.
+/// Interval at which keepalive messages are sent to a replica.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// A replica that is silent for so long is dialled anew.
+/// Time without any received bytes after which a connection is closed and opened again.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that one write may take.
+/// Maximum duration of one write.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Errors of a connection to a control replica.
@@ -32,14 +33,14 @@
 enum LinkError {
     /// {0}
     Wire(#[from] WireError),
-    /// connection to control {peer}: no sign of life
+    /// connection to control replica {peer} timed out
     Timeout {
         /// The replica.
         peer: SocketAddr,
     },
 }
 
-/// Keeps a connection to every known replica.
+/// Maintains a connection to every known replica.
 pub(crate) async fn maintain_links(gateway: Rc<Gateway>) {
     let mut controls = gateway.controls();
     let mut link_tasks: BTreeMap<SocketAddr, AbortHandle> = BTreeMap::new();
@@ -66,7 +67,7 @@
         };
         match dial_result {
             Ok(connection) => {
-                log::info!(event = "control_connected", peer:% = address; "control");
+                log::info!(event = "control_connected", peer:% = address; "connected to a control replica");
                 gateway.metrics.control_connections.inc();
                 let queue = gateway.control_links.open(address);
                 let result = run_connection(&gateway, address, connection, queue).await;
@@ -76,15 +77,15 @@
                 was_connected = true;
                 if let Err(error) = result {
                     log::warn!(event = "control_lost", peer:% = address,
-                        reason:% = error; "control");
+                        reason:% = error; "lost the connection to a control replica");
                 }
             }
             Err(error) if was_connected => {
                 was_connected = false;
                 log::warn!(event = "control_unreachable", peer:% = address,
-                    reason:% = error; "control");
+                    reason:% = error; "cannot reconnect to a control replica");
             }
-            // It has not been there yet, or is still away: said once.
+            // The replica has not been reachable yet, or its loss has already been logged.
             Err(_) => {}
         }
         sleep(RECONNECT_DELAY).await;
@@ -118,7 +119,7 @@
     let mut status = gateway.status();
     status.mark_changed();
     let mut reports = gateway.subscribe_crash_reports();
-    // The replica may have started since it was told.
+    // The replica may have restarted since the last connection, so all known reports are sent again.
     let mut unsent_reports = Some(gateway.crashes.borrow().reports(gateway.clock.now()));
     let mut keepalive = interval(KEEPALIVE_INTERVAL);
     keepalive.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -126,7 +127,7 @@
     let mut arrived_bytes = 0;
     let mut last_sent: Option<GatewayStatus> = None;
     loop {
-        // The first status goes out before any sign of life.
+        // `biased`, so that the first status is sent before any keepalive message.
         let message = tokio::select! {
             biased;
             Ok(()) = status.changed() => {
@@ -168,9 +169,9 @@
     }
 }
 
-/// Whether a replica must hear a status. Every one hears where the gateway is and whether it is ready, which callers
-/// are told; the versions in force are for the preferred one alone, since each change of them would else be a message
-/// from every gateway to every replica.
+/// Whether a status must be sent to a replica. Every replica needs the address and readiness of the gateway,
+/// which callers are told. Only the preferred replica gets each change of the versions in force; otherwise each
+/// change would cause a message from every gateway to every replica.
 fn must_send(
     gateway: &Gateway,
     peer: SocketAddr,
--- a/crates/sablehaven-gateway/src/control_links.rs
+++ b/crates/sablehaven-gateway/src/control_links.rs
@@ -1,4 +1,4 @@
-//! The connections to control replicas that stand, and the fetching of routes and list on them.
+//! The open connections to control replicas, over which the gateway fetches the routes and the list of servers.
 
 use std::{
     cell::RefCell,
@@ -17,25 +17,25 @@
 
 use crate::{gateway::Gateway, sources::StateSources};
 
-/// Messages for one replica that wait for its connection to take them.
+/// Messages that are queued for the connection to one replica.
 pub(crate) struct LinkQueue {
-    queue: mpsc::UnboundedReceiver<GatewayToControl>,
-    /// Taken while requests for tokens were put together.
+    messages: mpsc::UnboundedReceiver<GatewayToControl>,
+    /// A message that was received while token requests were being combined, and is still to be sent.
     pending: Option<GatewayToControl>,
 }
 
 impl LinkQueue {
-    /// The next message; all requests for tokens that wait side by side are one. `None` when there will be no more.
-    /// Nothing is lost where this is dropped before it ends.
+    /// Returns the next message, with all consecutive token requests combined into one. Returns `None` when
+    /// there will be no more messages. Cancel safe: no message is lost if the future is dropped.
     pub(crate) async fn recv(&mut self) -> Option<GatewayToControl> {
         let first = match self.pending.take() {
             Some(first) => first,
-            None => self.queue.recv().await?,
+            None => self.messages.recv().await?,
         };
         let GatewayToControl::TakeTokens(mut requests) = first else {
             return Some(first);
         };
-        while let Ok(message) = self.queue.try_recv() {
+        while let Ok(message) = self.messages.try_recv() {
             match message {
                 GatewayToControl::TakeTokens(more_requests) => requests.extend(more_requests),
                 other => {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The connections that stand.
+/// The open connections.
 #[derive(Default)]
 pub(crate) struct ControlLinks {
     sources: RefCell<StateSources>,
@@ -57,47 +57,48 @@
 }
 
 impl ControlLinks {
-    /// A connection to a replica stands. What is to be sent on it comes from the queue: at most a few messages,
-    /// since nothing is asked for twice within half a second, and a request for a token for each open request.
+    /// Registers an open connection, and returns the queue of the messages to send on it. The queue holds at
+    /// most a few messages and one token request for each open request, since nothing is fetched twice within
+    /// half a second.
     pub(crate) fn open(&self, replica: SocketAddr) -> LinkQueue {
         let (sender, queue) = mpsc::unbounded_channel();
         self.queues.borrow_mut().insert(replica, sender);
         LinkQueue {
-            queue,
+            messages: queue,
             pending: None,
         }
     }
 
-    /// The connection has ended.
+    /// Removes a connection that has ended.
     pub(crate) fn close(&self, replica: SocketAddr) {
         self.queues.borrow_mut().remove(&replica);
         self.sources.borrow_mut().remove(replica);
         self.wake();
     }
 
-    /// The replica has said where it is.
+    /// Sets the distance of a replica that has announced its region and zone.
     pub(crate) fn set_distance(&self, replica: SocketAddr, distance: Distance) {
         self.sources.borrow_mut().add(replica, distance);
         self.wake();
     }
 
-    /// The replica has said what it has.
+    /// Sets the versions that a replica has announced.
     pub(crate) fn set_versions(&self, replica: SocketAddr, versions: StateVersions) {
         self.sources.borrow_mut().set_versions(replica, versions);
         self.wake();
     }
 
-    /// Whether the replica is the one that tells this gateway who takes part.
+    /// Whether the replica is the one that sends this gateway the members of the deployment.
     pub(crate) fn is_preferred(&self, replica: SocketAddr) -> bool {
         self.sources.borrow().preferred() == Some(replica)
     }
 
-    /// The connected replicas, the preferred one first, of the others the nearest.
+    /// The connected replicas: the preferred one first, the others by distance.
     pub(crate) fn by_distance(&self) -> Vec<(SocketAddr, Distance)> {
         self.sources.borrow().by_distance()
     }
 
-    /// Hands a request for tokens to a replica's connection; whether there is one.
+    /// Queues a token request for a replica. Returns whether there is a connection to it.
     pub(crate) fn send_token_request(&self, replica: SocketAddr, request: TokenRequest) -> bool {
         let queues = self.queues.borrow();
         let queue = queues.get(&replica);
@@ -107,18 +108,18 @@
         })
     }
 
-    /// Something may have to be fetched from elsewhere now.
+    /// Wakes [`fetch_state`], since a version has changed or a replica has connected or disconnected.
     pub(crate) fn wake(&self) {
         self.woken.notify_one();
     }
 
-    /// Sends what is due; answers when to look again.
+    /// Sends the messages that are due. Returns when to call this again.
     fn send_due(&self, now: Duration, held: StateVersions) -> Option<Duration> {
         let plan = self.sources.borrow_mut().plan(now, held, rand::random());
         let queues = self.queues.borrow();
         for (replica, message) in plan.messages {
             if let Some(queue) = queues.get(&replica) {
-                // Whoever reads the queue may just have ended; it is removed from the sources then.
+                // The receiver may just have been dropped. The replica is then removed from the sources.
                 let _ = queue.send(message);
             }
         }
@@ -126,7 +127,7 @@
     }
 }
 
-/// Fetches what replicas have and the gateway lacks, until it is dropped.
+/// Fetches newer versions from the replicas until the future is dropped.
 pub(crate) async fn fetch_state(gateway: Rc<Gateway>) {
     let links = &gateway.control_links;
     loop {
--- a/crates/sablehaven-gateway/src/quotas/client.rs
+++ b/crates/sablehaven-gateway/src/quotas/client.rs
@@ -1,4 +1,4 @@
-//! The tokens of this gateway, and its requests for more that have no answer yet.
+//! The quota tokens that this gateway holds, and its token requests that have no reply yet.
 
 use std::{
     cell::RefCell,
@@ -20,49 +20,51 @@
 
 use super::replicas::TokenReplicas;
 
-/// The longest time for which a request waits for a token, whatever its route: a token that comes later may be of a
-/// window that is over.
+/// Maximum time for which a request waits for a token, whatever its route. A token that arrives later may belong
+/// to a window that is over.
 const MAX_WAIT: Duration = Duration::from_millis(500);
-/// Time after which an answer is not expected any more. The connection has ended by then if it is a replica's fault.
+/// Time after which no reply is expected any more. If the replica failed to reply, its connection has been
+/// closed by then.
 const PENDING_TTL: Duration = Duration::from_secs(10);
 
-/// Where requests for tokens are sent.
+/// Sends token requests to control replicas.
 pub(crate) trait TokenRequester {
-    /// The connected control replicas; of equally near ones, the one first that is to be asked first.
+    /// The connected control replicas. Among equally distant ones, the one to ask first comes first.
     fn connected(&self) -> Vec<(SocketAddr, Distance)>;
 
-    /// Sends a request; whether a connection took it.
+    /// Sends a request to a replica. Returns whether there was a connection to send it on.
     fn send(&self, replica: SocketAddr, request: TokenRequest) -> bool;
 }
 
-/// What a request that needs a token asks for.
+/// Options of one [`TokenClient::acquire`] call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AcquireOptions<'a> {
     pub(crate) tenant: &'a TenantName,
-    /// Part of such requests that this gateway refuses lately, in thousandths. Above 0 it asks for this request alone.
+    /// Fraction of the requests of this class that this gateway currently sheds, in thousandths. If it is above
+    /// 0, a token is requested for this request only.
     pub(crate) shed_permille: u16,
-    /// How long a replica may keep it waiting for tokens of others.
+    /// How long a replica may hold the token request while it obtains tokens from other replicas.
     pub(crate) replica_wait: Duration,
-    /// Whether its caller was refused before.
+    /// Whether the caller resends a request that was refused before.
     pub(crate) is_resend: bool,
-    /// How long it may wait in all.
+    /// Maximum time for the whole call.
     pub(crate) timeout: Duration,
 }
 
-/// What a request for a token came to.
+/// The result of a [`TokenClient::acquire`] call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TokenOutcome {
-    /// A token is spent on it.
+    /// A token was acquired and spent.
     Granted,
-    /// The tenant's quota is used up for this time.
+    /// The tenant's quota is exhausted. A token will be available after this time.
     OverQuota(Duration),
-    /// The tenant has had its fair share of too little room.
+    /// Servers are overloaded, and the tenant has had its fair share of their capacity.
     OverFairShare,
     /// No replica decided in time.
     Undecided,
 }
 
-/// The tokens of this gateway, and its requests for more.
+/// Holds the quota tokens of this gateway and requests more from control replicas.
 pub(crate) struct TokenClient<Clock> {
     clock: Clock,
     state: RefCell<ClientState>,
@@ -75,16 +77,17 @@
     last_number: TokenRequestNumber,
 }
 
-/// A request for tokens without an answer.
+/// A token request that has no reply yet.
 struct PendingRequest {
     replica: SocketAddr,
     tenant: TenantName,
-    /// By the clock that counts suspension.
+    /// Measured by the clock that includes time in which the system was suspended.
     requested_at: Duration,
     decision_sender: UnboundedSender<Decision>,
 }
 
-/// A replica's word, and when it was asked for it by the clock that counts suspension.
+/// A replica's decision on a token request, and when the token was requested. The time is measured by the clock
+/// that includes time in which the system was suspended.
 #[derive(Clone, Copy, Debug)]
 struct Decision {
     replica: SocketAddr,
@@ -93,7 +96,7 @@
 }
 
 impl<Clock: AgeClock> TokenClient<Clock> {
-    /// A client without tokens.
+    /// Creates a client that holds no tokens.
     pub(crate) fn new(clock: Clock, tolerance: &QuotaTolerance) -> Self {
         let state = ClientState {
             stock: TokenStock::new(tolerance),
@@ -107,14 +110,15 @@
         }
     }
 
-    /// Spends a token that is there.
+    /// Spends a token from the stock. Returns `false` if there is none.
     pub(crate) fn spend(&self, tenant: &TenantName) -> bool {
         let now = self.clock.now();
         self.state.borrow_mut().stock.spend(now, tenant)
     }
 
-    /// Asks for a token, one replica after the other. Where all have said lately that they have no part, only the first
-    /// is asked again. When the future is dropped, what is granted later goes into the stock.
+    /// Requests a token from one replica after the other. If all replicas have recently replied that they hold
+    /// no part of the quotas, only the first is asked again. If the future is dropped, tokens that are granted
+    /// later go into the stock.
     pub(crate) async fn acquire<Requester: TokenRequester>(
         &self,
         requester: &Requester,
@@ -157,14 +161,15 @@
                 WaitResult::TimedOut if wait < time_left => {
                     self.state.borrow_mut().replicas.record_timeout(*replica);
                 }
-                // It had less than its time.
+                // The replica was given less than its usual time, so this does not count as a timeout.
                 WaitResult::TimedOut => {}
             }
         }
         TokenOutcome::Undecided
     }
 
-    /// Takes a replica's answers. What is granted beyond the requests that wait goes into the stock.
+    /// Handles replies of a replica. Tokens that are granted beyond those for waiting requests go into the
+    /// stock.
     pub(crate) fn handle_replies(&self, replica: SocketAddr, replies: &[TokenReply]) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
@@ -173,14 +178,14 @@
         }
     }
 
-    /// The connection to a replica has ended; it answers nothing more.
+    /// Handles the end of the connection to a replica: it will not reply to the pending requests any more.
     pub(crate) fn remove_replica(&self, replica: SocketAddr) {
         let mut state = self.state.borrow_mut();
         state.replicas.remove(replica);
         state.pending.retain(|_, pending| {
             let is_disconnected = pending.replica == replica;
             if is_disconnected {
-                // Whoever waited may have left.
+                // The receiver is gone if the request no longer waits.
                 let _ = pending.decision_sender.send(Decision {
                     replica,
                     requested_at: pending.requested_at,
@@ -204,7 +209,8 @@
         state
             .pending
             .retain(|_, pending| now.saturating_sub(pending.requested_at) < PENDING_TTL);
-        // The others that wait have asked for what is needed beyond them.
+        // The pending requests have already asked for the tokens that the tenant will need beyond its waiting
+        // requests.
         let has_pending = state
             .pending
             .values()
@@ -236,8 +242,8 @@
 
 impl ClientState {
     fn handle_reply(&mut self, now: Duration, replica: SocketAddr, reply: TokenReply) {
-        // Numbers are the gateway's own, so one that is not known is only long forgotten; but the word of another replica
-        // must not count as this one's.
+        // The gateway assigns the numbers itself, so an unknown number is one whose request has expired. A reply
+        // from a replica that was not asked must not count as a reply of the one that was.
         let known = self.pending.get(&reply.number);
         if known.is_none_or(|pending| pending.replica != replica) {
             return;
@@ -264,7 +270,7 @@
                 if verdict == TokenVerdict::NoPart {
                     self.replicas.record_no_part(now, replica);
                 }
-                // Whoever waited may have left.
+                // The receiver is gone if the request no longer waits.
                 let _ = pending.decision_sender.send(Decision {
                     replica,
                     requested_at,
@@ -275,14 +281,14 @@
     }
 }
 
-/// What came while a replica's answer was waited for.
+/// The result of waiting for a replica's reply.
 enum WaitResult {
     Decided(TokenOutcome),
     NoPart,
     TimedOut,
 }
 
-/// A request that waits for a token. When it is dropped, tokens that have come for it go into the stock.
+/// A request that waits for a token. When it is dropped, tokens that have arrived for it go into the stock.
 struct WaitingRequest<'a, Clock: AgeClock> {
     client: &'a TokenClient<Clock>,
     tenant: &'a TenantName,
@@ -290,8 +296,8 @@
 }
 
 impl<Clock: AgeClock> WaitingRequest<'_, Clock> {
-    /// Waits until some replica decides, or the one that was asked last has no part. A token that is older than `oldest`
-    /// by then is no good.
+    /// Waits until any replica decides, or `replica`, which was asked last, replies that it holds no part of the
+    /// quotas. A token that was requested longer than `max_age` ago is not used.
     async fn wait_for_decision(
         &mut self,
         replica: SocketAddr,
@@ -299,7 +305,7 @@
         wait: Duration,
     ) -> WaitResult {
         let wait_until = Instant::now() + wait;
-        // The sender is held by whoever asks, so this ends with a decision or the patience.
+        // The caller holds a sender, so the channel stays open and the loop ends with a decision or the timeout.
         while let Ok(Some(decision)) = timeout_at(wait_until.into(), self.decisions.recv()).await {
             let age = self
                 .client
@@ -320,7 +326,7 @@
                 TokenVerdict::Granted(_) | TokenVerdict::NoPart if decision.replica == replica => {
                     return WaitResult::NoPart;
                 }
-                // Another replica than the one that is waited for now.
+                // This is a reply of an earlier replica, not of the one that is being waited for.
                 TokenVerdict::Granted(_) | TokenVerdict::NoPart => {}
             }
         }
--- a/crates/sablehaven-gateway/src/quotas/client/tests.rs
+++ b/crates/sablehaven-gateway/src/quotas/client/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of acquiring tokens: the order of the replicas, timeouts, late grants, and suspension of the machine.
+
 use std::{cell::Cell, rc::Rc};
 
 use futures::FutureExt;
@@ -5,19 +7,19 @@
 
 use super::*;
 
-const NEAR: u16 = 1;
-const NEXT: u16 = 2;
+const FIRST: u16 = 1;
+const SECOND: u16 = 2;
 const TIMEOUT: Duration = Duration::from_millis(400);
 
-fn replica(number: u16) -> SocketAddr {
-    ([127, 0, 0, 1], number).into()
+fn replica(port: u16) -> SocketAddr {
+    ([127, 0, 0, 1], port).into()
 }
 
 fn tenant() -> TenantName {
     "desk".into()
 }
 
-/// A clock that the test moves on.
+/// A clock that the test advances.
 #[derive(Clone, Default)]
 struct ManualClock(Rc<Cell<Duration>>);
 
@@ -33,7 +35,7 @@
     }
 }
 
-/// Connections that note what is sent.
+/// Records the token requests instead of sending them.
 #[derive(Default)]
 struct RecordingRequester {
     connected: Vec<u16>,
@@ -42,10 +44,8 @@
 
 impl TokenRequester for RecordingRequester {
     fn connected(&self) -> Vec<(SocketAddr, Distance)> {
-        let numbers = self.connected.iter();
-        numbers
-            .map(|number| (replica(*number), Distance::Zone))
-            .collect()
+        let ports = self.connected.iter();
+        ports.map(|port| (replica(*port), Distance::Zone)).collect()
     }
 
     fn send(&self, replica: SocketAddr, request: TokenRequest) -> bool {
@@ -55,7 +55,7 @@
 }
 
 impl RecordingRequester {
-    fn number(&self, position: usize) -> TokenRequestNumber {
+    fn request_number(&self, position: usize) -> TokenRequestNumber {
         self.sent.borrow()[position].1.number
     }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// A client, what it sends, and its clock.
+/// A client with its recorded requests and its clock.
 struct TestClient {
     client: Rc<TokenClient<ManualClock>>,
     requests: Rc<RecordingRequester>,
@@ -79,7 +79,7 @@
     fn new(connected: &[u16]) -> Self {
         let clock = ManualClock::default();
         clock.advance(Duration::from_secs(100));
-        // Tokens are good for half a second.
+        // Tokens are valid for half a second.
         let tolerance = QuotaTolerance {
             window_ms: 5_000,
             excess_permille: 100,
@@ -108,7 +108,7 @@
     }
 
     fn reply(&self, from: u16, position: usize, verdict: TokenVerdict) {
-        let number = self.requests.number(position);
+        let number = self.requests.request_number(position);
         let reply = TokenReply { number, verdict };
         self.client.handle_replies(replica(from), &[reply]);
     }
@@ -139,223 +139,249 @@
 }
 
 #[test]
-fn a_token_that_is_granted_is_spent_and_the_others_are_kept() {
+fn spends_one_granted_token_and_stocks_the_rest() {
     run(async {
-        let test = TestClient::new(&[NEAR, NEXT]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
-        test.reply(NEAR, 0, TokenVerdict::Granted(3));
-        assert_eq!(acquiring.await.expect("an answer"), TokenOutcome::Granted);
-        assert!(test.client.spend(&tenant()));
-        assert!(test.client.spend(&tenant()));
-        assert!(!test.client.spend(&tenant()));
-        assert_eq!(test.requests.requested_replicas(), [replica(NEAR)]);
+        let fixture = TestClient::new(&[FIRST, SECOND]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(3));
+        assert_eq!(
+            acquiring.await.expect("the task completes"),
+            TokenOutcome::Granted
+        );
+        assert!(fixture.client.spend(&tenant()));
+        assert!(fixture.client.spend(&tenant()));
+        assert!(!fixture.client.spend(&tenant()));
+        assert_eq!(fixture.requests.requested_replicas(), [replica(FIRST)]);
     });
 }
 
 #[test]
-fn no_connected_replica_is_told_at_once() {
+fn is_undecided_at_once_without_a_connected_replica() {
     run(async {
-        let test = TestClient::new(&[]);
+        let fixture = TestClient::new(&[]);
         let tenant = tenant();
-        let acquiring = test.client.acquire(&*test.requests, options(&tenant, 0));
+        let acquiring = fixture
+            .client
+            .acquire(&*fixture.requests, options(&tenant, 0));
         assert_eq!(acquiring.now_or_never(), Some(TokenOutcome::Undecided));
     });
 }
 
 #[test]
-fn a_used_up_quota_is_told_with_its_time() {
+fn reports_an_exhausted_quota_with_its_retry_delay() {
     run(async {
-        let test = TestClient::new(&[NEAR, NEXT]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
+        let fixture = TestClient::new(&[FIRST, SECOND]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
         let retry_after_ms = 700;
-        test.reply(NEAR, 0, TokenVerdict::OverQuota { retry_after_ms });
+        fixture.reply(FIRST, 0, TokenVerdict::OverQuota { retry_after_ms });
         let retry_after = Duration::from_millis(700);
         assert_eq!(
-            acquiring.await.expect("an answer"),
+            acquiring.await.expect("the task completes"),
             TokenOutcome::OverQuota(retry_after)
         );
-        assert_eq!(test.requests.requested_replicas(), [replica(NEAR)]);
+        assert_eq!(fixture.requests.requested_replicas(), [replica(FIRST)]);
     });
 }
 
 #[test]
-fn a_replica_without_a_part_sends_the_request_to_the_next() {
+fn asks_the_next_replica_if_one_holds_no_part() {
     run(async {
-        let test = TestClient::new(&[NEAR, NEXT]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
-        test.reply(NEAR, 0, TokenVerdict::NoPart);
-        test.wait_until_sent(2).await;
-        test.reply(NEXT, 1, TokenVerdict::Granted(1));
-        assert_eq!(acquiring.await.expect("an answer"), TokenOutcome::Granted);
+        let fixture = TestClient::new(&[FIRST, SECOND]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
+        fixture.reply(FIRST, 0, TokenVerdict::NoPart);
+        fixture.wait_until_sent(2).await;
+        fixture.reply(SECOND, 1, TokenVerdict::Granted(1));
+        assert_eq!(
+            acquiring.await.expect("the task completes"),
+            TokenOutcome::Granted
+        );
         assert_eq!(
-            test.requests.requested_replicas(),
-            [replica(NEAR), replica(NEXT)]
+            fixture.requests.requested_replicas(),
+            [replica(FIRST), replica(SECOND)]
         );
     });
 }
 
 #[test]
-fn a_silent_replica_is_followed_by_the_next_and_its_late_grant_is_kept() {
+fn asks_the_next_replica_after_a_timeout_and_stocks_the_late_grant() {
     run(async {
-        let test = TestClient::new(&[NEAR, NEXT]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(2).await;
+        let fixture = TestClient::new(&[FIRST, SECOND]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(2).await;
+        assert_eq!(
+            fixture.requests.requested_replicas(),
+            [replica(FIRST), replica(SECOND)]
+        );
+        fixture.reply(SECOND, 1, TokenVerdict::Granted(1));
         assert_eq!(
-            test.requests.requested_replicas(),
-            [replica(NEAR), replica(NEXT)]
+            acquiring.await.expect("the task completes"),
+            TokenOutcome::Granted
         );
-        test.reply(NEXT, 1, TokenVerdict::Granted(1));
-        assert_eq!(acquiring.await.expect("an answer"), TokenOutcome::Granted);
-        test.reply(NEAR, 0, TokenVerdict::Granted(1));
-        assert!(test.client.spend(&tenant()));
-        assert!(!test.client.spend(&tenant()));
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(1));
+        assert!(fixture.client.spend(&tenant()));
+        assert!(!fixture.client.spend(&tenant()));
     });
 }
 
 #[test]
-fn the_next_request_does_not_wait_for_a_replica_that_is_silent() {
+fn the_next_request_does_not_wait_for_a_replica_that_timed_out() {
     run(async {
-        let test = TestClient::new(&[NEAR, NEXT]);
-        let first = test.acquire(0);
-        test.wait_until_sent(2).await;
-        test.reply(NEXT, 1, TokenVerdict::Granted(1));
-        first.await.expect("an answer");
-        let second = test.acquire(0);
-        test.wait_until_sent(3).await;
-        assert_eq!(test.requests.requested_replicas()[2], replica(NEXT));
-        test.reply(NEXT, 2, TokenVerdict::Granted(1));
-        assert_eq!(second.await.expect("an answer"), TokenOutcome::Granted);
+        let fixture = TestClient::new(&[FIRST, SECOND]);
+        let first = fixture.acquire(0);
+        fixture.wait_until_sent(2).await;
+        fixture.reply(SECOND, 1, TokenVerdict::Granted(1));
+        first.await.expect("the task completes");
+        let second = fixture.acquire(0);
+        fixture.wait_until_sent(3).await;
+        assert_eq!(fixture.requests.requested_replicas()[2], replica(SECOND));
+        fixture.reply(SECOND, 2, TokenVerdict::Granted(1));
+        assert_eq!(
+            second.await.expect("the task completes"),
+            TokenOutcome::Granted
+        );
     });
 }
 
 #[test]
-fn where_no_replica_answers_the_wait_ends_at_its_limit() {
+fn the_wait_ends_at_the_timeout_if_no_replica_replies() {
     run(async {
-        let test = TestClient::new(&[NEAR, NEXT]);
+        let fixture = TestClient::new(&[FIRST, SECOND]);
         let started = Instant::now();
         assert_eq!(
-            test.acquire(0).await.expect("an answer"),
+            fixture.acquire(0).await.expect("the task completes"),
             TokenOutcome::Undecided
         );
         assert!(started.elapsed() >= TIMEOUT, "{:?}", started.elapsed());
         assert_eq!(
-            test.requests.requested_replicas(),
-            [replica(NEAR), replica(NEXT)]
+            fixture.requests.requested_replicas(),
+            [replica(FIRST), replica(SECOND)]
         );
     });
 }
 
 #[test]
-fn a_connection_that_ends_sends_its_requests_to_the_next_replica() {
+fn asks_the_next_replica_when_a_connection_ends() {
     run(async {
-        let test = TestClient::new(&[NEAR, NEXT]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
-        test.client.remove_replica(replica(NEAR));
-        test.wait_until_sent(2).await;
-        test.reply(NEXT, 1, TokenVerdict::Granted(1));
-        assert_eq!(acquiring.await.expect("an answer"), TokenOutcome::Granted);
-        // What it says after that counts for nothing.
-        test.reply(NEAR, 0, TokenVerdict::Granted(1));
-        assert!(!test.client.spend(&tenant()));
+        let fixture = TestClient::new(&[FIRST, SECOND]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
+        fixture.client.remove_replica(replica(FIRST));
+        fixture.wait_until_sent(2).await;
+        fixture.reply(SECOND, 1, TokenVerdict::Granted(1));
+        assert_eq!(
+            acquiring.await.expect("the task completes"),
+            TokenOutcome::Granted
+        );
+        // A reply after the end of the connection is ignored.
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(1));
+        assert!(!fixture.client.spend(&tenant()));
     });
 }
 
 #[test]
-fn tokens_of_a_caller_that_left_are_kept() {
+fn tokens_granted_after_a_cancellation_are_stocked() {
     run(async {
-        let test = TestClient::new(&[NEAR]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
+        let fixture = TestClient::new(&[FIRST]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
         acquiring.abort();
         assert!(acquiring.await.is_err());
-        test.reply(NEAR, 0, TokenVerdict::Granted(2));
-        assert!(test.client.spend(&tenant()));
-        assert!(test.client.spend(&tenant()));
-        assert!(!test.client.spend(&tenant()));
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(2));
+        assert!(fixture.client.spend(&tenant()));
+        assert!(fixture.client.spend(&tenant()));
+        assert!(!fixture.client.spend(&tenant()));
     });
 }
 
 #[test]
-fn a_token_that_came_just_before_its_caller_left_is_kept() {
+fn a_token_granted_just_before_a_cancellation_is_stocked() {
     run(async {
-        let test = TestClient::new(&[NEAR]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
-        test.reply(NEAR, 0, TokenVerdict::Granted(1));
+        let fixture = TestClient::new(&[FIRST]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(1));
         acquiring.abort();
         assert!(acquiring.await.is_err());
-        assert!(test.client.spend(&tenant()));
+        assert!(fixture.client.spend(&tenant()));
     });
 }
 
 #[test]
 fn tokens_from_before_a_suspension_are_not_spent_after_it() {
     run(async {
-        let test = TestClient::new(&[NEAR]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
-        test.reply(NEAR, 0, TokenVerdict::Granted(3));
-        assert_eq!(acquiring.await.expect("an answer"), TokenOutcome::Granted);
-        test.clock.advance(Duration::from_secs(1));
-        assert!(!test.client.spend(&tenant()));
+        let fixture = TestClient::new(&[FIRST]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(3));
+        assert_eq!(
+            acquiring.await.expect("the task completes"),
+            TokenOutcome::Granted
+        );
+        fixture.clock.advance(Duration::from_secs(1));
+        assert!(!fixture.client.spend(&tenant()));
     });
 }
 
 #[test]
-fn a_request_that_waited_through_a_suspension_does_not_take_its_old_token() {
+fn a_request_that_waited_through_a_suspension_does_not_use_its_old_token() {
     run(async {
-        let test = TestClient::new(&[NEAR]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
-        test.clock.advance(Duration::from_secs(1));
-        test.reply(NEAR, 0, TokenVerdict::Granted(1));
-        assert_eq!(acquiring.await.expect("an answer"), TokenOutcome::Undecided);
-        assert!(!test.client.spend(&tenant()));
+        let fixture = TestClient::new(&[FIRST]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
+        fixture.clock.advance(Duration::from_secs(1));
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(1));
+        assert_eq!(
+            acquiring.await.expect("the task completes"),
+            TokenOutcome::Undecided
+        );
+        assert!(!fixture.client.spend(&tenant()));
     });
 }
 
 #[test]
-fn a_late_grant_is_as_old_as_its_request() {
+fn the_age_of_a_late_grant_counts_from_its_request() {
     run(async {
-        let test = TestClient::new(&[NEAR]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
+        let fixture = TestClient::new(&[FIRST]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
         acquiring.abort();
-        test.clock.advance(Duration::from_millis(400));
-        test.reply(NEAR, 0, TokenVerdict::Granted(1));
-        test.clock.advance(Duration::from_millis(200));
-        assert!(!test.client.spend(&tenant()));
+        fixture.clock.advance(Duration::from_millis(400));
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(1));
+        fixture.clock.advance(Duration::from_millis(200));
+        assert!(!fixture.client.spend(&tenant()));
     });
 }
 
 #[test]
-fn pressure_is_told_and_asks_for_one_token() {
+fn under_overload_one_token_is_requested_with_the_shed_fraction() {
     run(async {
-        let test = TestClient::new(&[NEAR]);
-        let acquiring = test.acquire(300);
-        test.wait_until_sent(1).await;
-        test.reply(NEAR, 0, TokenVerdict::OverFairShare);
+        let fixture = TestClient::new(&[FIRST]);
+        let acquiring = fixture.acquire(300);
+        fixture.wait_until_sent(1).await;
+        fixture.reply(FIRST, 0, TokenVerdict::OverFairShare);
         assert_eq!(
-            acquiring.await.expect("an answer"),
+            acquiring.await.expect("the task completes"),
             TokenOutcome::OverFairShare
         );
-        let sent = test.requests.sent.borrow();
+        let sent = fixture.requests.sent.borrow();
         assert_eq!((sent[0].1.shed_permille, sent[0].1.wanted), (300, 1));
     });
 }
 
 #[test]
-fn a_word_of_another_replica_does_not_count() {
+fn a_reply_of_a_replica_that_was_not_asked_is_ignored() {
     run(async {
-        let test = TestClient::new(&[NEAR]);
-        let acquiring = test.acquire(0);
-        test.wait_until_sent(1).await;
-        test.reply(NEXT, 0, TokenVerdict::OverFairShare);
-        test.reply(NEAR, 0, TokenVerdict::Granted(1));
-        assert_eq!(acquiring.await.expect("an answer"), TokenOutcome::Granted);
+        let fixture = TestClient::new(&[FIRST]);
+        let acquiring = fixture.acquire(0);
+        fixture.wait_until_sent(1).await;
+        fixture.reply(SECOND, 0, TokenVerdict::OverFairShare);
+        fixture.reply(FIRST, 0, TokenVerdict::Granted(1));
+        assert_eq!(
+            acquiring.await.expect("the task completes"),
+            TokenOutcome::Granted
+        );
     });
 }
--- a/crates/sablehaven-gateway/src/quotas/mod.rs
+++ b/crates/sablehaven-gateway/src/quotas/mod.rs
@@ -1,4 +1,4 @@
-//! Tokens of tenants' quotas: what this gateway holds, and asking control replicas for more.
+//! Tokens of tenants' quotas: the tokens that this gateway holds, and the requests for more to control replicas.
 
 mod client;
 mod replicas;
--- a/crates/sablehaven-gateway/src/quotas/replicas.rs
+++ b/crates/sablehaven-gateway/src/quotas/replicas.rs
@@ -1,17 +1,20 @@
-//! Which control replica is asked for a token, and for how long its answer is waited for, as a pure decision.
+//! Selects the control replica to request a token from, and how long to wait for its reply. Does no I/O and
+//! reads no clock.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use sablehaven_types::Distance;
 
-/// Time after which a replica that had no part of the quotas is asked first again: about that of an election.
+/// Time after which a replica that held no part of the quotas is asked first again. It is about the duration of
+/// an election.
 const NO_PART_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Weight of one new answer in the running averages.
+/// Weight of one new sample in the moving averages.
 const EWMA_WEIGHT: f64 = 0.125;
-/// Mean deviations beyond the mean for which an answer is waited for; few answers come later than that.
+/// Number of mean deviations beyond the mean for which a reply is awaited. Few replies arrive later than that.
 const DEVIATION_FACTOR: f64 = 4.0;
 
-/// What is known of the control replicas as givers of tokens. Times are any steady time.
+/// The reply times and failures of each control replica as a source of tokens. All times are readings of one
+/// monotonic clock.
 #[derive(Debug, Default)]
 pub(super) struct TokenReplicas {
     records: BTreeMap<SocketAddr, ReplicaRecord>,
@@ -19,16 +22,17 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ReplicaRecord {
-    /// Mean time of its answers, and mean deviation from that.
+    /// Mean reply time and mean deviation from it, in seconds.
     reply_time_seconds: Option<(f64, f64)>,
-    /// Whether it left a request unanswered for its time, and has answered none since.
+    /// Whether its last request timed out and it has replied to none since.
     has_timed_out: bool,
     no_part_until: Duration,
 }
 
 impl TokenReplicas {
-    /// The replicas in the order in which they are asked: the nearest first, of equally near ones as they are given;
-    /// those that are silent or have no part after all others. Where none has a part, only the first.
+    /// Returns the replicas in the order in which they are asked: the nearest first, equally distant ones in the
+    /// given order. Replicas that have timed out or that hold no part of the quotas come after all others. If
+    /// all of them have recently replied that they hold no part, only the first is returned.
     pub(super) fn ordered(
         &self,
         now: Duration,
@@ -43,19 +47,19 @@
             .iter()
             .all(|(replica, _)| self.lacks_part(now, *replica))
         {
-            // One is enough to see when that changes; the request is refused sooner.
+            // One replica is enough to notice when that changes, and the request is refused sooner.
             ordered.truncate(1);
         }
         ordered
     }
 
-    /// Whether a replica has said lately that it has no part.
+    /// Whether a replica has recently replied that it holds no part of the quotas.
     fn lacks_part(&self, now: Duration, replica: SocketAddr) -> bool {
         let record = self.records.get(&replica);
         record.is_some_and(|record| record.no_part_until > now)
     }
 
-    /// How long an answer is waited for before the next replica is asked too.
+    /// How long to wait for a reply before the next replica is asked as well.
     pub(super) fn max_wait(&self, replica: SocketAddr, distance: Distance) -> Duration {
         let min_wait = min_wait(distance);
         let reply_time_seconds = self
@@ -68,7 +72,7 @@
         min_wait.max(Duration::from_secs_f64(mean + DEVIATION_FACTOR * deviation))
     }
 
-    /// A replica has answered after this time.
+    /// Records that a replica replied after `reply_time`.
     pub(super) fn record_reply(&mut self, replica: SocketAddr, reply_time: Duration) {
         let record = self.records.entry(replica).or_default();
         record.has_timed_out = false;
@@ -80,24 +84,24 @@
         record.reply_time_seconds = Some((mean + EWMA_WEIGHT * (reply_seconds - mean), deviation));
     }
 
-    /// A replica has said that it has no part.
+    /// Records that a replica replied that it holds no part of the quotas.
     pub(super) fn record_no_part(&mut self, now: Duration, replica: SocketAddr) {
         let record = self.records.entry(replica).or_default();
         record.no_part_until = now + NO_PART_RETRY_DELAY;
     }
 
-    /// A replica has not answered in its time.
+    /// Records that a replica did not reply in time.
     pub(super) fn record_timeout(&mut self, replica: SocketAddr) {
         self.records.entry(replica).or_default().has_timed_out = true;
     }
 
-    /// The connection to a replica has ended.
+    /// Removes what is known of a replica whose connection has ended.
     pub(super) fn remove(&mut self, replica: SocketAddr) {
         self.records.remove(&replica);
     }
 }
 
-/// The least time for which an answer is waited for: a few ways there and back, and a turn of a busy process.
+/// Minimum time to wait for a reply: a few network round trips and one scheduling turn of a busy process.
 fn min_wait(distance: Distance) -> Duration {
     match distance {
         Distance::Zone => Duration::from_millis(8),
--- a/crates/sablehaven-gateway/src/sources.rs
+++ b/crates/sablehaven-gateway/src/sources.rs
@@ -1,34 +1,39 @@
-//! From which control replica a gateway fetches routes and the list of servers, as a pure decision.
+//! Selects the control replica from which a gateway fetches the routes and the list of servers. Does no I/O and
+//! reads no clock.
 //!
-//! Every replica says which versions it has, and the gateway fetches what it lacks from the nearest. So one copy
-//! crosses the border of a zone or region for each replica there, and not one for each gateway: with 985 gateways
-//! and 4,082 servers the whole list from the leader alone was 0.24 GB, two thirds of it between regions.
-//! Farther replicas are asked after a moment in which a nearer one mostly has the same, and where the one that was
-//! asked does not answer.
+//! Every replica announces which versions it has, and the gateway fetches what it lacks from the nearest. So one
+//! copy crosses the border of a zone or region for each replica there, rather than one for each gateway. When
+//! the leader alone sent the whole list to 985 gateways, with 4,082 servers on it, this was 0.24 GB, two thirds
+//! of it between regions.
+//!
+//! Farther replicas are asked after a delay, within which a nearer one usually gets the same version, and when
+//! the replica that was asked does not reply.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use sablehaven_types::{Distance, ListingNumber};
 use sablehaven_wire::{GatewayToControl, StateVersions};
 
-/// Time that nearer replicas have before one of the region is asked.
+/// Delay before a replica in another zone of the region is asked, so that a nearer one can get the version
+/// first.
 const REGION_DELAY: Duration = Duration::from_millis(100);
-/// Time that nearer replicas have before one of another region is asked: a few ways there and back, and a small
-/// part of the seconds within which a change must be in force.
+/// Delay before a replica in another region is asked, so that a nearer one can get the version first: a few
+/// network round trips, and a small part of the seconds within which a change must be in force.
 const REMOTE_DELAY: Duration = Duration::from_millis(300);
-/// Time after which another replica is asked too. With a list that is read each second, a server that leaves is
-/// still known within 3 s where three replicas in turn don't answer; one that only sends slowly costs a second copy.
+/// Time after which another replica is asked as well. If the list is read every second, a gateway learns within
+/// 3 s that a server is leaving even if three replicas in turn do not reply. A replica that only sends slowly
+/// costs a second copy.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is to be sent to control replicas, and when to look again.
+/// The messages to send to control replicas, and when to plan again.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct FetchPlan {
     pub(crate) messages: Vec<(SocketAddr, GatewayToControl)>,
-    /// Any steady time.
+    /// A reading of the clock that is passed to [`StateSources::plan`].
     pub(crate) wake_at: Option<Duration>,
 }
 
-/// The connected control replicas, and what is being fetched from them. Times are any steady time.
+/// The connected control replicas, and the fetches from them. All times are readings of one monotonic clock.
 #[derive(Debug, Default)]
 pub(crate) struct StateSources {
     replicas: BTreeMap<SocketAddr, ReplicaState>,
@@ -37,7 +42,7 @@
     listing: StateFetch<ListingNumber>,
 }
 
-/// A connected replica, and what it has.
+/// The distance of a connected replica, and the versions that it has.
 #[derive(Clone, Copy, Debug)]
 struct ReplicaState {
     distance: Distance,
@@ -45,21 +50,21 @@
 }
 
 impl StateSources {
-    /// A replica has connected.
+    /// Adds a connected replica.
     pub(crate) fn add(&mut self, replica: SocketAddr, distance: Distance) {
         let versions = StateVersions::default();
         let state = ReplicaState { distance, versions };
         self.replicas.insert(replica, state);
     }
 
-    /// A connected replica has said what it has.
+    /// Sets the versions that a connected replica has announced.
     pub(crate) fn set_versions(&mut self, replica: SocketAddr, versions: StateVersions) {
         if let Some(state) = self.replicas.get_mut(&replica) {
             state.versions = versions;
         }
     }
 
-    /// The connection to a replica has ended; what it was asked for does not come.
+    /// Removes a replica whose connection has ended. Replies that are still expected from it will not arrive.
     pub(crate) fn remove(&mut self, replica: SocketAddr) {
         self.replicas.remove(&replica);
         if self.preferred == Some(replica) {
@@ -69,12 +74,12 @@
         self.listing.remove(replica);
     }
 
-    /// The replica that tells this gateway who takes part.
+    /// The replica that sends this gateway the members of the deployment.
     pub(crate) fn preferred(&self) -> Option<SocketAddr> {
         self.preferred
     }
 
-    /// The connected replicas, the preferred one first, of the others the nearest.
+    /// The connected replicas: the preferred one first, the others by distance.
     pub(crate) fn by_distance(&self) -> Vec<(SocketAddr, Distance)> {
         let replicas = self.replicas.iter();
         let mut ordered: Vec<(SocketAddr, Distance)> = replicas
@@ -84,7 +89,8 @@
         ordered
     }
 
-    /// What to do, where the gateway has `held`; `draw` (0 to 1) decides among equally near replicas.
+    /// Returns what to send, given the versions that the gateway holds. `random`, uniform from 0 to 1, selects
+    /// among equally distant replicas.
     pub(crate) fn plan(&mut self, now: Duration, held: StateVersions, random: f64) -> FetchPlan {
         let mut plan = FetchPlan::default();
         self.update_preferred(random, &mut plan);
@@ -110,7 +116,8 @@
         versions.collect()
     }
 
-    /// Prefers the nearest replica, and stays with it while none is nearer.
+    /// Makes the nearest replica the preferred one. The preferred replica changes only when it disconnects or a
+    /// nearer one connects.
     fn update_preferred(&mut self, random: f64, plan: &mut FetchPlan) {
         let nearest = self.replicas.values().map(|state| state.distance).min();
         let distance = |replica| self.replicas.get(&replica).map(|state| state.distance);
@@ -151,7 +158,7 @@
     }
 }
 
-/// What a connected replica has of one kind of state.
+/// The version that a connected replica has of one kind of state (routes or list of servers).
 #[derive(Clone, Copy, Debug)]
 struct ReplicaVersion<Version> {
     replica: SocketAddr,
@@ -159,25 +166,25 @@
     version: Version,
 }
 
-/// What to do about one kind of state.
+/// The next step of fetching one kind of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FetchStep {
-    /// Nobody has anything newer.
+    /// No replica has a newer version.
     Nothing,
-    /// Ask this replica, and look again then.
+    /// Ask this replica, and plan again at this time.
     Fetch(SocketAddr, Duration),
-    /// Look again then.
+    /// Plan again at this time.
     WaitUntil(Duration),
 }
 
-/// The fetching of one kind of state.
+/// The progress of fetching one kind of state.
 #[derive(Debug, Default)]
 struct StateFetch<Version> {
-    /// The version that the gateway had when it was last looked at.
+    /// The version that the gateway held at the last call of `next`.
     held: Version,
-    /// Since when something newer than that has been offered.
+    /// When a version newer than `held` was first announced.
     outdated_since: Option<Duration>,
-    /// Replicas that were asked for something newer than that, and when the last of them was.
+    /// Replicas that were asked for a version newer than `held`, and when the last of them was asked.
     requested_from: Vec<SocketAddr>,
     requested_at: Option<Duration>,
 }
@@ -218,7 +225,7 @@
         let Some(distance) = candidates.clone().map(|offered| offered.distance).min() else {
             return FetchStep::Nothing;
         };
-        // Only where a nearer one is connected is there something to wait for.
+        // The delay is useful only if a nearer replica is connected.
         let is_nearest = versions.iter().all(|offered| offered.distance >= distance);
         let request_at = outdated_since
             + if is_nearest {
@@ -239,7 +246,8 @@
         FetchStep::Fetch(replica, now + FETCH_TIMEOUT)
     }
 
-    /// The connection to a replica has ended. If it was the one that is waited for, the next is asked at once.
+    /// Removes a replica whose connection has ended. If its reply was the one being waited for, the next replica
+    /// is asked at once.
     fn remove(&mut self, replica: SocketAddr) {
         if self.requested_from.last() == Some(&replica) {
             self.requested_at = None;
--- a/crates/sablehaven-gateway/src/sources/tests.rs
+++ b/crates/sablehaven-gateway/src/sources/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of where state is fetched from.
+//! Tests of the choice of the replica from which state is fetched.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use super::{FETCH_TIMEOUT, REGION_DELAY, REMOTE_DELAY, StateSources};
 
-const NOTHING: StateVersions = StateVersions {
+const NO_VERSIONS: StateVersions = StateVersions {
     routes: 0,
     listing: ListingNumber {
         term: 0,
@@ -15,20 +15,20 @@
     },
 };
 
-fn replica(number: u16) -> SocketAddr {
-    ([127, 0, 0, 1], number).into()
+fn replica(port: u16) -> SocketAddr {
+    ([127, 0, 0, 1], port).into()
 }
 
-/// How far a replica of a place is from a gateway in region `north`, zone `a`.
+/// The distance between a replica in this region and zone and a gateway in region `north`, zone `a`.
 fn distance(region: &str, zone: &str) -> Distance {
-    let place = |region: &str, zone: &str| Placement {
+    let placement = |region: &str, zone: &str| Placement {
         region: region.into(),
         zone: zone.into(),
     };
-    Distance::between(&place("north", "a"), &place(region, zone))
+    Distance::between(&placement("north", "a"), &placement(region, zone))
 }
 
-/// Replica 1 is in the gateway's zone, 2 in its region, 3 and 4 in other regions.
+/// Four connected replicas: replica 1 is in the gateway's zone, 2 in its region, 3 and 4 in other regions.
 fn sources() -> StateSources {
     let mut sources = StateSources::default();
     sources.add(replica(1), distance("north", "a"));
@@ -41,18 +41,18 @@
 fn routes(version: u64) -> StateVersions {
     StateVersions {
         routes: version,
-        ..NOTHING
+        ..NO_VERSIONS
     }
 }
 
 fn listing(term: u64, reading: u64) -> StateVersions {
     StateVersions {
         listing: ListingNumber { term, reading },
-        ..NOTHING
+        ..NO_VERSIONS
     }
 }
 
-/// The replicas that are asked for something now.
+/// The replicas that the plan asks for state at this time.
 fn asked(sources: &mut StateSources, now: Duration, held: StateVersions) -> Vec<u16> {
     let plan = sources.plan(now, held, 0.0);
     let fetches = plan.messages.iter().filter(|(_, message)| {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_replica_of_the_gateway_s_zone_is_asked_at_once() {
+fn a_replica_in_the_zone_is_asked_at_once() {
     let mut sources = sources();
     sources.set_versions(replica(1), routes(7));
     let plan = sources.plan(ms(5), routes(6), 0.0);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn far_replicas_are_asked_for_nothing_that_a_near_one_has_a_moment_later() {
+fn a_remote_replica_is_not_asked_if_a_nearer_one_has_the_version_in_time() {
     let mut sources = sources();
     sources.set_versions(replica(3), routes(7));
     let plan = sources.plan(ms(0), routes(6), 0.0);
@@ -87,15 +87,15 @@
     sources.set_versions(replica(1), routes(7));
     assert_eq!(asked(&mut sources, ms(30), routes(6)), [1]);
     assert_eq!(asked(&mut sources, ms(40), routes(7)), [0_u16; 0]);
-    // The time counts anew for the next routes.
+    // The delay starts again for the next version of the routes.
     sources.set_versions(replica(3), routes(8));
-    let later = 2 * REMOTE_DELAY;
-    let plan = sources.plan(later, routes(7), 0.0);
-    assert_eq!(plan.wake_at, Some(later + REMOTE_DELAY));
+    let second_start = 2 * REMOTE_DELAY;
+    let plan = sources.plan(second_start, routes(7), 0.0);
+    assert_eq!(plan.wake_at, Some(second_start + REMOTE_DELAY));
 }
 
 #[test]
-fn a_far_replica_is_asked_when_no_nearer_one_has_it_after_a_while() {
+fn a_remote_replica_is_asked_after_the_delay_if_no_nearer_one_has_the_version() {
     let mut sources = sources();
     sources.set_versions(replica(3), routes(7));
     assert_eq!(asked(&mut sources, ms(0), routes(6)), [0_u16; 0]);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_replica_of_the_region_is_asked_before_others_are() {
+fn a_replica_in_the_region_is_asked_before_remote_ones() {
     let mut sources = sources();
     sources.set_versions(replica(2), routes(7));
     sources.set_versions(replica(3), routes(7));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn nobody_is_waited_for_where_no_nearer_replica_is_connected() {
+fn a_remote_replica_is_asked_at_once_if_no_nearer_one_is_connected() {
     let mut sources = sources();
     sources.remove(replica(1));
     sources.remove(replica(2));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn one_that_does_not_answer_is_passed_over_and_asked_again_when_all_were() {
+fn a_replica_that_does_not_reply_is_asked_again_after_all_others() {
     let mut sources = sources();
     for number in 1..=3 {
         sources.set_versions(replica(number), listing(2, 1));
@@ -130,26 +130,26 @@
     let mut order = Vec::new();
     let mut now = ms(0);
     for _ in 0..4 {
-        order.extend(asked(&mut sources, now, NOTHING));
-        assert_eq!(asked(&mut sources, now + ms(1), NOTHING), [0_u16; 0]);
+        order.extend(asked(&mut sources, now, NO_VERSIONS));
+        assert_eq!(asked(&mut sources, now + ms(1), NO_VERSIONS), [0_u16; 0]);
         now += FETCH_TIMEOUT;
     }
     assert_eq!(order, [1, 2, 3, 1]);
 }
 
 #[test]
-fn the_next_is_asked_at_once_when_the_one_that_was_asked_is_lost() {
+fn the_next_replica_is_asked_at_once_when_the_asked_one_disconnects() {
     let mut sources = sources();
     sources.set_versions(replica(1), listing(2, 1));
     sources.set_versions(replica(2), listing(2, 1));
-    assert_eq!(asked(&mut sources, ms(0), NOTHING), [1]);
+    assert_eq!(asked(&mut sources, ms(0), NO_VERSIONS), [1]);
     sources.remove(replica(1));
-    assert_eq!(asked(&mut sources, ms(1), NOTHING), [2]);
+    assert_eq!(asked(&mut sources, ms(1), NO_VERSIONS), [2]);
 }
 
-/// Replica 1 answered after it had been given up, with less than replica 2 has.
+/// Replica 1 replies after its timeout, and with an older version than replica 2 has.
 #[test]
-fn what_is_still_missing_after_an_answer_is_fetched_anew_at_once() {
+fn a_version_that_is_still_missing_after_a_reply_is_fetched_at_once() {
     let mut sources = sources();
     sources.set_versions(replica(1), listing(2, 2));
     sources.set_versions(replica(2), listing(2, 3));
@@ -162,9 +162,9 @@
     assert!(plan.messages.contains(&fetch), "{plan:?}");
 }
 
-/// Replicas 3 and 4 have gone on while 1 and 2 are cut off from them, but not from the gateway.
+/// Replicas 3 and 4 have newer routes, while 1 and 2 are cut off from them but not from the gateway.
 #[test]
-fn replicas_that_are_left_behind_do_not_hold_a_change_up() {
+fn replicas_that_are_behind_do_not_delay_a_change() {
     let mut sources = sources();
     sources.set_versions(replica(1), routes(7));
     sources.set_versions(replica(2), routes(7));
@@ -178,18 +178,19 @@
     );
 }
 
-/// The sum over all gateways of a fleet: a change and a first list cross regions for none of them while every zone has
-/// a replica, however many gateways there are.
+/// As long as every zone has a replica, neither a change nor a first list is fetched across regions, however
+/// many gateways there are.
 #[test]
 fn a_large_fleet_fetches_nothing_across_regions() {
     for gateway in 0..1_000 {
         let mut sources = sources();
         let now = ms(gateway);
-        // The leader is far; the replica of the zone has it from there after 12 ms.
+        // The leader is in another region. The replica in the gateway's zone gets the version from it after 12
+        // ms.
         sources.set_versions(replica(3), listing(2, 1));
-        assert_eq!(asked(&mut sources, now, NOTHING), [0_u16; 0]);
+        assert_eq!(asked(&mut sources, now, NO_VERSIONS), [0_u16; 0]);
         sources.set_versions(replica(1), listing(2, 1));
-        assert_eq!(asked(&mut sources, now + ms(12), NOTHING), [1]);
+        assert_eq!(asked(&mut sources, now + ms(12), NO_VERSIONS), [1]);
         assert_eq!(asked(&mut sources, now + ms(80), listing(2, 1)), [0_u16; 0]);
     }
 }
@@ -198,7 +199,7 @@
 fn the_nearest_connected_replica_is_preferred_and_kept() {
     let mut sources = StateSources::default();
     let preferred = |sources: &mut StateSources, random: f64| {
-        let plan = sources.plan(ms(0), NOTHING, random);
+        let plan = sources.plan(ms(0), NO_VERSIONS, random);
         let each = plan.messages.into_iter();
         each.map(|(replica, message)| (replica.port(), message))
             .collect::<Vec<_>>()
@@ -209,8 +210,8 @@
     sources.add(replica(4), distance("west", "d"));
     assert_eq!(preferred(&mut sources, 0.9), []);
     sources.add(replica(1), distance("north", "a"));
-    let moved = [(3, prefer(false)), (1, prefer(true))];
-    assert_eq!(preferred(&mut sources, 0.0), moved);
+    let expected = [(3, prefer(false)), (1, prefer(true))];
+    assert_eq!(preferred(&mut sources, 0.0), expected);
     sources.remove(replica(1));
     assert_eq!(preferred(&mut sources, 0.9), [(4, prefer(true))]);
 }
