--- a/crates/sablehaven-gateway/src/config.rs
+++ b/crates/sablehaven-gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway.
+//! The settings of a gateway and their validation.
 
 use std::{
     collections::BTreeMap,
@@ -17,57 +17,58 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// The deployment's name; control replicas of others are refused.
+    /// The deployment's name. The gateway refuses control replicas of other deployments.
     pub deployment: String,
-    /// Where callers are accepted.
+    /// Address on which callers' requests are accepted.
     pub listen: SocketAddr,
-    /// Where `GET /ready` is answered; without it nowhere.
+    /// Address on which `GET /ready` is served; if absent, it is not served.
     pub ready_listen: Option<SocketAddr>,
-    /// The address that callers are told of, if it is not `listen`.
+    /// The address that is advertised to callers, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The IP number from which outgoing connections are made; where it is absent the system chooses.
+    /// Local IP address of outgoing connections; if absent, the system chooses it.
     pub connect_from: Option<IpAddr>,
-    /// Where the gateway runs.
+    /// The region and zone in which the gateway runs.
     pub placement: Placement,
-    /// The region of each zone, so that servers of the own region are told from farther ones.
+    /// The region of each zone. It distinguishes servers in the gateway's own region from those in other
+    /// regions.
     pub regions: BTreeMap<ZoneName, RegionName>,
-    /// Internal addresses of control replicas; the others are learned from them.
+    /// Internal addresses of control replicas. The gateway learns the addresses of further replicas from these.
     pub controls: Vec<SocketAddr>,
-    /// Bounds of extra attempts, for all gateways together.
+    /// Limits of extra attempts, over all gateways together.
     pub retries: RetryBounds,
-    /// Time that an answer takes back to its caller, with some room: an answer that is to be in time
-    /// leaves so long before its aim.
+    /// Time that a response takes to reach its caller, plus a reserve. A response is sent this long before its
+    /// latency target.
     pub answer_margin_ms: u64,
-    /// The most that an answer leaves before its aim, where the gateway sees that it acts later than planned;
-    /// `answer_margin_ms` or less adapts nothing.
+    /// Maximum time before the latency target at which a response is sent, if the gateway observes that it acts
+    /// later than planned. At `answer_margin_ms` or less the margin is not adapted.
     pub max_answer_margin_ms: u64,
-    /// Time for which a stopping gateway still takes requests: callers may hold its address for so
+    /// Time for which a stopping gateway still accepts requests, since callers may keep its address for this
     /// long.
     pub stop_linger_ms: u64,
-    /// Time after which a stopping gateway ends, whatever is still open.
+    /// Time after which a stopping gateway terminates, even if requests are still open.
     pub stop_limit_ms: u64,
-    /// Requests that are answered at the same time; more are refused, the least urgent first.
+    /// Maximum number of open requests. Beyond it requests are refused, the least urgent first.
     pub max_requests: usize,
-    /// The largest share of a kind of request that is refused while most of its answers are late or none,
-    /// 0 to 0.9; 0 refuses none for that.
+    /// Maximum fraction (0 to 0.9) of the requests of one kind that is refused while most of their responses are
+    /// late or missing. At 0 no request is refused for this reason.
     pub max_throttled: f64,
-    /// How far tenants' requests may go beyond their quotas, over all gateways together.
+    /// How far tenants' requests may exceed their quotas, over all gateways together.
     pub quotas: QuotaTolerance,
 }
 
-/// Bounds of extra attempts, for all gateways together: in any window, attempts beyond the first of
-/// each request stay under `ratio` times the requests plus `slack`.
+/// Limits of extra attempts, over all gateways together: within any window, the attempts beyond the first of
+/// each request stay below `ratio` times the number of requests plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetryBounds {
-    /// Extra attempts a request.
+    /// Extra attempts per request.
     pub ratio: f64,
-    /// Extra attempts a window beyond that, over all gateways.
+    /// Additional extra attempts per window, over all gateways.
     pub slack: f64,
-    /// The window's length.
+    /// Length of the window, in milliseconds.
     pub window_ms: u64,
-    /// Time after its start in which a gateway uses nothing of the slack: an earlier start of it may have, and
-    /// that counts for a window.
+    /// Time after its start during which a gateway uses none of the slack. Before a restart it may already have
+    /// used some, and that counts until the window has passed.
     pub slack_pause_ms: u64,
 }
 
@@ -109,25 +110,25 @@
 }
 
 impl Config {
-    /// Every setting that cannot be used; keys start with `prefix`.
+    /// Returns an error for each invalid setting. The keys in the errors start with `prefix`.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
         let mut checks = SettingChecks::new(prefix);
         checks.name("deployment", &self.deployment);
         checks.addresses("controls", &self.controls);
         let ratio = self.retries.ratio;
-        let holds = (0.0..=1.0).contains(&ratio);
-        checks.require("retries.ratio", holds, ratio, "0 to 1");
+        let is_valid = (0.0..=1.0).contains(&ratio);
+        checks.require("retries.ratio", is_valid, ratio, "0 to 1");
         let slack = self.retries.slack;
-        let holds = slack.is_finite() && slack >= 0.0;
-        checks.require("retries.slack", holds, slack, "0 or more");
+        let is_valid = slack.is_finite() && slack >= 0.0;
+        checks.require("retries.slack", is_valid, slack, "0 or more");
         checks.range("retries.window_ms", self.retries.window_ms, 100..=600_000);
         let limit = self.stop_limit_ms;
-        let holds = limit >= self.stop_linger_ms;
-        checks.require("stop_limit_ms", holds, limit, "at least stop_linger_ms");
+        let is_valid = limit >= self.stop_linger_ms;
+        checks.require("stop_limit_ms", is_valid, limit, "at least stop_linger_ms");
         checks.at_least("max_requests", self.max_requests as u64, 1);
-        let share = self.max_throttled;
-        let holds = (0.0..=0.9).contains(&share);
-        checks.require("max_throttled", holds, share, "0 to 0.9");
+        let fraction = self.max_throttled;
+        let is_valid = (0.0..=0.9).contains(&fraction);
+        checks.require("max_throttled", is_valid, fraction, "0 to 0.9");
         checks.into_errors()
     }
 
--- a/crates/sablehaven-gateway/src/control_link.rs
+++ b/crates/sablehaven-gateway/src/control_link.rs
@@ -141,8 +141,8 @@
             }
             Some(message) = queue.recv() => Some(message),
             () = std::future::ready(()), if unsent_reports.is_some() => {
-                let unsent_reports = unsent_reports.take().filter(|unsent_reports| !unsent_reports.is_empty());
-                unsent_reports.map(GatewayToControl::Crashes)
+                let reports = unsent_reports.take().filter(|reports| !reports.is_empty());
+                reports.map(GatewayToControl::Crashes)
             }
             report = reports.recv() => match report {
                 Ok(report) => Some(GatewayToControl::Crashes(vec![report])),
--- a/crates/sablehaven-gateway/src/gateway.rs
+++ b/crates/sablehaven-gateway/src/gateway.rs
@@ -34,10 +34,11 @@
     throttle::RequestThrottle,
 };
 
-/// Reports that a connection to a control replica may be behind; one that is further behind begins anew.
+/// Number of crash reports by which a connection to a control replica may lag behind. If it lags further, all
+/// known reports are sent on it again.
 const MAX_UNSENT_REPORTS: usize = 64;
 
-/// Steady time since the start.
+/// A monotonic clock that starts at zero.
 pub(crate) struct Clock {
     started_at: Instant,
 }
@@ -63,9 +64,9 @@
     pub(crate) admission: Admission,
     pub(crate) throttle: RefCell<RequestThrottle>,
     pub(crate) resends: RefCell<ResendDetector>,
-    /// Requests under which servers ended.
+    /// Requests during which servers crashed.
     pub(crate) crashes: Rc<RefCell<CrashTable>>,
-    /// What this gateway sees of such requests, for the control replicas.
+    /// Sends what this gateway observes of such requests to the connections to control replicas.
     crash_reports: broadcast::Sender<CrashReport>,
     pub(crate) load: LoadMeter,
     pub(crate) signals: ServerSignals,
@@ -74,11 +75,11 @@
     advertised_address: SocketAddr,
     is_stopping: Cell<bool>,
     status: watch::Sender<GatewayStatus>,
-    /// The connections to control replicas, and what is fetched on them.
+    /// The connections to the control replicas, over which state is fetched.
     pub(crate) control_links: ControlLinks,
-    /// Tokens of tenants' quotas.
+    /// The client for tokens of tenants' quotas.
     pub(crate) tokens: TokenClient<SuspensionClock>,
-    /// Internal addresses of control replicas: those of the settings and every one learned since.
+    /// Internal addresses of control replicas: those from the settings and those learned since.
     controls: watch::Sender<BTreeSet<SocketAddr>>,
 }
 
@@ -118,20 +119,20 @@
         }
     }
 
-    /// The routes in force; `None` before the first.
+    /// The routes in force; `None` before the first version arrives.
     pub(crate) fn routes(&self) -> Option<Rc<RouteTable>> {
         self.routes.borrow().clone()
     }
 
-    /// What the version in force says of a caller who was looked up in it or an earlier one.
+    /// Whether a caller that was identified by the version in force or an earlier one is still valid.
     pub(crate) fn caller_validity(&self, caller: &Caller) -> CallerValidity {
         let routes = self.routes.borrow();
         let validity = routes.as_ref().map(|table| caller.check_validity(table));
-        // There are always routes once a caller was looked up in them.
+        // There are always routes once a caller has been identified by them.
         validity.unwrap_or(CallerValidity::Valid)
     }
 
-    /// The limits in force.
+    /// The limits on callers that are in force.
     pub(crate) fn limits(&self) -> CallerLimits {
         let routes = self.routes.borrow();
         routes
@@ -139,7 +140,7 @@
             .map_or_else(CallerLimits::default, |table| table.document().limits)
     }
 
-    /// The versions of routes and list in force.
+    /// The versions of the routes and of the list of servers in force.
     pub(crate) fn versions(&self) -> StateVersions {
         let routes = self.routes.borrow();
         StateVersions {
@@ -148,37 +149,40 @@
         }
     }
 
-    /// Whether callers' requests are taken.
+    /// Whether this gateway accepts callers' requests.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping.get() && self.has_routes()
     }
 
-    /// Whether there are routes, and a list of servers was ever read.
+    /// Whether there are routes, and the list of servers has been read at least once.
     pub(crate) fn has_routes(&self) -> bool {
         self.routes.borrow().is_some() && self.registry.number() > ListingNumber::default()
     }
 
-    /// Puts routes in force. Only forward: a version that is not newer is ignored.
+    /// Applies a version of the routes. A version that is not newer than the one in force is ignored.
     pub(crate) fn apply_routes(&self, document: Arc<RouteDocument>) {
-        let former = self.routes();
-        let held = former.as_ref().map_or(0, |table| table.document().version);
-        if former.is_some() && document.version <= held {
+        let previous = self.routes();
+        let held = previous
+            .as_ref()
+            .map_or(0, |table| table.document().version);
+        if previous.is_some() && document.version <= held {
             return;
         }
-        log::info!(event = "routes_in_force", version = document.version, former = held; "routes");
+        log::info!(event = "routes_in_force", version = document.version, former = held; "applied routes");
         let version = i64::try_from(document.version).unwrap_or(i64::MAX);
         self.metrics.routes_version.set(version);
         self.registry.take_routes(&document);
-        let table = RouteTable::new(document, former.as_deref());
+        let table = RouteTable::new(document, previous.as_deref());
         *self.routes.borrow_mut() = Some(Rc::new(table));
         self.refresh_status();
     }
 
-    /// Takes what a version of the routes says otherwise than the one that was in force when it was asked for. Where another
-    /// replica's answer has come first, what is still missing is fetched anew.
+    /// Applies a change of the routes: the differences between the version that was in force when the change was
+    /// requested and a newer version. If a reply of another replica has been applied in the meantime, the change
+    /// no longer fits and is ignored, and what is still missing is fetched again.
     pub(crate) fn apply_routes_change(&self, change: &RoutesChange) {
         let Some(held) = self.routes() else {
-            log::info!(event = "routes_change_ignored", base = change.base, held = 0; "routes");
+            log::info!(event = "routes_change_ignored", base = change.base, held = 0; "ignored a change of the routes");
             return;
         };
         let held = held.document();
@@ -189,12 +193,12 @@
             Some(document) => self.apply_routes(Arc::new(document)),
             None => log::info!(
                 event = "routes_change_ignored", base = change.base, held = held.version;
-                "routes"
+                "ignored a change of the routes"
             ),
         }
     }
 
-    /// Takes a reading of the list of servers.
+    /// Applies a reading of the list of servers. A reading that is not newer than the one in force is ignored.
     pub(crate) fn apply_listing(&self, listing: &ServerListing) {
         if !self.registry.take_listing(listing) {
             return;
@@ -206,13 +210,14 @@
         log::info!(
             event = "listing_in_force", term = number.term, reading = number.reading,
             servers = listing.servers.len();
-            "list of servers"
+            "applied the list of servers"
         );
         self.refresh_status();
     }
 
-    /// Takes what a reading says otherwise than the one that was in force when it was asked for. Where another replica's
-    /// answer has come first, what is still missing is fetched anew.
+    /// Applies a change of the list of servers: the differences between the reading that was in force when the
+    /// change was requested and a newer reading. If a reply of another replica has been applied in the meantime,
+    /// the change no longer fits and is ignored, and what is still missing is fetched again.
     pub(crate) fn apply_listing_change(&self, change: &ListingChange) {
         let held = self.registry.number();
         if change.number <= held {
@@ -223,7 +228,7 @@
                 event = "listing_change_ignored", base_term = change.base.term,
                 base_reading = change.base.reading, held_term = held.term,
                 held_reading = held.reading;
-                "list of servers"
+                "ignored a change of the list of servers"
             );
             return;
         }
@@ -233,25 +238,25 @@
         log::info!(
             event = "listing_in_force", term = number.term, reading = number.reading,
             servers = servers, changed = change.changed.len(), gone = change.gone.len();
-            "list of servers"
+            "applied the list of servers"
         );
         self.refresh_status();
     }
 
-    /// Takes the evacuated zones. Only forward, as routes.
+    /// Applies the evacuated zones. A revision that is not newer than the one in force is ignored.
     pub(crate) fn apply_evacuation(&self, evacuated: EvacuatedZones) {
         let revision = evacuated.revision;
         let zones: Vec<&str> = evacuated.zones.iter().map(ZoneName::as_str).collect();
         let zones = zones.join(", ");
         if self.registry.take_evacuation(evacuated) {
-            log::info!(event = "evacuation_in_force", revision = revision, zones = zones.as_str(); "evacuated zones");
+            log::info!(event = "evacuation_in_force", revision = revision, zones = zones.as_str(); "applied the evacuated zones");
             self.refresh_status();
         }
     }
 
-    /// Takes who takes part.
+    /// Applies the members of the deployment.
     pub(crate) fn apply_members(&self, members: DeploymentMembers) {
-        // A replica that has just started has counted nobody yet.
+        // A replica that has just started does not know of any gateway yet.
         if !members.gateways.is_empty() {
             self.registry
                 .take_gateways(members.gateways, members.is_sharer);
@@ -259,24 +264,24 @@
         self.add_controls(members.controls);
     }
 
-    /// Tells the control replicas what was newly seen of a request's servers, if anything.
+    /// Reports what was newly observed of the servers of a request to the control replicas, if anything.
     pub(crate) fn report_crashes(&self, fingerprint: RequestFingerprint) {
         let new_report = self
             .crashes
             .borrow_mut()
             .take_unsent_report(self.clock.now(), fingerprint);
         if let Some(report) = new_report {
-            // Without any connection nobody hears it; the next one begins with all that is known.
+            // Sending fails if there is no connection. The next connection starts with all known reports.
             let _ = self.crash_reports.send(report);
         }
     }
 
-    /// What is reported from now on.
+    /// Subscribes to the crash reports that are made from now on.
     pub(crate) fn subscribe_crash_reports(&self) -> broadcast::Receiver<CrashReport> {
         self.crash_reports.subscribe()
     }
 
-    /// Takes what other gateways have seen of requests under which servers ended.
+    /// Applies reports of other gateways about requests during which servers crashed.
     pub(crate) fn apply_crash_reports(&self, reports: &[CrashReport]) {
         let now = self.clock.now();
         let mut crashes = self.crashes.borrow_mut();
@@ -286,7 +291,7 @@
         }
     }
 
-    /// Adds addresses of control replicas to those that are known.
+    /// Adds addresses of control replicas to the known ones.
     pub(crate) fn add_controls(&self, controls: impl IntoIterator<Item = SocketAddr>) {
         self.controls.send_if_modified(|known| {
             let previous_count = known.len();
@@ -303,7 +308,8 @@
         self.status.subscribe()
     }
 
-    /// Begins a planned stop: not ready, and every answer asks callers to close.
+    /// Begins a graceful stop: the gateway is not ready any more, and every response asks the caller to close
+    /// its connection.
     pub(crate) fn begin_stop(&self) {
         self.is_stopping.set(true);
         self.signals.leaving.cancel();
--- a/crates/sablehaven-gateway/src/lib.rs
+++ b/crates/sablehaven-gateway/src/lib.rs
@@ -1,20 +1,26 @@
-//! The gateway: callers reach it over the network, and it answers from the servers of a service or
-//! from one server of every shard.
+//! The gateway: accepts requests from callers over the network and forwards each to one server of a service, or
+//! to one server of every shard of it.
 //!
-//! Everything runs on one thread, in a [`tokio::task::LocalSet`]: a gateway's machine gives it a
-//! fraction of a core, and state without locks is smaller and simpler.
+//! Everything runs on one thread, in a [`tokio::task::LocalSet`]. A gateway has only a fraction of a core on its
+//! machine, and state without locks is smaller and simpler.
 //!
-//! - [`names`]: what headers are called; a deployment may call them otherwise.
-//! - `control_link`, `control_links`, `sources`: routes and the list of servers from the control replicas.
-//! - `route_table`: which route a request takes.
-//! - `tenant_table`, `caller`: whose request it is; `serving_regions`: where it may be served.
-//! - `servers`: connections, health and choice of servers; the budget of extra attempts.
-//! - `request`: the way of one request.
-//! - `crashes`: requests that take their servers down.
-//! - `load`: how much there is to do, for the control replicas.
-//! - `quotas`: tokens of tenants' quotas, and asking control replicas for them.
-//! - `answer_margin`: how long before its aim an answer must leave.
-//! - `admission`, `throttle`, `resends`: who is refused under pressure.
+//! - [`names`]: names of the HTTP headers, which a deployment may change.
+//! - `control_link`, `control_links`, `sources`: connections to the control replicas, from which the gateway
+//!   fetches the routes and the list of servers.
+//! - `route_table`: finds the route of a request.
+//! - `tenant_table`, `caller`: identify the tenant of a request.
+//! - `serving_regions`: the regions in which a request may be served.
+//! - `servers`: connections to servers, their health, the choice among them, and the budget of extra attempts.
+//! - `request`: handles one request from its arrival to its response.
+//! - `crashes`: quarantines requests that crash servers.
+//! - `load`: measures the gateway's load for the control replicas.
+//! - `quotas`: tokens of tenants' quotas, acquired from control replicas.
+//! - `answer_margin`: how long before its latency target a response must be sent.
+//! - `admission`, `throttle`, `urgency`: decide which requests are refused under overload.
+//! - `resends`: tells callers' resends from their first tries.
+//! - `pace`: estimates the service time of a query from the parts that have arrived.
+//! - `metrics`: the metrics of a gateway in the Prometheus text format.
+//! - `role`: starts and stops a gateway.
 
 mod admission;
 mod answer_margin;
--- a/crates/sablehaven-gateway/src/load.rs
+++ b/crates/sablehaven-gateway/src/load.rs
@@ -1,4 +1,4 @@
-//! How much a gateway has to do, as it tells the control replicas.
+//! Measures the load of a gateway, which it reports to the control replicas.
 
 use std::{
     cell::{Cell, RefCell},
@@ -8,11 +8,12 @@
 
 use sablehaven_wire::GatewayLoad;
 
-/// Readings that a load spans: with one each half second, the last second. Long enough that a few requests
-/// at once don't look like a busy gateway, short enough that a burst shows before callers renew what they know.
+/// Number of samples that the load covers: with a sample every half second, the last second. This is long enough
+/// that a few simultaneous requests do not look like a busy gateway, and short enough that a burst shows before
+/// callers refresh what they know of the gateways.
 const MAX_SAMPLES: usize = 3;
 
-/// Sums since the start, at one moment.
+/// Totals since the start, at one point in time.
 #[derive(Clone, Copy, Debug)]
 struct LoadSample {
     recorded_at: Duration,
@@ -20,7 +21,7 @@
     attempts: u64,
 }
 
-/// Measures the load between the readings that it is given.
+/// Computes the load between the recorded samples.
 #[derive(Debug, Default)]
 pub(crate) struct LoadMeter {
     attempts: Cell<u64>,
@@ -33,7 +34,8 @@
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// Takes a reading: `busy` is how long the gateway has worked since its start, `now` any steady time.
+    /// Records a sample. `busy` is the total time that the gateway has worked since its start, and `now` is a
+    /// reading of a monotonic clock.
     pub(crate) fn record(&self, now: Duration, busy: Duration) {
         let mut samples = self.samples.borrow_mut();
         samples.push_back(LoadSample {
@@ -46,7 +48,7 @@
         }
     }
 
-    /// The load over the readings that are held; none before there are two.
+    /// The load over the recorded samples; zero with fewer than two samples.
     pub(crate) fn load(&self) -> GatewayLoad {
         let samples = self.samples.borrow();
         let (Some(first), Some(last)) = (samples.front(), samples.back()) else {
--- a/crates/sablehaven-gateway/src/load/tests.rs
+++ b/crates/sablehaven-gateway/src/load/tests.rs
@@ -7,7 +7,7 @@
 const HALF_SECOND: Duration = Duration::from_millis(500);
 
 #[test]
-fn nothing_is_told_before_there_are_two_readings() {
+fn the_load_is_zero_before_the_second_sample() {
     let meter = LoadMeter::default();
     assert_eq!(meter.load().busy_permille, 0);
     meter.record(HALF_SECOND, HALF_SECOND);
@@ -27,7 +27,7 @@
     }
     assert_eq!(meter.load().busy_permille, 500);
     assert_eq!(meter.load().attempts, 2);
-    // Two quiet readings later nothing of it is left.
+    // After two idle intervals the load is zero.
     for sample in 3..6 {
         meter.record(HALF_SECOND * sample, busy);
     }
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn a_gateway_that_never_rests_is_wholly_busy() {
+fn the_busy_fraction_is_at_most_one() {
     let meter = LoadMeter::default();
     meter.record(Duration::ZERO, Duration::ZERO);
-    // The two clocks are read one after the other.
+    // The busy time may exceed the elapsed time, since the two clocks are read one after the other.
     meter.record(HALF_SECOND, HALF_SECOND + Duration::from_millis(1));
     assert_eq!(meter.load().busy_permille, 1_000);
 }
--- a/crates/sablehaven-gateway/src/metrics.rs
+++ b/crates/sablehaven-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts, in Prometheus text.
+//! The metrics of a gateway, in the Prometheus text format.
 
 use prometheus_client::{
     encoding::{EncodeLabelSet, text::encode},
@@ -11,54 +11,54 @@
     registry::Registry,
 };
 
-/// The shortest time told apart, in seconds.
+/// Upper bound of the first bucket for request durations, in seconds.
 const MIN_DURATION_SECONDS: f64 = 0.004;
-/// The shortest wait for a token told apart, in seconds.
+/// Upper bound of the first bucket for waits for a token, in seconds.
 const MIN_TOKEN_WAIT_SECONDS: f64 = 0.000_5;
-/// Buckets, each twice as long as the one before.
+/// Number of buckets. Each upper bound is twice the previous one.
 const BUCKET_COUNT: u16 = 12;
 
-/// How a request ended, for its label.
+/// How a request ended, as the value of its `outcome` label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// A whole answer.
+    /// A complete response.
     Whole,
-    /// An answer without some of its shards.
+    /// A response without some of its shards.
     Partial,
-    /// A server's own failure, handed back.
+    /// A failure response of a server, passed on to the caller.
     ServerFailed,
-    /// Given up: no server's answer.
+    /// The gateway gave up without a response from a server.
     Failed,
-    /// Not admitted.
+    /// Not admitted by the gateway.
     Refused,
 }
 
-/// Labels of a request.
+/// Labels of the request metrics.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct RequestLabels {
     target: &'static str,
     outcome: &'static str,
 }
 
-/// Labels of an attempt.
+/// Labels of the attempt counter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct AttemptLabels {
     ending: &'static str,
 }
 
-/// Labels of a token.
+/// Labels of the counter of spent tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct TokenLabels {
     from: &'static str,
 }
 
-/// Labels of a request that was refused for want of a token.
+/// Labels of the counter of requests that were refused without a token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct TokenRefusalLabels {
     reason: &'static str,
 }
 
-/// The metrics of one gateway; cheap to clone.
+/// The metrics of one gateway, with their registry.
 pub(crate) struct Metrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
@@ -81,7 +81,7 @@
     Histogram::new(exponential_buckets(MIN_DURATION_SECONDS, 2.0, BUCKET_COUNT))
 }
 
-/// Tokens mostly come within a few milliseconds.
+/// Most tokens arrive within a few milliseconds, so this histogram starts at a shorter time.
 fn token_wait_histogram() -> Histogram {
     Histogram::new(exponential_buckets(
         MIN_TOKEN_WAIT_SECONDS,
@@ -122,7 +122,7 @@
         );
         registry.register(
             "request_duration_seconds",
-            "Time from a request's head to its answer",
+            "Time from the head of a request to its response, in seconds",
             self.durations.clone(),
         );
         registry.register(
@@ -132,42 +132,42 @@
         );
         registry.register(
             "extra_attempts",
-            "Hedges and retries that were sent",
+            "Hedges and retries sent",
             self.extra_attempts.clone(),
         );
         registry.register(
             "unaffordable_attempts",
-            "Hedges and retries that the budget did not bear",
+            "Hedges and retries not sent because the budget was exhausted",
             self.unaffordable_attempts.clone(),
         );
         registry.register(
             "quarantined_requests",
-            "Requests that were refused because they had crashed servers",
+            "Requests refused because they had crashed servers",
             self.quarantined_requests.clone(),
         );
         registry.register(
             "tokens_spent",
-            "Tokens of tenants' quotas spent, from the stock or asked for",
+            "Tokens of tenants' quotas spent, by source (stock, asked)",
             self.tokens_spent.clone(),
         );
         registry.register(
             "tokens_refused",
-            "Requests refused for want of a token, by reason",
+            "Requests refused because no token was acquired, by reason",
             self.tokens_refused.clone(),
         );
         registry.register(
             "token_wait_seconds",
-            "Time for which requests waited for a token",
+            "Time that requests waited for a token, in seconds",
             self.token_wait_seconds.clone(),
         );
         registry.register(
             "unknown_key_requests",
-            "Requests that were refused because no tenant has the key that they came with, or they came without",
+            "Requests refused because their key was missing or belongs to no tenant",
             self.unknown_key_requests.clone(),
         );
         registry.register(
             "open_requests",
-            "Requests that are being answered",
+            "Requests in progress",
             self.open_requests.clone(),
         );
         registry.register(
@@ -182,7 +182,7 @@
         );
         registry.register(
             "control_connections",
-            "Connections to control replicas that are up",
+            "Open connections to control replicas",
             self.control_connections.clone(),
         );
     }
@@ -215,10 +215,10 @@
         self.tokens_refused.get_or_create(&labels).inc();
     }
 
-    /// The metrics in Prometheus text.
+    /// Encodes the metrics in the Prometheus text format.
     pub(crate) fn encode(&self) -> String {
         let mut text = String::new();
-        // Encoding into a `String` cannot fail; an empty page would show if it did.
+        // Encoding into a `String` cannot fail. If it did, the page would be empty or cut short.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/crates/sablehaven-gateway/src/names.rs
+++ b/crates/sablehaven-gateway/src/names.rs
@@ -1,28 +1,29 @@
-//! What the headers between callers, gateway and servers are called.
+//! Names of the HTTP headers that callers, gateway and servers exchange.
 
 use hyper::header::HeaderName;
 
-/// The names of the gateway's own headers. The defaults are the product's; an adapter to another
-/// platform brings that platform's.
+/// The names of the gateway's own headers. The defaults belong to this product; an adapter for another platform
+/// sets the names that this platform uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Names one attempt of a caller; every server gets it as it came, and echoes it.
+    /// Identifies one attempt of a caller. Every server receives it unchanged and echoes it.
     pub request_id: HeaderName,
-    /// Time that is left, in milliseconds.
+    /// Remaining time of the request, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// A server's signature under its answer.
+    /// A server's signature of its response.
     pub stamp: HeaderName,
-    /// The start of a server that a request is for; any other one answers 421.
+    /// The server instance (one start of a server process) that a request is addressed to. Any other instance
+    /// answers with status 421.
     pub expect_instance: HeaderName,
-    /// A server's word that it did not run the request.
+    /// Set by a server that guarantees that it did not run the request.
     pub not_executed: HeaderName,
-    /// The start of the server that answers.
+    /// The server instance that sends the response.
     pub instance: HeaderName,
-    /// The signatures of the shards that are in an answer, joined with commas.
+    /// The signatures of the shards that are included in a response, separated by commas.
     pub part_stamps: HeaderName,
-    /// The number of shards that are left out.
+    /// The number of shards that are missing from a response.
     pub missing_parts: HeaderName,
-    /// Tells servers whose request it is; what a caller says of that is not passed on.
+    /// Tells servers which tenant a request belongs to. A value that a caller sends is not forwarded.
     pub tenant: HeaderName,
 }
 
--- a/crates/sablehaven-gateway/src/quotas/replicas.rs
+++ b/crates/sablehaven-gateway/src/quotas/replicas.rs
@@ -32,7 +32,7 @@
 impl TokenReplicas {
     /// Returns the replicas in the order in which they are asked: the nearest first, equally distant ones in the
     /// given order. Replicas that have timed out or that hold no part of the quotas come after all others. If
-    /// all of them have recently replied that they hold no part, only the first is returned.
+    /// every replica has recently replied that it holds no part, only the first is returned.
     pub(super) fn ordered(
         &self,
         now: Duration,
--- a/crates/sablehaven-gateway/src/resends.rs
+++ b/crates/sablehaven-gateway/src/resends.rs
@@ -1,27 +1,29 @@
-//! Tells callers' second tries from their first ones, as a pure decision.
+//! Tells callers' resends from their first tries. Does no I/O and reads no clock.
 //!
-//! A caller that tries again has less time left than it had at first, and the first tries for one place
-//! have the same time. So a request that comes with noticeably less than the longest time that was seen
-//! for its place lately is taken for a second try. It is often its caller's last one: refusing it fails
-//! the caller, while a first try that is refused comes again.
+//! A caller that resends a request has less time left than at its first try, and the first tries with one key
+//! (host and parent path) have the same time limit. So a request that arrives with noticeably less time than the
+//! maximum seen for its key lately is classified as a resend. A resend is often the caller's last try: refusing
+//! it fails the caller, while a refused first try is sent again.
 
 use std::{collections::HashMap, time::Duration};
 
-/// A second try has less than this share of the time of a first one; first tries differ by less.
+/// A resend has less than this fraction of the time of a first try. First tries differ by less than this.
 const RESEND_TIME_FRACTION: f64 = 0.98;
-/// Time after which the longest time is forgotten when no request had it: callers may have changed.
+/// Time after which a maximum that no request has reached expires, since callers may have changed their time
+/// limits.
 const RETENTION: Duration = Duration::from_secs(10);
-/// Places that are kept; beyond them those that nobody asked for lately are forgotten.
+/// Maximum number of keys. When it is reached, expired keys are removed; if none has expired, new keys are not
+/// tracked.
 const MAX_KEYS: usize = 256;
 
-/// Whether a caller asks for the first time.
+/// Whether a request is a caller's first try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerTry {
     First,
     Resend,
 }
 
-/// The longest times that callers had lately, by place.
+/// The maximum time that callers had left lately, by key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ResendDetector {
     max_times: HashMap<String, MaxTimeLeft>,
@@ -34,7 +36,8 @@
 }
 
 impl ResendDetector {
-    /// Takes in a request for a place whose caller has `left`. `now` is any steady time.
+    /// Classifies a request whose caller has `time_left`, and records that time. `now` is a reading of a
+    /// monotonic clock.
     pub(crate) fn observe(&mut self, now: Duration, key: &str, time_left: Duration) -> CallerTry {
         let is_recent = |longest: &MaxTimeLeft| now.saturating_sub(longest.seen_at) < RETENTION;
         let Some(longest) = self.max_times.get_mut(key) else {
@@ -54,7 +57,7 @@
         if is_shorter && is_recent(longest) {
             return CallerTry::Resend;
         }
-        // A little less than the longest confirms it; much less replaces one that is not seen any more.
+        // A time slightly below the maximum confirms it. A much shorter one replaces a maximum that has expired.
         let time = if is_shorter {
             time_left
         } else {
@@ -64,8 +67,8 @@
         CallerTry::First
     }
 
-    /// What passed at the caller and on its way before a first try that has `left` arrived, such as opening a
-    /// connection: what it has less than the longest time for its place.
+    /// How much time passed at the caller and on the network before a first try arrived with `time_left`, for
+    /// example while a connection was opened. It is the difference to the maximum for the key.
     pub(crate) fn elapsed_before_arrival(&self, key: &str, time_left: Duration) -> Duration {
         let longest = self.max_times.get(key).map(|longest| longest.time);
         longest.unwrap_or_default().saturating_sub(time_left)
--- a/crates/sablehaven-gateway/src/resends/tests.rs
+++ b/crates/sablehaven-gateway/src/resends/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of telling second tries from first ones.
+//! Tests of the classification into first tries and resends.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn less_time_than_others_had_is_a_resend() {
+fn a_request_with_less_time_than_others_is_a_resend() {
     let mut detector = ResendDetector::default();
     assert_eq!(detector.observe(ms(0), KEY, ms(3_000)), CallerTry::First);
     assert_eq!(detector.observe(ms(10), KEY, ms(2_995)), CallerTry::First);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn places_are_told_apart() {
+fn keys_are_independent() {
     let mut detector = ResendDetector::default();
     detector.observe(ms(0), KEY, ms(12_000));
     let other = detector.observe(ms(1), "host/other", ms(2_000));
@@ -29,27 +29,27 @@
 }
 
 #[test]
-fn callers_that_give_themselves_less_from_now_on_are_first_again() {
+fn a_shorter_time_limit_counts_as_first_try_after_the_retention() {
     let mut detector = ResendDetector::default();
     detector.observe(ms(0), KEY, ms(3_000));
     assert_eq!(detector.observe(ms(500), KEY, ms(1_000)), CallerTry::Resend);
-    let after = 11_000;
+    let after_retention_ms = 11_000;
     assert_eq!(
-        detector.observe(ms(after), KEY, ms(1_000)),
+        detector.observe(ms(after_retention_ms), KEY, ms(1_000)),
         CallerTry::First
     );
     assert_eq!(
-        detector.observe(ms(after + 1), KEY, ms(1_000)),
+        detector.observe(ms(after_retention_ms + 1), KEY, ms(1_000)),
         CallerTry::First
     );
     assert_eq!(
-        detector.observe(ms(after + 2), KEY, ms(700)),
+        detector.observe(ms(after_retention_ms + 2), KEY, ms(700)),
         CallerTry::Resend
     );
 }
 
 #[test]
-fn the_number_of_places_is_bounded_and_old_ones_make_room() {
+fn the_number_of_keys_is_bounded_and_expired_ones_are_removed() {
     let mut detector = ResendDetector::default();
     for key in 0..2 * MAX_KEYS {
         detector.observe(ms(0), &key.to_string(), ms(3_000));
@@ -60,10 +60,20 @@
 }
 
 #[test]
-fn what_a_first_try_spent_is_what_it_lacks_of_the_longest_time() {
+fn the_time_before_arrival_is_the_difference_to_the_maximum() {
     let mut detector = ResendDetector::default();
-    detector.observe(ms(0), "a", ms(2_000));
-    assert_eq!(detector.elapsed_before_arrival("a", ms(1_976)), ms(24));
-    assert_eq!(detector.elapsed_before_arrival("a", ms(2_000)), ms(0));
-    assert_eq!(detector.elapsed_before_arrival("unknown", ms(1_976)), ms(0));
+    let millis = Duration::from_millis;
+    detector.observe(millis(0), "a", millis(2_000));
+    assert_eq!(
+        detector.elapsed_before_arrival("a", millis(1_976)),
+        millis(24)
+    );
+    assert_eq!(
+        detector.elapsed_before_arrival("a", millis(2_000)),
+        millis(0)
+    );
+    assert_eq!(
+        detector.elapsed_before_arrival("unknown", millis(1_976)),
+        millis(0)
+    );
 }
--- a/crates/sablehaven-gateway/src/role.rs
+++ b/crates/sablehaven-gateway/src/role.rs
@@ -1,4 +1,4 @@
-//! The start and the stop of a gateway.
+//! Starts and stops a gateway.
 
 use std::{
     net::SocketAddr,
@@ -21,46 +21,46 @@
     names::HeaderNames, request::answer,
 };
 
-/// Time between two looks for connections that have rested too long.
+/// Interval at which idle connections are checked and closed.
 const CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two readings of the load: that between two signs of life, with which it is told.
+/// Interval at which the load is sampled. It equals the interval of the keepalive messages that report it.
 const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks whether all requests of a stopping gateway are answered.
+/// Interval at which a stopping gateway checks whether all requests have been answered.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a gateway did not start.
+/// Why a gateway did not start. Each error names the step that failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StartError {
     /// check settings: {errors:?}
     Settings {
-        /// Every setting that cannot be used.
+        /// The invalid settings.
         errors: Vec<SettingError>,
     },
     /// listen on {address}: {source}
     Listen {
-        /// The address.
+        /// The address that could not be bound.
         address: SocketAddr,
-        /// The cause.
+        /// The error that the system returned.
         source: std::io::Error,
     },
 }
 
-/// A running gateway; everything of it runs on the thread that started it.
+/// A running gateway. All its tasks run on the thread that started it.
 pub struct Handle {
     gateway: Rc<Gateway>,
     addresses: BoundAddresses,
     accept_task: JoinHandle<()>,
-    ready_address: Option<SocketAddr>,
+    readiness_address: Option<SocketAddr>,
 }
 
-/// The figures of a running gateway; cheap to clone.
+/// The metrics of a running gateway. Cheap to clone.
 #[derive(Clone)]
 pub struct MetricsHandle {
     gateway: Rc<Gateway>,
 }
 
 impl MetricsHandle {
-    /// All figures in Prometheus text.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn encode_metrics(&self) -> String {
         let open = i64::try_from(self.gateway.admission.open()).unwrap_or(i64::MAX);
         self.gateway.metrics.open_requests.set(open);
@@ -90,7 +90,7 @@
         ready_address = Some(address);
         spawn_local(accept_readiness(Rc::clone(&gateway), listener));
     }
-    log::info!(event = "start", role = "gateway", address:% = address; "start");
+    log::info!(event = "start", role = "gateway", address:% = address; "gateway started");
     Ok(Handle {
         gateway,
         addresses: BoundAddresses {
@@ -98,7 +98,7 @@
             internal: None,
         },
         accept_task,
-        ready_address,
+        readiness_address: ready_address,
     })
 }
 
@@ -110,53 +110,53 @@
 }
 
 impl Handle {
-    /// The addresses that this gateway listens on.
+    /// The addresses on which this gateway listens.
     pub fn addresses(&self) -> BoundAddresses {
         self.addresses
     }
 
-    /// A gateway goes on whatever it loses, so this never resolves.
+    /// Never resolves, since a gateway continues to run whatever fails.
     pub async fn failed(&mut self) -> String {
         std::future::pending().await
     }
 
-    /// Where `GET /ready` is answered.
+    /// The address on which `GET /ready` is served, if any.
     pub fn ready_address(&self) -> Option<SocketAddr> {
-        self.ready_address
+        self.readiness_address
     }
 
-    /// The gateway's figures, for whoever serves them.
+    /// The metrics of this gateway, to be served by the caller.
     pub fn metrics(&self) -> MetricsHandle {
         MetricsHandle {
             gateway: Rc::clone(&self.gateway),
         }
     }
 
-    /// Takes addresses of control replicas beside those that are known.
+    /// Adds addresses of control replicas to the known ones.
     pub fn add_controls(&self, controls: impl IntoIterator<Item = SocketAddr>) {
         self.gateway.add_controls(controls);
     }
 
-    /// A planned stop: not ready and out of the directory at once; requests are still taken for as
-    /// long as callers may hold the address; what was read is answered; resting connections are
-    /// closed last.
+    /// Stops the gateway gracefully. It is no longer ready from the start of the stop, which removes it from the
+    /// directory, but it still accepts requests for as long as callers may keep its address. Requests that have
+    /// been read are answered, and idle connections are closed last.
     pub async fn stop(self) {
         let gateway = &self.gateway;
         let started = Instant::now();
-        log::info!(event = "stop", open = gateway.admission.open(); "stop begins");
+        log::info!(event = "stop", open = gateway.admission.open(); "stopping");
         gateway.begin_stop();
         sleep(Duration::from_millis(gateway.config.stop_linger_ms)).await;
         self.accept_task.abort();
         gateway.signals.closing.cancel();
         let stop_by = started + Duration::from_millis(gateway.config.stop_limit_ms);
-        // Connections whose bytes are still under way get a moment to be read.
+        // Requests that are still in transit on open connections get a moment to be read.
         sleep(STOP_POLL_INTERVAL).await;
         while gateway.admission.open() > 0 && Instant::now() < stop_by {
             sleep(STOP_POLL_INTERVAL).await;
         }
-        // Answers that were made are on their way out.
+        // The last responses get a moment to be written.
         sleep_until((Instant::now() + STOP_POLL_INTERVAL).into()).await;
-        log::info!(event = "stopped", open = gateway.admission.open(); "stop ends");
+        log::info!(event = "stopped", open = gateway.admission.open(); "stopped");
     }
 }
 
@@ -175,7 +175,7 @@
     accept_connections(listener, bounds, signals, handler).await;
 }
 
-/// Readiness is told until the process ends.
+/// Serves the readiness check until the process ends.
 async fn accept_readiness(gateway: Rc<Gateway>, listener: TcpListener) {
     let bounds = || ConnectionBounds {
         max_head_bytes: 8 * 1024,
@@ -206,8 +206,9 @@
     }
 }
 
-/// The runtime's one thread is busy from when it wakes to when it waits again. On a machine with a part of
-/// a core that includes the time in which the system did not let it run, which is what callers feel.
+/// Samples the load. The runtime's single thread counts as busy from when it wakes until it waits again. On a
+/// machine with a fraction of a core this includes the time during which the system did not schedule it, which
+/// callers notice as well.
 async fn sample_load(gateway: Rc<Gateway>) {
     let runtime = tokio::runtime::Handle::current().metrics();
     let mut ticker = interval(LOAD_SAMPLE_INTERVAL);
--- a/crates/sablehaven-gateway/src/route_table.rs
+++ b/crates/sablehaven-gateway/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Finds the route of a request by host and path.
 
 use std::{
     cell::{Cell, Ref, RefCell},
@@ -15,42 +15,42 @@
     tenant_table::TenantTable,
 };
 
-/// The routes of one version, ready to be looked up.
+/// The routes of one version of the configuration, indexed for lookup.
 pub(crate) struct RouteTable {
     document: Arc<RouteDocument>,
-    /// Routes by host in lower case, the longest prefix first.
+    /// Routes by host in lower case, sorted by descending length of the path prefix.
     by_host: HashMap<String, Vec<Rc<PlannedRoute>>>,
     tenants: TenantTable,
-    /// Kinds of request that were named so far, by this table and those before it.
+    /// Number of kinds of request that have been assigned so far, by this table and its predecessors.
     kind_count: usize,
 }
 
-/// A route with what has been learned of its requests.
+/// A route of one version of the configuration, with the statistics of its requests.
 pub(crate) struct PlannedRoute {
     document: Arc<RouteDocument>,
     position: usize,
     pub(crate) version: u64,
     pub(crate) profile: Rc<RouteProfile>,
-    /// Where its requests may be served, whosever they are.
+    /// The regions that the route allows, before those of the tenant are considered.
     pub(crate) regions: ServingRegions,
 }
 
-/// What has been learned of a route's requests; kept over versions.
+/// Statistics of a route's requests, which are kept when the configuration changes.
 pub(crate) struct RouteProfile {
     kind: KindOfRequest,
-    /// What a server usually takes, without the way there, in milliseconds.
+    /// Moving average of the service time, excluding the network round trip, in milliseconds.
     service_time_ms: Cell<f64>,
-    /// How much later than planned its answers left of late.
+    /// How much later than planned its recent responses were sent.
     answer_margin: RefCell<AnswerMargin>,
 }
 
-/// Weight of one new time in the running average.
+/// Weight of one new service time in the moving average.
 const EWMA_WEIGHT: f64 = 0.03;
-/// A time counts as at most this many times the average: one slow server must not move it.
+/// A service time is capped at this multiple of the average, so that one slow server does not distort it.
 const MAX_OUTLIER_RATIO: f64 = 3.0;
-/// Part of the aim that a server is taken to need before any time is known.
+/// Fraction of the latency target that is assumed as the service time before any is known.
 const INITIAL_TARGET_FRACTION: f64 = 0.125;
-/// The least typical time, in milliseconds.
+/// Minimum of the average service time, in milliseconds.
 const MIN_SERVICE_TIME_MS: f64 = 0.5;
 
 impl RouteProfile {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The kind of request; the same over versions, and never that of another route.
+    /// The kind of request. It is the same in all versions, and differs from that of any other route.
     pub(crate) fn kind(&self) -> KindOfRequest {
         self.kind
     }
@@ -72,7 +72,7 @@
         Duration::from_secs_f64(self.service_time_ms.get() / 1_000.0)
     }
 
-    /// Takes in what a server took, without the way there.
+    /// Records a service time, excluding the network round trip.
     pub(crate) fn record_service_time(&self, service_time: Duration) {
         let average = self.service_time_ms.get();
         let service_time = (service_time.as_secs_f64() * 1_000.0).min(average * MAX_OUTLIER_RATIO);
@@ -80,12 +80,12 @@
         self.service_time_ms.set(next.max(MIN_SERVICE_TIME_MS));
     }
 
-    /// Takes in how much later than planned a request was acted on.
+    /// Records how much later than planned the gateway acted on a request.
     pub(crate) fn record_overrun(&self, now: Duration, overrun: Duration) {
         self.answer_margin.borrow_mut().observe(now, overrun);
     }
 
-    /// How late requests were acted on lately, for the margin of the next answer.
+    /// The recent overruns, from which the margin of the next response is computed.
     pub(crate) fn answer_margin(&self) -> Ref<'_, AnswerMargin> {
         self.answer_margin.borrow()
     }
@@ -98,7 +98,8 @@
 }
 
 impl RouteTable {
-    /// The table of a document; what `former` has learned of a route's place is kept.
+    /// Creates the table of a document. A route with the same host and path prefix as one in `previous` keeps
+    /// its statistics.
     pub(crate) fn new(document: Arc<RouteDocument>, previous: Option<&Self>) -> Self {
         let mut by_host: HashMap<String, Vec<Rc<PlannedRoute>>> = HashMap::new();
         let mut kind_count = previous.map_or(0, |previous| previous.kind_count);
@@ -133,12 +134,12 @@
         &self.document
     }
 
-    /// The keys of the same version.
+    /// The tenants and keys of the same version.
     pub(crate) fn tenants(&self) -> &TenantTable {
         &self.tenants
     }
 
-    /// The route of a host and path: the longest prefix that begins the path.
+    /// Finds the route with this host and the longest path prefix that matches.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<&Rc<PlannedRoute>> {
         let host = without_port(host).to_ascii_lowercase();
         let routes = self.by_host.get(&host)?;
--- a/crates/sablehaven-gateway/src/route_table/tests.rs
+++ b/crates/sablehaven-gateway/src/route_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the look-up.
+//! Tests of the lookup of routes and of their statistics.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -44,25 +44,28 @@
     RouteTable::new(Arc::new(document), previous)
 }
 
-fn found(host: &str, path: &str) -> Option<String> {
+fn find_name(host: &str, path: &str) -> Option<String> {
     let table = table(1, None);
     let planned = table.find(host, path)?;
     Some(planned.route().name.clone())
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
-    assert_eq!(found("stock.example", "/a/b/c").as_deref(), Some("long"));
+fn finds_the_longest_matching_prefix_of_the_host() {
     assert_eq!(
-        found("STOCK.example:8080", "/a/x").as_deref(),
+        find_name("stock.example", "/a/b/c").as_deref(),
+        Some("long")
+    );
+    assert_eq!(
+        find_name("STOCK.example:8080", "/a/x").as_deref(),
         Some("short")
     );
-    assert_eq!(found("stock.example", "/a").as_deref(), Some("all"));
-    assert_eq!(found("other.example", "/a/b/c"), None);
+    assert_eq!(find_name("stock.example", "/a").as_deref(), Some("all"));
+    assert_eq!(find_name("other.example", "/a/b/c"), None);
 }
 
 #[test]
-fn what_was_learned_of_a_place_outlives_a_change_of_the_routes() {
+fn statistics_of_a_route_survive_a_change_of_the_routes() {
     let first = table(1, None);
     let profile = &first.find("stock.example", "/a/").expect("a route").profile;
     for _ in 0..500 {
@@ -75,7 +78,7 @@
 }
 
 #[test]
-fn one_slow_answer_moves_the_typical_time_little() {
+fn one_slow_response_changes_the_typical_service_time_little() {
     let table = table(1, None);
     let profile = &table.find("stock.example", "/a/").expect("a route").profile;
     let before = profile.typical_service_time();
@@ -84,7 +87,7 @@
 }
 
 #[test]
-fn a_route_that_comes_after_another_has_gone_is_another_kind_of_request() {
+fn a_new_route_never_gets_the_kind_of_a_removed_one() {
     let kind = |table: &RouteTable, path: &str| {
         let planned = table.find("stock.example", path).expect("a route");
         planned.profile.kind()
--- a/crates/sablehaven-gateway/src/serving_regions.rs
+++ b/crates/sablehaven-gateway/src/serving_regions.rs
@@ -1,16 +1,16 @@
-//! Where a request may be served: where both its route and its tenant allow.
+//! The regions in which a request may be served: those that both its route and its tenant allow.
 
 use std::{collections::BTreeSet, rc::Rc};
 
 use sablehaven_types::{AllowedRegions, RegionName};
 
-/// The regions in which a request may be served; cheap to clone.
+/// The regions in which a request may be served. Cheap to clone.
 ///
-/// An empty [`AllowedRegions`] stands for every region. This keeps "every region" apart from "no region", which is
-/// what a route and a tenant that have no region in common leave.
+/// An empty [`AllowedRegions`] means every region. This type distinguishes "every region" from "no region",
+/// which is the result if a route and a tenant have no allowed region in common.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ServingRegions {
-    /// `None` for every region.
+    /// The allowed regions; `None` means every region.
     named: Option<Rc<BTreeSet<RegionName>>>,
 }
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Where this and what a tenant allows agree.
+    /// The regions that are both in this set and allowed by a tenant.
     pub(crate) fn intersect(&self, allowed: &AllowedRegions) -> Self {
         if allowed.is_unrestricted() {
             return self.clone();
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Whether a region may serve the request. `None` stands for a place whose region is not known: it may only where
-    /// every region may.
+    /// Whether a region may serve the request. `None` is a server whose region is unknown; it may serve the
+    /// request only if every region may.
     pub(crate) fn admit(&self, region: Option<&RegionName>) -> bool {
         match &self.named {
             None => true,
--- a/crates/sablehaven-gateway/src/serving_regions/tests.rs
+++ b/crates/sablehaven-gateway/src/serving_regions/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of where a request may be served.
+//! Tests of the regions in which a request may be served.
 
 use sablehaven_types::AllowedRegions;
 
@@ -8,8 +8,8 @@
     regions.iter().map(|region| (*region).into()).collect()
 }
 
-/// The regions of three that serve a request whose route and tenant are bound so, and whether a place without a known
-/// region does.
+/// The regions, out of three, that may serve a request with these allowed regions of its route and tenant, and
+/// whether a server in an unknown region may.
 fn serving(route: &[&str], tenant: &[&str]) -> (Vec<&'static str>, bool) {
     let regions = ServingRegions::new(&allowed(route)).intersect(&allowed(tenant));
     let named = ["north", "south", "west"].into_iter();
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn without_bounds_every_region_serves() {
+fn without_restrictions_every_region_serves() {
     assert_eq!(serving(&[], &[]), (vec!["north", "south", "west"], true));
 }
 
 #[test]
-fn one_bound_alone_holds() {
+fn a_single_restriction_applies() {
     assert_eq!(serving(&["north"], &[]), (vec!["north"], false));
     assert_eq!(
         serving(&[], &["south", "west"]),
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn two_bounds_leave_what_they_have_in_common() {
+fn two_restrictions_leave_their_intersection() {
     let common = serving(&["north", "south"], &["south", "west"]);
     assert_eq!(common, (vec!["south"], false));
 }
 
 #[test]
-fn bounds_with_nothing_in_common_leave_no_region() {
+fn disjoint_restrictions_leave_no_region() {
     assert_eq!(serving(&["north"], &["south"]), (vec![], false));
 }
--- a/crates/sablehaven-gateway/src/tenant_table.rs
+++ b/crates/sablehaven-gateway/src/tenant_table.rs
@@ -1,19 +1,19 @@
-//! Whose key a caller presents.
+//! Finds the tenant of the key that a caller presents.
 
 use std::sync::Arc;
 
 use hyper::header::HeaderValue;
 use sablehaven_types::{KeyDigest, RouteDocument, Tenant};
 
-/// The keys of one version, ready to be looked up.
+/// The keys of one version of the configuration, indexed for lookup.
 pub(crate) struct TenantTable {
     document: Arc<RouteDocument>,
-    /// The digest of each key with its tenant's place in the document, in the order of the digests: tens of thousands of
-    /// keys take what they are long and little more.
+    /// The digest of each key with the index of its tenant in the document, sorted by digest. For tens of
+    /// thousands of keys a sorted array takes little more memory than the keys themselves.
     by_key: Box<[(KeyDigest, u32)]>,
 }
 
-/// A tenant of one version; cheap to clone.
+/// A tenant in one version of the configuration. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct TenantRef {
     document: Arc<RouteDocument>,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Whether nobody needs a key.
+    /// Whether there are no tenants, so that no request needs a key.
     pub(crate) fn is_empty(&self) -> bool {
         self.document.tenants.is_empty()
     }
 
-    /// The tenant that has a key.
+    /// Finds the tenant that owns a key.
     pub(crate) fn find(&self, key: KeyDigest) -> Option<TenantRef> {
         let found = self.by_key.binary_search_by_key(&key, |(known, _)| *known);
         let (_, position) = self.by_key[found.ok()?];
@@ -54,8 +54,8 @@
         &self.document.tenants[self.position]
     }
 
-    /// The tenant's name as servers are told it; `None` where no header can hold it, which
-    /// [`RouteDocument::validate`] refuses.
+    /// The tenant's name as a header value for servers; `None` if the name is not a valid header value, which
+    /// [`RouteDocument::validate`] rejects.
     pub(crate) fn to_header_value(&self) -> Option<HeaderValue> {
         HeaderValue::from_bytes(self.tenant().name.as_str().as_bytes()).ok()
     }
--- a/crates/sablehaven-gateway/src/tenant_table/tests.rs
+++ b/crates/sablehaven-gateway/src/tenant_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the look-up by key.
+//! Tests of the lookup of tenants by key.
 
 use std::{hint::black_box, sync::Arc, time::Instant};
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn each_key_leads_to_its_tenant_and_no_other_key_to_any() {
+fn finds_the_tenant_of_each_key_and_none_for_unknown_keys() {
     let table = table(&[("a", &["a-1", "a-2"]), ("b", &["b-1"]), ("c", &[])]);
     assert!(!table.is_empty());
     assert_eq!(owner(&table, "a-1").as_deref(), Some("a"));
@@ -41,29 +41,29 @@
 }
 
 #[test]
-fn without_tenants_there_is_nothing_to_find() {
+fn an_empty_table_has_no_keys() {
     let table = table(&[]);
     assert!(table.is_empty());
     assert_eq!(owner(&table, "a-1"), None);
 }
 
 #[test]
-fn servers_are_told_the_name_as_it_is_written() {
+fn the_header_value_is_the_name_in_utf8() {
     let table = table(&[("Van Oordt élève", &["k"])]);
     let found = table.find(KeyDigest::of(b"k")).expect("a tenant");
     let header = found.to_header_value().expect("a header");
     assert_eq!(header.as_bytes(), "Van Oordt élève".as_bytes());
 }
 
-/// The tenants of the largest deployment that is planned for, and the keys of each.
-const TENANTS: usize = 10_000;
-const KEYS: usize = 4;
+/// Number of tenants of the largest deployment that is planned for, and number of keys of each.
+const TENANT_COUNT: usize = 10_000;
+const KEYS_PER_TENANT: usize = 4;
 
 fn key_text(tenant: usize, key: usize) -> String {
     format!("key-of-thirty-two-characters-{tenant:05}-{key}")
 }
 
-/// Memory of this process that is in use, in bytes; 0 where the system does not say.
+/// Resident memory of this process, in bytes; 0 if the system does not report it.
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
@@ -71,13 +71,15 @@
     pages.unwrap_or_default() * 4096
 }
 
-/// Prints its figures: `cargo test --release -p sablehaven-gateway --lib ten_thousand -- --nocapture --test-threads 1`
+/// The table must need at most 24 bytes per key. The test also prints its memory use and lookup times:
+///
+/// `cargo test --release -p sablehaven-gateway --lib ten_thousand -- --nocapture --test-threads 1`
 #[test]
-fn a_table_of_ten_thousand_tenants_is_little_longer_than_its_keys() {
-    let before = resident_bytes();
-    let tenants = (0..TENANTS).map(|number| Tenant {
+fn the_table_of_ten_thousand_tenants_needs_at_most_24_bytes_per_key() {
+    let initial_bytes = resident_bytes();
+    let tenants = (0..TENANT_COUNT).map(|number| Tenant {
         name: format!("tenant-{number:05}").as_str().into(),
-        keys: (0..KEYS)
+        keys: (0..KEYS_PER_TENANT)
             .map(|key| KeyDigest::of(key_text(number, key).as_bytes()))
             .collect(),
         priority: 0,
@@ -88,31 +90,33 @@
         tenants: tenants.collect(),
         ..RouteDocument::default()
     });
-    let with_document = resident_bytes();
+    let bytes_with_document = resident_bytes();
     let started = Instant::now();
     let table = TenantTable::new(document);
-    let built = started.elapsed();
-    let with_table = resident_bytes();
-    let texts: Vec<String> = (0..TENANTS).map(|number| key_text(number, 3)).collect();
+    let build_time = started.elapsed();
+    let bytes_with_table = resident_bytes();
+    let texts: Vec<String> = (0..TENANT_COUNT)
+        .map(|number| key_text(number, 3))
+        .collect();
     let started = Instant::now();
     for text in &texts {
         assert!(black_box(table.find(KeyDigest::of(text.as_bytes()))).is_some());
     }
-    let found = started.elapsed() / TENANTS as u32;
+    let hit_time = started.elapsed() / TENANT_COUNT as u32;
     let started = Instant::now();
-    for number in 0..TENANTS {
-        let unknown = KeyDigest::of(key_text(number, KEYS).as_bytes());
+    for number in 0..TENANT_COUNT {
+        let unknown = KeyDigest::of(key_text(number, KEYS_PER_TENANT).as_bytes());
         assert!(black_box(table.find(unknown)).is_none());
     }
-    let refused = started.elapsed() / TENANTS as u32;
+    let miss_time = started.elapsed() / TENANT_COUNT as u32;
     println!(
-        "{TENANTS} tenants, {} keys: document {} KB, table {} KB ({} KB by its length), built in {built:?}, \
-         a known key {found:?}, an unknown one {refused:?}",
+        "{TENANT_COUNT} tenants, {} keys: document {} KB, table {} KB ({} KB of entries), built in {build_time:?}, \
+         a known key {hit_time:?}, an unknown one {miss_time:?}",
         table.by_key.len(),
-        with_document.saturating_sub(before) / 1_000,
-        with_table.saturating_sub(with_document) / 1_000,
+        bytes_with_document.saturating_sub(initial_bytes) / 1_000,
+        bytes_with_table.saturating_sub(bytes_with_document) / 1_000,
         size_of_val(&*table.by_key) / 1_000,
     );
-    assert_eq!(table.by_key.len(), TENANTS * KEYS);
-    assert!(size_of_val(&*table.by_key) <= TENANTS * KEYS * 24);
+    assert_eq!(table.by_key.len(), TENANT_COUNT * KEYS_PER_TENANT);
+    assert!(size_of_val(&*table.by_key) <= TENANT_COUNT * KEYS_PER_TENANT * 24);
 }
