--- a/crates/sablehaven-gateway/examples/gather_cost.rs
+++ b/crates/sablehaven-gateway/examples/gather_cost.rs
@@ -1,8 +1,10 @@
-//! Processor time of a gateway's thread for each sub-request of a query: a gateway on one thread,
-//! stand-in servers and the caller on others. Prints microseconds a sub-request, user and system
-//! together, as the scheduler accounts them.
+//! Measures the processor time that a gateway's thread spends per sub-request of a query. The gateway runs on one
+//! thread, the test doubles of servers and the caller on others. Prints microseconds per sub-request, user and system
+//! time together, as accounted by the scheduler.
 //!
-//! `cargo run --release --example gather_cost -p sablehaven-gateway -- SHARDS QUERIES SERVERS`, the last of each shard
+//! `cargo run --release --example gather_cost -p sablehaven-gateway -- SHARDS QUERIES SERVERS`
+//!
+//! `SERVERS` is the number of servers per shard.
 
 #[path = "../tests/gateway/support/mod.rs"]
 #[allow(dead_code)]
@@ -11,18 +13,18 @@
 use std::{thread, time::Duration};
 
 use sablehaven_standins::routed::Behaviour;
-use support::routes::gather;
-use support::{Bed, call, run};
+use support::routes::gather_route;
+use support::{TestBed, run_test, send_request};
 use tokio::runtime::{Builder, Handle};
 
-/// Queries before the first that is counted.
-const WARM_UP: usize = 50;
-/// Bytes of a part.
+/// Number of queries that are sent before the measured ones.
+const WARM_UP_QUERIES: usize = 50;
+/// Size of the reply of one shard.
 const PART_BYTES: usize = 400;
-/// What a server works for each part.
-const WORK: Duration = Duration::from_millis(2);
+/// Time that a server takes for the reply of one shard.
+const SERVICE_TIME: Duration = Duration::from_millis(2);
 
-/// Time that this thread has spent on a processor, in nanoseconds; 0 where the system does not say.
+/// Processor time of this thread, in nanoseconds; 0 if the operating system does not report it.
 fn thread_processor_ns() -> u64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let first = text.split_whitespace().next();
@@ -41,40 +43,48 @@
     let shards = argument(1, 36);
     let queries = argument(2, 500);
     let servers = argument(3, 1);
-    let others = Builder::new_multi_thread()
+    let background_runtime = Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .expect("runtime");
-    let elsewhere = others.handle().clone();
-    let measured = thread::spawn(move || run(measure(elsewhere, shards, queries, servers)));
-    measured.join().expect("the measurement ends");
+    let background = background_runtime.handle().clone();
+    let measurement =
+        thread::spawn(move || run_test(measure(background, shards, queries, servers)));
+    measurement.join().expect("the measurement finishes");
 }
 
-async fn measure(elsewhere: Handle, shards: usize, queries: usize, servers: usize) {
-    let mut bed = Bed::new().await;
+async fn measure(background: Handle, shards: usize, queries: usize, servers: usize) {
+    let mut bed = TestBed::new().await;
     let names: Vec<String> = (0..shards).map(|shard| format!("shard-{shard}")).collect();
-    let answers = Behaviour::after(WORK, vec![7; PART_BYTES]);
+    let behaviour = Behaviour::after(SERVICE_TIME, vec![7; PART_BYTES]);
     for name in &names {
-        bed.serve_on(&elsewhere, name, &vec![answers.clone(); servers])
+        bed.add_servers_on(&background, name, &vec![behaviour.clone(); servers])
             .await;
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    bed.route(1, vec![gather("/q/", &names, 1.0)]).await;
+    bed.apply_routes(1, vec![gather_route("/q/", &names, 1.0)])
+        .await;
     let address = bed.address;
-    let ask = move |count: usize| async move {
+    let send_queries = move |count: usize| async move {
         for query in 0..count {
             let id = format!("{query:016x}");
-            call(address, Some(&id), "GET", "/q/a", &[], "").await;
+            send_request(address, Some(&id), "GET", "/q/a", &[], "").await;
         }
     };
-    elsewhere.spawn(ask(WARM_UP)).await.expect("warm-up");
-    let before = thread_processor_ns();
-    elsewhere.spawn(ask(queries)).await.expect("queries");
-    let spent = thread_processor_ns() - before;
+    background
+        .spawn(send_queries(WARM_UP_QUERIES))
+        .await
+        .expect("warm-up");
+    let before_ns = thread_processor_ns();
+    background
+        .spawn(send_queries(queries))
+        .await
+        .expect("queries");
+    let spent_ns = thread_processor_ns() - before_ns;
     let sub_requests = shards * queries;
     println!(
-        "{shards} shards of {servers} servers, {queries} queries: {:.1} us a sub-request",
-        spent as f64 / 1_000.0 / sub_requests as f64
+        "{shards} shards of {servers} servers, {queries} queries: {:.1} us per sub-request",
+        spent_ns as f64 / 1_000.0 / sub_requests as f64
     );
 }
--- a/crates/sablehaven-gateway/tests/gateway/answer_margin.rs
+++ b/crates/sablehaven-gateway/tests/gateway/answer_margin.rs
@@ -1,4 +1,5 @@
-//! When a query is answered on a gateway that the processor is taken from.
+//! Tests of the time at which a query is answered by a gateway whose thread is stalled at times, as on a machine
+//! with a fraction of a core.
 
 use std::time::{Duration, Instant};
 
@@ -6,94 +7,106 @@
 use sablehaven_standins::routed::Behaviour;
 use tokio::time::sleep;
 
-use crate::support::routes::{gather, record};
-use crate::support::{Bed, run};
+use crate::support::routes::{gather_route, record};
+use crate::support::{TestBed, run_test};
 
 const SHARDS: [&str; 4] = ["s0", "s1", "s2", "s3"];
-/// Aim of the route, in which one shard never answers.
-const AIM: Duration = Duration::from_millis(400);
-/// The configured margin.
-const MARGIN: Duration = Duration::from_millis(20);
-/// What one hold-up takes: a multiple of what a busy machine adds by itself.
-const HOLD_UP: Duration = Duration::from_millis(100);
+/// Latency target of the route. One of its shards never answers, so a query is answered shortly before
+/// the target.
+const LATENCY_TARGET: Duration = Duration::from_millis(400);
+/// The configured minimum of the answer margin.
+const MIN_MARGIN: Duration = Duration::from_millis(20);
+/// Duration of one stall. It is a multiple of the delays that a busy machine adds by itself.
+const STALL: Duration = Duration::from_millis(100);
 
-async fn bed(most: Duration) -> Bed {
-    let mut bed = Bed::with(|config| {
-        config.answer_margin_ms = MARGIN.as_millis() as u64;
-        config.max_answer_margin_ms = most.as_millis() as u64;
+async fn start_test_bed(max_margin: Duration) -> TestBed {
+    let mut bed = TestBed::with(|config| {
+        config.answer_margin_ms = MIN_MARGIN.as_millis() as u64;
+        config.max_answer_margin_ms = max_margin.as_millis() as u64;
     })
     .await;
     for shard in SHARDS {
-        let answer = Behaviour::answer(record(1));
-        bed.serve(shard, &[answer.clone(), answer]).await;
+        let behaviour = Behaviour::answer(record(1));
+        bed.add_servers(shard, &[behaviour.clone(), behaviour])
+            .await;
     }
-    bed.route(1, vec![gather("/g/", &SHARDS, 0.7)]).await;
+    bed.apply_routes(1, vec![gather_route("/g/", &SHARDS, 0.7)])
+        .await;
     for server in &bed.servers["s2"] {
         server.set(Behaviour::Silent);
     }
     bed
 }
 
-/// Takes the gateway's thread away again and again.
-async fn hold_up() {
+/// Blocks the gateway's thread repeatedly.
+async fn stall_repeatedly() {
     loop {
-        std::thread::sleep(HOLD_UP);
+        std::thread::sleep(STALL);
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// What a query takes, which is partial.
-async fn query(bed: &Bed) -> Duration {
-    query_with(bed, &[]).await
+/// Sends a query and returns how long it takes. The response must be partial.
+async fn time_query(bed: &TestBed) -> Duration {
+    time_query_with_headers(bed, &[]).await
 }
 
-async fn query_with(bed: &Bed, headers: &[(&str, &str)]) -> Duration {
-    let asked = Instant::now();
-    let answer = bed.send("1", "GET", "/g/x", headers, "").await;
-    assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(answer.header("sablehaven-missing-parts"), Some("1"));
-    asked.elapsed()
+async fn time_query_with_headers(bed: &TestBed, headers: &[(&str, &str)]) -> Duration {
+    let started = Instant::now();
+    let response = bed.send("1", "GET", "/g/x", headers, "").await;
+    assert_eq!(response.status, StatusCode::OK);
+    assert_eq!(response.header("sablehaven-missing-parts"), Some("1"));
+    started.elapsed()
 }
 
-/// What a query takes on a free thread after two on one that was held up.
-async fn query_after_hold_ups(bed: &Bed) -> Duration {
-    let holding = tokio::task::spawn_local(hold_up());
-    query(bed).await;
-    query(bed).await;
-    holding.abort();
-    query(bed).await
+/// Returns how long a query takes on an unblocked thread, after two queries on a stalled one.
+async fn time_query_after_stalls(bed: &TestBed) -> Duration {
+    let stalling = tokio::task::spawn_local(stall_repeatedly());
+    time_query(bed).await;
+    time_query(bed).await;
+    stalling.abort();
+    time_query(bed).await
 }
 
 #[test]
-fn a_gateway_that_was_held_up_answers_sooner_and_an_idle_one_waits_again() {
-    run(async {
-        let bed = bed(Duration::from_millis(200)).await;
-        let after = query_after_hold_ups(&bed).await;
-        assert!(after < AIM - MARGIN - HOLD_UP / 2, "{after:?}");
-        // Longer than any figure counts.
+fn the_margin_grows_after_stalls_and_shrinks_again_without_them() {
+    run_test(async {
+        let bed = start_test_bed(Duration::from_millis(200)).await;
+        let after_stalls = time_query_after_stalls(&bed).await;
+        assert!(
+            after_stalls < LATENCY_TARGET - MIN_MARGIN - STALL / 2,
+            "{after_stalls:?}"
+        );
+        // Longer than a measured delay counts.
         sleep(Duration::from_secs(4)).await;
-        let idle = query(&bed).await;
-        assert!(idle > AIM - MARGIN - HOLD_UP / 2, "{idle:?}");
+        let after_pause = time_query(&bed).await;
+        assert!(
+            after_pause > LATENCY_TARGET - MIN_MARGIN - STALL / 2,
+            "{after_pause:?}"
+        );
     });
 }
 
 #[test]
-fn without_the_setting_a_gateway_that_was_held_up_waits_as_before() {
-    run(async {
-        let bed = bed(MARGIN).await;
-        let after = query_after_hold_ups(&bed).await;
-        assert!(after >= AIM - MARGIN, "{after:?}");
+fn the_margin_stays_fixed_after_stalls_if_its_maximum_is_the_minimum() {
+    run_test(async {
+        let bed = start_test_bed(MIN_MARGIN).await;
+        let after_stalls = time_query_after_stalls(&bed).await;
+        assert!(
+            after_stalls >= LATENCY_TARGET - MIN_MARGIN,
+            "{after_stalls:?}"
+        );
     });
 }
 
 #[test]
-fn a_caller_that_spent_some_of_its_aim_before_is_answered_sooner() {
-    run(async {
-        let bed = bed(Duration::from_millis(200)).await;
-        let whole = query_with(&bed, &[("sablehaven-deadline-ms", "3000")]).await;
-        assert!(whole > AIM - MARGIN * 2, "{whole:?}");
-        // 50 ms of its time are over.
-        let spent = query_with(&bed, &[("sablehaven-deadline-ms", "2950")]).await;
-        assert!(spent < AIM - MARGIN * 3 / 2, "{spent:?}");
+fn time_that_a_caller_spent_earlier_is_deducted_from_the_latency_target() {
+    run_test(async {
+        let bed = start_test_bed(Duration::from_millis(200)).await;
+        let on_time = time_query_with_headers(&bed, &[("sablehaven-deadline-ms", "3000")]).await;
+        assert!(on_time > LATENCY_TARGET - MIN_MARGIN * 2, "{on_time:?}");
+        // The caller has spent 50 ms of its 3,000 ms.
+        let delayed = time_query_with_headers(&bed, &[("sablehaven-deadline-ms", "2950")]).await;
+        assert!(delayed < LATENCY_TARGET - MIN_MARGIN * 3 / 2, "{delayed:?}");
     });
 }
--- a/crates/sablehaven-gateway/tests/gateway/cold.rs
+++ b/crates/sablehaven-gateway/tests/gateway/cold.rs
@@ -1,5 +1,5 @@
-//! Cold servers get no more than they bear. The first server of each service is in zone `a`, the others are
-//! in `b`.
+//! Tests that a gateway keeps to the request rate limit of cold servers. The first server of each service is in
+//! zone `a`, the others are in `b`.
 
 use std::time::Instant;
 
@@ -7,60 +7,60 @@
 use sablehaven_standins::routed::Behaviour;
 use sablehaven_types::RequestKind;
 
-use crate::support::routes::single;
-use crate::support::{Bed, run};
+use crate::support::routes::service_route;
+use crate::support::{TestBed, run_test};
 
-/// Requests a second that a cold server bears in these tests, and what the test allows for its duration.
-const BORNE_PER_SECOND: f64 = 2.0;
+/// Rate limit of a cold server. The tests accept this rate for the time that has passed.
+const COLD_REQUESTS_PER_SECOND: f64 = 2.0;
 
-async fn bed(bodies: &[&str]) -> Bed {
-    let mut bed = Bed::new().await;
-    bed.warmup_per_second = BORNE_PER_SECOND;
+async fn start_test_bed(bodies: &[&str]) -> TestBed {
+    let mut bed = TestBed::new().await;
+    bed.warmup_per_second = COLD_REQUESTS_PER_SECOND;
     let servers: Vec<Behaviour> = bodies.iter().copied().map(Behaviour::answer).collect();
-    bed.serve("search", &servers).await;
-    bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+    bed.add_servers("search", &servers).await;
+    bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
         .await;
     bed
 }
 
-/// What the server may have got since `started`.
-fn allowed(started: Instant) -> usize {
-    (started.elapsed().as_secs_f64() * BORNE_PER_SECOND).ceil() as usize + 1
+/// Maximum number of requests that the cold server may have received since `started`.
+fn max_requests(started: Instant) -> usize {
+    (started.elapsed().as_secs_f64() * COLD_REQUESTS_PER_SECOND).ceil() as usize + 1
 }
 
 #[test]
-fn while_a_server_is_cold_the_others_get_what_it_does_not_bear() {
-    run(async {
-        let mut bed = bed(&["near", "far"]).await;
+fn requests_beyond_the_limit_of_a_cold_server_go_to_the_others() {
+    run_test(async {
+        let mut bed = start_test_bed(&["near", "far"]).await;
         assert_eq!(&bed.get("warm", "/q/x").await.body[..], b"near");
         let before = bed.server("search", 0).seen().len();
-        // The same start of a server may turn cold again.
-        bed.cool("search-0");
-        bed.settle(1).await;
+        // A server can become cold again without a restart.
+        bed.set_cold("search-0");
+        bed.wait_until_applied(1).await;
         let started = Instant::now();
         for number in 0..30 {
-            let answer = bed.get(&format!("cold-{number}"), "/q/x").await;
-            assert_eq!(answer.status, StatusCode::OK);
+            let response = bed.get(&format!("cold-{number}"), "/q/x").await;
+            assert_eq!(response.status, StatusCode::OK);
         }
-        let got = bed.server("search", 0).seen().len() - before;
-        assert!(got <= allowed(started), "{got} requests");
+        let received = bed.server("search", 0).seen().len() - before;
+        assert!(received <= max_requests(started), "{received} requests");
     });
 }
 
 #[test]
-fn a_server_whose_zone_was_evacuated_counts_as_cold_at_first() {
-    run(async {
-        let bed = bed(&["near"]).await;
+fn servers_count_as_cold_when_the_evacuation_of_their_zone_ends() {
+    run_test(async {
+        let bed = start_test_bed(&["near"]).await;
         bed.evacuate(5, &["a"]).await;
         bed.evacuate(6, &[]).await;
         let started = Instant::now();
         let mut refused = 0;
         for number in 0..30 {
-            let answer = bed.get(&format!("{number}"), "/q/x").await;
-            refused += usize::from(answer.status == StatusCode::SERVICE_UNAVAILABLE);
+            let response = bed.get(&format!("{number}"), "/q/x").await;
+            refused += usize::from(response.status == StatusCode::SERVICE_UNAVAILABLE);
         }
-        let got = bed.arrivals("search");
-        assert!(got <= allowed(started), "{got} requests");
-        assert_eq!(refused + got, 30);
+        let received = bed.arrivals("search");
+        assert!(received <= max_requests(started), "{received} requests");
+        assert_eq!(refused + received, 30);
     });
 }
--- a/crates/sablehaven-gateway/tests/gateway/gathers.rs
+++ b/crates/sablehaven-gateway/tests/gateway/gathers.rs
@@ -1,30 +1,31 @@
-//! Queries over shards: whole, partial, failed; always with the truth about what is missing.
+//! Tests of queries over shards that get a complete, a partial or no result. The response always reports the missing
+//! parts correctly.
 
 use std::time::Duration;
 
 use hyper::StatusCode;
 use sablehaven_standins::routed::Behaviour;
 
-use crate::support::routes::{gather, record};
-use crate::support::{Answer, Bed, run, until};
+use crate::support::routes::{gather_route, record};
+use crate::support::{Response, TestBed, run_test, wait_until};
 
-fn missing(answer: &Answer) -> usize {
-    let text = answer
+fn missing_parts(response: &Response) -> usize {
+    let text = response
         .header("sablehaven-missing-parts")
-        .expect("the count");
+        .expect("the number of missing parts");
     text.parse().expect("a number")
 }
 
-fn stamps(answer: &Answer) -> Vec<String> {
-    let text = answer
+fn part_stamps(response: &Response) -> Vec<String> {
+    let text = response
         .header("sablehaven-part-stamps")
-        .expect("the signatures");
+        .expect("the stamps of the parts");
     text.split(',')
         .map(|stamp| stamp.trim().to_owned())
         .collect()
 }
 
-fn shard_body(values: &[u8]) -> Behaviour {
+fn answer_with_records(values: &[u8]) -> Behaviour {
     Behaviour::answer(
         values
             .iter()
@@ -35,37 +36,38 @@
 
 const SHARDS: [&str; 4] = ["s0", "s1", "s2", "s3"];
 
-/// Four shards, each with two servers that answer alike.
-async fn bed(min_coverage: f64) -> Bed {
-    serve_shards(Bed::new().await, min_coverage).await
+/// Starts four shards, each with two servers that give the same answer.
+async fn start_test_bed(min_coverage: f64) -> TestBed {
+    add_shards(TestBed::new().await, min_coverage).await
 }
 
-/// The same, with nothing for extra attempts before many requests have come.
-async fn bed_without_slack(min_coverage: f64) -> Bed {
-    let bed = Bed::with(|config| config.retries.slack = 0.0).await;
-    serve_shards(bed, min_coverage).await
+/// Like [`start_test_bed`], but without slack, so that no extra attempt is allowed until many requests have arrived.
+async fn start_test_bed_without_slack(min_coverage: f64) -> TestBed {
+    let bed = TestBed::with(|config| config.retries.slack = 0.0).await;
+    add_shards(bed, min_coverage).await
 }
 
-async fn serve_shards(mut bed: Bed, min_coverage: f64) -> Bed {
+async fn add_shards(mut bed: TestBed, min_coverage: f64) -> TestBed {
     for (position, shard) in SHARDS.iter().enumerate() {
-        let body = shard_body(&[position as u8, 10 + position as u8]);
-        bed.serve(shard, &[body.clone(), body]).await;
+        let behaviour = answer_with_records(&[position as u8, 10 + position as u8]);
+        bed.add_servers(shard, &[behaviour.clone(), behaviour])
+            .await;
     }
-    bed.route(1, vec![gather("/g/", &SHARDS, min_coverage)])
+    bed.apply_routes(1, vec![gather_route("/g/", &SHARDS, min_coverage)])
         .await;
     bed
 }
 
 #[test]
-fn a_whole_answer_holds_the_greatest_records_of_one_server_of_each_shard() {
-    run(async {
-        let bed = bed(0.9).await;
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(answer.status, StatusCode::OK);
+fn a_complete_result_has_the_greatest_records_of_one_server_per_shard() {
+    run_test(async {
+        let bed = start_test_bed(0.9).await;
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(response.status, StatusCode::OK);
         let expected = [record(13), record(12), record(11)].concat();
-        assert_eq!(answer.body[..], expected[..]);
-        assert_eq!(missing(&answer), 0);
-        let mut shards: Vec<String> = stamps(&answer)
+        assert_eq!(response.body[..], expected[..]);
+        assert_eq!(missing_parts(&response), 0);
+        let mut shards: Vec<String> = part_stamps(&response)
             .iter()
             .map(|stamp| stamp[..2].to_owned())
             .collect();
@@ -85,167 +87,182 @@
 }
 
 #[test]
-fn a_shard_whose_servers_are_gone_is_counted_as_missing() {
-    run(async {
-        let bed = bed(0.7).await;
+fn a_shard_whose_servers_reset_connections_is_counted_as_missing() {
+    run_test(async {
+        let bed = start_test_bed(0.7).await;
         for server in &bed.servers["s3"] {
             server.set(Behaviour::Reset);
         }
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(answer.status, StatusCode::OK);
-        assert_eq!(missing(&answer), 1);
-        assert_eq!(stamps(&answer).len(), 3);
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(response.status, StatusCode::OK);
+        assert_eq!(missing_parts(&response), 1);
+        assert_eq!(part_stamps(&response).len(), 3);
         let expected = [record(12), record(11), record(10)].concat();
-        assert_eq!(answer.body[..], expected[..]);
+        assert_eq!(response.body[..], expected[..]);
     });
 }
 
 #[test]
-fn a_server_s_failure_is_no_part() {
-    run(async {
-        let bed = bed(0.7).await;
+fn an_error_response_of_a_server_does_not_count_as_a_part() {
+    run_test(async {
+        let bed = start_test_bed(0.7).await;
         for server in &bed.servers["s1"] {
             server.set(Behaviour::Fail);
         }
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(answer.status, StatusCode::OK);
-        assert_eq!(missing(&answer), 1);
-        assert!(stamps(&answer).iter().all(|stamp| !stamp.starts_with("s1")));
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(response.status, StatusCode::OK);
+        assert_eq!(missing_parts(&response), 1);
+        assert!(
+            part_stamps(&response)
+                .iter()
+                .all(|stamp| !stamp.starts_with("s1"))
+        );
     });
 }
 
 #[test]
-fn too_few_shards_are_no_answer() {
-    run(async {
-        let bed = bed(0.9).await;
+fn a_query_fails_when_too_few_shards_answer() {
+    run_test(async {
+        let bed = start_test_bed(0.9).await;
         for server in &bed.servers["s3"] {
             server.set(Behaviour::Reset);
         }
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-        assert!(answer.header("sablehaven-part-stamps").is_none());
-        // Given up means answered at once, not shortly before the deadline.
-        assert!(answer.taken < Duration::from_secs(2), "{:?}", answer.taken);
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+        assert!(response.header("sablehaven-part-stamps").is_none());
+        // A query that cannot succeed any more is answered at once, not shortly before the deadline.
+        assert!(
+            response.elapsed < Duration::from_secs(2),
+            "{:?}",
+            response.elapsed
+        );
     });
 }
 
 #[test]
-fn before_its_aim_a_query_is_answered_with_what_is_in() {
-    run(async {
-        let bed = bed(0.7).await;
+fn a_query_is_answered_before_its_latency_target_with_the_parts_that_have_arrived() {
+    run_test(async {
+        let bed = start_test_bed(0.7).await;
         for server in &bed.servers["s2"] {
             server.set(Behaviour::Silent);
         }
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(answer.status, StatusCode::OK);
-        assert_eq!(missing(&answer), 1);
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(response.status, StatusCode::OK);
+        assert_eq!(missing_parts(&response), 1);
         assert!(
-            answer.taken >= Duration::from_millis(300),
+            response.elapsed >= Duration::from_millis(300),
             "{:?}",
-            answer.taken
+            response.elapsed
         );
     });
 }
 
 #[test]
-fn what_an_answered_query_does_not_need_any_more_is_cancelled() {
-    run(async {
-        let bed = bed(0.7).await;
+fn open_attempts_are_cancelled_when_the_query_is_answered() {
+    run_test(async {
+        let bed = start_test_bed(0.7).await;
         let slow = Behaviour::after(Duration::from_secs(5), record(1));
         for server in &bed.servers["s2"] {
             server.set(slow.clone());
         }
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(missing(&answer), 1);
-        let all_left = || {
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(missing_parts(&response), 1);
+        let all_abandoned = || {
             let servers = &bed.servers["s2"];
-            let asked: usize = servers.iter().map(|server| server.seen().len()).sum();
-            let left: u64 = servers.iter().map(|server| server.abandoned()).sum();
-            left == asked as u64
+            let received: usize = servers.iter().map(|server| server.seen().len()).sum();
+            let abandoned: u64 = servers.iter().map(|server| server.abandoned()).sum();
+            abandoned == received as u64
         };
-        until("the attempts are cancelled", all_left).await;
+        wait_until("the attempts are cancelled", all_abandoned).await;
     });
 }
 
 #[test]
-fn a_server_that_stands_still_is_hedged() {
-    run(async {
-        let bed = bed(1.0).await;
+fn an_attempt_at_a_stalled_server_is_hedged() {
+    run_test(async {
+        let bed = start_test_bed(1.0).await;
         bed.server("s2", 0).set(Behaviour::Silent);
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(answer.status, StatusCode::OK);
-        assert_eq!(missing(&answer), 0);
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(response.status, StatusCode::OK);
+        assert_eq!(missing_parts(&response), 0);
         assert_eq!(bed.server("s2", 1).seen().len(), 1);
     });
 }
 
 #[test]
-fn a_lost_part_that_the_query_needs_is_asked_for_again() {
-    run(async {
-        let bed = bed(1.0).await;
+fn a_lost_part_that_the_query_needs_is_retried() {
+    run_test(async {
+        let bed = start_test_bed(1.0).await;
         bed.server("s2", 0).set(Behaviour::Reset);
         for number in 0..4 {
-            let answer = bed.get(&format!("{number}"), "/g/x").await;
-            assert_eq!(answer.status, StatusCode::OK);
-            assert_eq!(missing(&answer), 0);
+            let response = bed.get(&format!("{number}"), "/g/x").await;
+            assert_eq!(response.status, StatusCode::OK);
+            assert_eq!(missing_parts(&response), 0);
         }
     });
 }
 
 #[test]
-fn a_query_that_cannot_get_what_it_needs_ends_at_once_and_promises_nothing() {
-    run(async {
-        let bed = bed_without_slack(1.0).await;
+fn a_query_that_cannot_reach_its_coverage_fails_at_once_with_an_unknown_outcome() {
+    run_test(async {
+        let bed = start_test_bed_without_slack(1.0).await;
         for server in 0..2 {
             bed.server("s2", server).set(Behaviour::Reset);
             let slow = Behaviour::after(Duration::from_millis(250), record(1));
             bed.server("s0", server).set(slow);
         }
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-        assert!(answer.taken < Duration::from_millis(200), "{answer:?}");
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+        assert!(
+            response.elapsed < Duration::from_millis(200),
+            "{response:?}"
+        );
     });
 }
 
 #[test]
-fn a_lost_part_that_the_query_can_do_without_is_left_out_when_all_others_are_in() {
-    run(async {
-        let bed = bed_without_slack(0.75).await;
+fn a_lost_part_that_the_query_does_not_need_is_left_out_once_all_others_have_arrived() {
+    run_test(async {
+        let bed = start_test_bed_without_slack(0.75).await;
         for server in 0..2 {
             bed.server("s2", server).set(Behaviour::Reset);
         }
-        let answer = bed.get("1", "/g/x").await;
-        assert_eq!(answer.status, StatusCode::OK);
-        assert_eq!(missing(&answer), 1);
-        assert!(answer.taken < Duration::from_millis(200), "{answer:?}");
+        let response = bed.get("1", "/g/x").await;
+        assert_eq!(response.status, StatusCode::OK);
+        assert_eq!(missing_parts(&response), 1);
+        assert!(
+            response.elapsed < Duration::from_millis(200),
+            "{response:?}"
+        );
     });
 }
 
 #[test]
-fn a_query_keeps_the_shards_of_the_version_that_it_came_with() {
-    run(async {
-        let mut bed = bed(1.0).await;
+fn a_query_uses_the_shards_of_the_routes_version_at_its_arrival() {
+    run_test(async {
+        let mut bed = start_test_bed(1.0).await;
         for shard in ["t0", "t1"] {
-            bed.serve(shard, &[shard_body(&[200])]).await;
+            bed.add_servers(shard, &[answer_with_records(&[200])]).await;
         }
         let slow = Behaviour::after(Duration::from_millis(250), record(1));
         bed.server("s0", 0).set(slow.clone());
         bed.server("s0", 1).set(slow);
-        let asking = bed.get("1", "/g/x");
+        let request = bed.get("1", "/g/x");
         let address = bed.address;
-        let changed = async {
+        let other_request = async {
             tokio::time::sleep(Duration::from_millis(80)).await;
-            crate::support::call(address, Some("other"), "GET", "/none", &[], "").await
+            crate::support::send_request(address, Some("other"), "GET", "/none", &[], "").await
         };
-        let (answer, _) = tokio::join!(asking, changed);
-        assert_eq!(answer.status, StatusCode::OK);
-        let first = stamps(&answer);
+        let (response, _) = tokio::join!(request, other_request);
+        assert_eq!(response.status, StatusCode::OK);
+        let first = part_stamps(&response);
         assert!(
             first.iter().all(|stamp| stamp.starts_with('s')),
             "{first:?}"
         );
-        bed.route(2, vec![gather("/g/", &["t0", "t1"], 1.0)]).await;
-        let second = stamps(&bed.get("2", "/g/x").await);
+        bed.apply_routes(2, vec![gather_route("/g/", &["t0", "t1"], 1.0)])
+            .await;
+        let second = part_stamps(&bed.get("2", "/g/x").await);
         assert!(
             second.iter().all(|stamp| stamp.starts_with('t')),
             "{second:?}"
--- a/crates/sablehaven-gateway/tests/gateway/main.rs
+++ b/crates/sablehaven-gateway/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway between a caller, a stand-in control replica and stand-in servers.
+//! Tests of the gateway with a caller and test doubles of a control replica and of servers.
 
 mod answer_margin;
 mod cold;
--- a/crates/sablehaven-gateway/tests/gateway/once.rs
+++ b/crates/sablehaven-gateway/tests/gateway/once.rs
@@ -1,23 +1,27 @@
-//! Requests that may not be repeated: at most one run, and true refusals.
+//! Tests of non-idempotent requests: each runs at most once, and a response promises that it has not run only
+//! if that is true.
 
 use hyper::StatusCode;
 use sablehaven_standins::routed::Behaviour;
 use sablehaven_types::RequestKind;
 
-use crate::support::routes::single;
-use crate::support::{Bed, run};
+use crate::support::routes::service_route;
+use crate::support::{TestBed, run_test};
 
-async fn bed(first: Behaviour, second: Behaviour) -> Bed {
-    let mut bed = Bed::new().await;
-    bed.serve("sync", &[first, second]).await;
-    bed.route(1, vec![single("/s/", RequestKind::NonIdempotent, "sync")])
-        .await;
+async fn start_test_bed(first: Behaviour, second: Behaviour) -> TestBed {
+    let mut bed = TestBed::new().await;
+    bed.add_servers("sync", &[first, second]).await;
+    bed.apply_routes(
+        1,
+        vec![service_route("/s/", RequestKind::NonIdempotent, "sync")],
+    )
+    .await;
     bed
 }
 
 #[test]
-fn a_request_that_may_have_run_is_not_sent_again_and_gets_no_promise() {
-    let unclear = [
+fn a_request_that_may_have_run_is_not_retried_and_its_outcome_is_unknown() {
+    let unclear_replies = [
         Behaviour::Reset,
         Behaviour::Close,
         Behaviour::CutOff,
@@ -27,61 +31,61 @@
         Behaviour::Unsigned,
         Behaviour::Encoded,
     ];
-    for behaviour in unclear {
-        run(async move {
-            let bed = bed(behaviour.clone(), behaviour.clone()).await;
-            let answer = bed.send("1", "POST", "/s/x", &[], "grades").await;
-            assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{behaviour:?}");
+    for behaviour in unclear_replies {
+        run_test(async move {
+            let bed = start_test_bed(behaviour.clone(), behaviour.clone()).await;
+            let response = bed.send("1", "POST", "/s/x", &[], "grades").await;
+            assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{behaviour:?}");
             assert_eq!(bed.arrivals("sync"), 1, "{behaviour:?}");
         });
     }
 }
 
 #[test]
-fn a_request_that_a_server_turned_away_goes_to_another_one() {
-    for turned_away in [Behaviour::Shed, Behaviour::Misdirected] {
-        run(async move {
-            let bed = bed(turned_away, Behaviour::answer("done")).await;
-            let answer = bed.send("1", "POST", "/s/x", &[], "grades").await;
-            assert_eq!(answer.status, StatusCode::OK);
-            assert_eq!(&answer.body[..], b"done");
+fn a_request_that_a_server_rejected_without_running_it_goes_to_another_server() {
+    for rejection in [Behaviour::Shed, Behaviour::Misdirected] {
+        run_test(async move {
+            let bed = start_test_bed(rejection, Behaviour::answer("done")).await;
+            let response = bed.send("1", "POST", "/s/x", &[], "grades").await;
+            assert_eq!(response.status, StatusCode::OK);
+            assert_eq!(&response.body[..], b"done");
         });
     }
 }
 
 #[test]
-fn a_request_that_all_servers_turned_away_is_refused_with_when_to_come_back() {
-    run(async {
-        let bed = bed(Behaviour::Shed, Behaviour::Shed).await;
-        let answer = bed.send("1", "POST", "/s/x", &[], "grades").await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        let pause: f64 = answer
+fn a_request_that_all_servers_rejected_is_refused_with_a_retry_delay() {
+    run_test(async {
+        let bed = start_test_bed(Behaviour::Shed, Behaviour::Shed).await;
+        let response = bed.send("1", "POST", "/s/x", &[], "grades").await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        let retry_after_s: f64 = response
             .header("retry-after")
             .and_then(|text| text.parse().ok())
-            .expect("when to come back");
-        assert!(pause > 0.0);
+            .expect("a Retry-After header");
+        assert!(retry_after_s > 0.0);
     });
 }
 
 #[test]
-fn a_server_s_own_503_promises_nothing_and_is_handed_back() {
-    run(async {
-        let bed = bed(Behaviour::Unavailable, Behaviour::answer("done")).await;
-        let answer = bed.send("1", "POST", "/s/x", &[], "grades").await;
-        // The server's answer has no word that it did not run the request, so the gateway may
-        // neither send it again nor promise by its own 503 that it never ran.
+fn a_503_of_a_server_without_a_not_executed_header_leaves_the_outcome_unknown() {
+    run_test(async {
+        let bed = start_test_bed(Behaviour::Unavailable, Behaviour::answer("done")).await;
+        let response = bed.send("1", "POST", "/s/x", &[], "grades").await;
+        // The server's response does not say that the request was not executed. So the gateway must neither retry it
+        // nor respond with a 503 of its own, which would promise that the request has not run.
         assert_eq!(bed.arrivals("sync"), 1);
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     });
 }
 
 #[test]
-fn a_silent_server_is_not_hedged() {
-    run(async {
-        let bed = bed(Behaviour::Silent, Behaviour::answer("done")).await;
+fn an_attempt_at_a_silent_server_is_not_hedged() {
+    run_test(async {
+        let bed = start_test_bed(Behaviour::Silent, Behaviour::answer("done")).await;
         let headers = [("sablehaven-deadline-ms", "600")];
-        let answer = bed.send("1", "POST", "/s/x", &headers, "grades").await;
-        assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
+        let response = bed.send("1", "POST", "/s/x", &headers, "grades").await;
+        assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
         assert_eq!(bed.arrivals("sync"), 1);
     });
 }
--- a/crates/sablehaven-gateway/tests/gateway/refusals.rs
+++ b/crates/sablehaven-gateway/tests/gateway/refusals.rs
@@ -1,4 +1,4 @@
-//! What the gateway answers by itself.
+//! Tests of the responses that the gateway gives without a server: refusals and errors.
 
 use std::time::Duration;
 
@@ -6,110 +6,113 @@
 use sablehaven_standins::routed::Behaviour;
 use sablehaven_types::RequestKind;
 
-use crate::support::routes::single;
-use crate::support::{Bed, NAMES, call, run};
+use crate::support::routes::service_route;
+use crate::support::{HEADER_NAMES, TestBed, run_test, send_request};
 
 #[test]
-fn without_routes_the_answer_is_503_with_when_to_come_back_and_never_404() {
-    run(async {
-        let bed = Bed::new().await;
-        let answer = bed.get("1", "/anything").await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.header("retry-after").is_some());
-        let ready = call(bed.ready, None, "GET", "/ready", &[], "").await;
+fn without_routes_the_response_is_503_with_a_retry_delay_and_never_404() {
+    run_test(async {
+        let bed = TestBed::new().await;
+        let response = bed.get("1", "/anything").await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.header("retry-after").is_some());
+        let ready = send_request(bed.ready_address, None, "GET", "/ready", &[], "").await;
         assert_eq!(ready.status, StatusCode::SERVICE_UNAVAILABLE);
     });
 }
 
 #[test]
-fn a_second_try_waits_for_the_first_routes_and_a_first_one_is_told_when_to_come_back() {
-    run(async {
-        let mut bed = Bed::new().await;
+fn a_resend_waits_for_the_first_routes_and_a_first_try_is_refused_with_a_retry_delay() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
         let address = bed.address;
-        let first_try = [("sablehaven-deadline-ms", "20000")];
-        let answer = bed.send("1", "GET", "/q/x", &first_try, "").await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.header("retry-after").is_some());
-        let asking = async {
-            let second_try = [("sablehaven-deadline-ms", "19000")];
-            call(address, Some("1-2"), "GET", "/q/x", &second_try, "").await
+        let first_try_headers = [("sablehaven-deadline-ms", "20000")];
+        let response = bed.send("1", "GET", "/q/x", &first_try_headers, "").await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.header("retry-after").is_some());
+        let resend = async {
+            let resend_headers = [("sablehaven-deadline-ms", "19000")];
+            send_request(address, Some("1-2"), "GET", "/q/x", &resend_headers, "").await
         };
-        let serving = async {
-            // The second try is at the gateway by then; without that the test would show nothing.
+        let configuration_change = async {
+            // The resend has reached the gateway by now. Otherwise the test would not show that it waits.
             tokio::time::sleep(Duration::from_millis(300)).await;
-            bed.serve("search", &[Behaviour::answer("ok")]).await;
-            bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+            bed.add_servers("search", &[Behaviour::answer("ok")]).await;
+            bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
                 .await;
         };
-        let (answer, ()) = tokio::join!(asking, serving);
-        assert_eq!(answer.status, StatusCode::OK);
+        let (response, ()) = tokio::join!(resend, configuration_change);
+        assert_eq!(response.status, StatusCode::OK);
     });
 }
 
 #[test]
-fn a_second_try_that_waited_in_vain_is_refused_with_half_of_its_time_left() {
-    run(async {
-        let bed = Bed::new().await;
-        let first_try = [("sablehaven-deadline-ms", "3000")];
-        bed.send("1", "GET", "/q/x", &first_try, "").await;
-        let second_try = [("sablehaven-deadline-ms", "500")];
-        let answer = bed.send("1-2", "GET", "/q/x", &second_try, "").await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.header("retry-after").is_some());
-        let waited = Duration::from_millis(200);
-        assert!(answer.taken >= waited, "{:?}", answer.taken);
+fn a_resend_that_waited_in_vain_is_refused_with_half_of_its_time_left() {
+    run_test(async {
+        let bed = TestBed::new().await;
+        let first_try_headers = [("sablehaven-deadline-ms", "3000")];
+        bed.send("1", "GET", "/q/x", &first_try_headers, "").await;
+        let resend_headers = [("sablehaven-deadline-ms", "500")];
+        let response = bed.send("1-2", "GET", "/q/x", &resend_headers, "").await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.header("retry-after").is_some());
+        let min_wait = Duration::from_millis(200);
+        assert!(response.elapsed >= min_wait, "{:?}", response.elapsed);
     });
 }
 
 #[test]
-fn requests_that_cannot_be_served_are_told_why() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("search", &[Behaviour::answer("ok")]).await;
-        bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+fn requests_that_cannot_be_served_get_the_matching_status() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("search", &[Behaviour::answer("ok")]).await;
+        bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
-        let ready = call(bed.ready, None, "GET", "/ready", &[], "").await;
+        let ready = send_request(bed.ready_address, None, "GET", "/ready", &[], "").await;
         assert_eq!(ready.status, StatusCode::OK);
         let unknown = bed.get("1", "/other/x").await;
         assert_eq!(unknown.status, StatusCode::NOT_FOUND);
-        let nameless = call(bed.address, None, "GET", "/q/x", &[], "").await;
-        assert_eq!(nameless.status, StatusCode::BAD_REQUEST);
-        let large = bed.send("2", "POST", "/q/x", &[], &"x".repeat(1_001)).await;
-        assert_eq!(large.status, StatusCode::PAYLOAD_TOO_LARGE);
+        let without_id = send_request(bed.address, None, "GET", "/q/x", &[], "").await;
+        assert_eq!(without_id.status, StatusCode::BAD_REQUEST);
+        let large_body = bed.send("2", "POST", "/q/x", &[], &"x".repeat(1_001)).await;
+        assert_eq!(large_body.status, StatusCode::PAYLOAD_TOO_LARGE);
         let long = "y".repeat(40_000);
-        let headed = bed.send("3", "GET", "/q/x", &[("x-long", &long)], "").await;
-        assert_eq!(headed.status, StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+        let large_header = bed.send("3", "GET", "/q/x", &[("x-long", &long)], "").await;
+        assert_eq!(
+            large_header.status,
+            StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE
+        );
         assert_eq!(bed.arrivals("search"), 0);
     });
 }
 
 #[test]
-fn a_service_without_servers_is_refused_at_once() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("other", &[Behaviour::answer("ok")]).await;
-        bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+fn a_request_for_a_service_without_servers_is_refused_at_once() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("other", &[Behaviour::answer("ok")]).await;
+        bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
-        let answer = bed.get("1", "/q/x").await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.header("retry-after").is_some());
+        let response = bed.get("1", "/q/x").await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.header("retry-after").is_some());
     });
 }
 
 #[test]
-fn too_many_requests_are_refused_at_once() {
-    run(async {
-        let mut bed = Bed::with(|config| config.max_requests = 2).await;
-        bed.serve("search", &[Behaviour::Silent]).await;
-        bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+fn requests_beyond_the_maximum_are_refused_at_once() {
+    run_test(async {
+        let mut bed = TestBed::with(|config| config.max_requests = 2).await;
+        bed.add_servers("search", &[Behaviour::Silent]).await;
+        bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
         let deadline = [("sablehaven-deadline-ms", "700")];
-        let held = |id: &'static str| bed.send(id, "GET", "/q/x", &deadline, "");
+        let open_request = |id: &'static str| bed.send(id, "GET", "/q/x", &deadline, "");
         let refused = async {
             tokio::time::sleep(Duration::from_millis(150)).await;
             bed.send("3", "GET", "/q/x", &deadline, "").await
         };
-        let (first, second, third) = tokio::join!(held("1"), held("2"), refused);
+        let (first, second, third) = tokio::join!(open_request("1"), open_request("2"), refused);
         assert_eq!(first.status, StatusCode::GATEWAY_TIMEOUT);
         assert_eq!(second.status, StatusCode::GATEWAY_TIMEOUT);
         assert_eq!(third.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -118,16 +121,17 @@
 }
 
 #[test]
-fn the_routes_only_go_forward() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("search", &[Behaviour::answer("new")]).await;
-        bed.route(5, vec![single("/q/", RequestKind::Safe, "search")])
+fn routes_of_an_older_version_are_ignored() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("search", &[Behaviour::answer("new")]).await;
+        bed.apply_routes(5, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
-        bed.say_routes(4, vec![single("/old/", RequestKind::Safe, "search")]);
-        // A later list shows that the older routes were read before it.
-        bed.list();
-        bed.settle(5).await;
+        bed.set_routes(4, vec![service_route("/old/", RequestKind::Safe, "search")]);
+        // The older routes are sent along with this newer list, and the gateway reports the list once it has received
+        // it.
+        bed.publish_listing();
+        bed.wait_until_applied(5).await;
         assert_eq!(bed.get("1", "/q/x").await.status, StatusCode::OK);
         assert_eq!(bed.get("2", "/old/x").await.status, StatusCode::NOT_FOUND);
         assert_eq!(bed.status().map(|status| status.routes_version), Some(5));
@@ -135,18 +139,18 @@
 }
 
 #[test]
-fn while_nearly_all_requests_fail_some_are_refused_at_once_and_reach_no_server() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("search", &[Behaviour::Reset]).await;
-        bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+fn while_most_requests_fail_some_are_refused_and_reach_no_server() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("search", &[Behaviour::Reset]).await;
+        bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
         let mut refused = Vec::new();
         for number in 0..100 {
             let id = number.to_string();
-            let answer = bed.get(&id, "/q/x").await;
-            if answer.status == StatusCode::SERVICE_UNAVAILABLE {
-                assert!(answer.header("retry-after").is_some());
+            let response = bed.get(&id, "/q/x").await;
+            if response.status == StatusCode::SERVICE_UNAVAILABLE {
+                assert!(response.header("retry-after").is_some());
                 refused.push(id);
             }
         }
@@ -154,33 +158,40 @@
         assert!(refused.len() < 95, "{} of 100 were refused", refused.len());
         let seen = bed.server("search", 0).seen();
         let has_reached = |id: &&String| {
-            let ids = seen.iter().filter_map(|seen| seen.header(NAMES.request_id));
-            ids.into_iter().any(|known| known == id.as_str())
+            let reached_ids = seen
+                .iter()
+                .filter_map(|seen| seen.header(HEADER_NAMES.request_id));
+            reached_ids
+                .into_iter()
+                .any(|reached_id| reached_id == id.as_str())
         };
         assert_eq!(refused.iter().find(has_reached), None);
     });
 }
 
 #[test]
-fn a_caller_that_comes_again_is_not_refused_for_the_failures_of_others() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("search", &[Behaviour::Reset]).await;
-        bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+fn a_resend_is_not_refused_for_the_failures_of_other_requests() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("search", &[Behaviour::Reset]).await;
+        bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
-        let first_try = [("sablehaven-deadline-ms", "3000")];
-        let second_try = [("sablehaven-deadline-ms", "2500")];
-        let mut refused_first = 0;
-        let mut refused_second = 0;
+        let first_try_headers = [("sablehaven-deadline-ms", "3000")];
+        let resend_headers = [("sablehaven-deadline-ms", "2500")];
+        let mut refused_first_tries = 0;
+        let mut refused_resends = 0;
         for number in 0..100 {
             let id = format!("{number}-1");
-            let answer = bed.send(&id, "GET", "/q/x", &first_try, "").await;
-            refused_first += usize::from(answer.status == StatusCode::SERVICE_UNAVAILABLE);
+            let response = bed.send(&id, "GET", "/q/x", &first_try_headers, "").await;
+            refused_first_tries += usize::from(response.status == StatusCode::SERVICE_UNAVAILABLE);
             let id = format!("{number}-2");
-            let answer = bed.send(&id, "GET", "/q/x", &second_try, "").await;
-            refused_second += usize::from(answer.status == StatusCode::SERVICE_UNAVAILABLE);
+            let response = bed.send(&id, "GET", "/q/x", &resend_headers, "").await;
+            refused_resends += usize::from(response.status == StatusCode::SERVICE_UNAVAILABLE);
         }
-        assert!(refused_first > 20, "{refused_first} of 100 were refused");
-        assert_eq!(refused_second, 0);
+        assert!(
+            refused_first_tries > 20,
+            "{refused_first_tries} of 100 were refused"
+        );
+        assert_eq!(refused_resends, 0);
     });
 }
--- a/crates/sablehaven-gateway/tests/gateway/regions.rs
+++ b/crates/sablehaven-gateway/tests/gateway/regions.rs
@@ -1,14 +1,14 @@
-//! Routes that are bound to regions. The first server of each service is in the gateway's region `north`,
-//! the others are in `south`.
+//! Tests of routes that are restricted to regions. The first server of each service is in the gateway's region
+//! `north`, the others are in `south`.
 
 use hyper::StatusCode;
 use sablehaven_standins::routed::Behaviour;
 use sablehaven_types::{RequestKind, Route, RouteTarget, WeightedService};
 
-use crate::support::routes::{gather, single};
-use crate::support::{Bed, assert_unservable, run};
+use crate::support::routes::{gather_route, service_route};
+use crate::support::{TestBed, assert_unavailable, run_test};
 
-fn bound_to(regions: &[&str], route: Route) -> Route {
+fn restricted_to(regions: &[&str], route: Route) -> Route {
     Route {
         allowed_regions: regions.iter().map(|region| (*region).into()).collect(),
         ..route
@@ -16,42 +16,46 @@
 }
 
 #[test]
-fn only_servers_of_allowed_regions_are_asked() {
-    run(async {
-        let mut bed = Bed::new().await;
+fn requests_only_go_to_servers_in_allowed_regions() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
         let servers = ["near", "far"].map(Behaviour::answer);
-        bed.serve("search", &servers).await;
-        let route = single("/q/", RequestKind::Safe, "search");
-        bed.route(1, vec![bound_to(&["south"], route.clone())])
+        bed.add_servers("search", &servers).await;
+        let route = service_route("/q/", RequestKind::Safe, "search");
+        bed.apply_routes(1, vec![restricted_to(&["south"], route.clone())])
             .await;
         for number in 0..10 {
-            let answer = bed.get(&format!("far-{number}"), "/q/x").await;
-            assert_eq!(&answer.body[..], b"far");
+            let response = bed.get(&format!("far-{number}"), "/q/x").await;
+            assert_eq!(&response.body[..], b"far");
         }
         assert_eq!(bed.server("search", 0).seen().len(), 0);
-        // The regions change as anything else of a route does.
-        bed.route(2, vec![bound_to(&["north"], route)]).await;
+        // The allowed regions change with the routes, like any other property of a route.
+        bed.apply_routes(2, vec![restricted_to(&["north"], route)])
+            .await;
         for number in 0..10 {
-            let answer = bed.get(&format!("near-{number}"), "/q/x").await;
-            assert_eq!(&answer.body[..], b"near");
+            let response = bed.get(&format!("near-{number}"), "/q/x").await;
+            assert_eq!(&response.body[..], b"near");
         }
     });
 }
 
 #[test]
 fn retries_and_hedges_stay_in_the_allowed_regions() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("fails", &[Behaviour::answer("near"), Behaviour::Reset])
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("fails", &[Behaviour::answer("near"), Behaviour::Reset])
             .await;
-        bed.serve("slow", &[Behaviour::answer("near"), Behaviour::Silent])
+        bed.add_servers("slow", &[Behaviour::answer("near"), Behaviour::Silent])
             .await;
         let south = |prefix: &str, service: &str| {
-            let mut route = bound_to(&["south"], single(prefix, RequestKind::Safe, service));
+            let mut route = restricted_to(
+                &["south"],
+                service_route(prefix, RequestKind::Safe, service),
+            );
             route.timeout_ms = 600;
             route
         };
-        bed.route(1, vec![south("/f/", "fails"), south("/s/", "slow")])
+        bed.apply_routes(1, vec![south("/f/", "fails"), south("/s/", "slow")])
             .await;
         let failed = bed.get("1", "/f/x").await;
         assert_eq!(failed.status, StatusCode::BAD_GATEWAY);
@@ -64,25 +68,25 @@
 
 #[test]
 fn without_a_server_in_an_allowed_region_the_request_is_refused_at_once() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("search", &["near", "far"].map(Behaviour::answer))
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("search", &["near", "far"].map(Behaviour::answer))
             .await;
         let split = Route {
             target: RouteTarget::Split(vec![WeightedService {
                 service: "search".into(),
                 weight: 1.0,
             }]),
-            ..single("/split/", RequestKind::NonIdempotent, "search")
+            ..service_route("/split/", RequestKind::NonIdempotent, "search")
         };
         let routes = vec![
-            bound_to(&["west"], single("/q/", RequestKind::Safe, "search")),
-            bound_to(&["west"], split),
-            bound_to(&["west"], gather("/g/", &["search"], 1.0)),
+            restricted_to(&["west"], service_route("/q/", RequestKind::Safe, "search")),
+            restricted_to(&["west"], split),
+            restricted_to(&["west"], gather_route("/g/", &["search"], 1.0)),
         ];
-        bed.route(1, routes).await;
+        bed.apply_routes(1, routes).await;
         for (id, path) in [("1", "/q/x"), ("2", "/split/x"), ("3", "/g/x")] {
-            assert_unservable(&bed.get(id, path).await);
+            assert_unavailable(&bed.get(id, path).await);
         }
         assert_eq!(bed.arrivals("search"), 0);
     });
@@ -90,17 +94,17 @@
 
 #[test]
 fn shards_without_a_server_in_an_allowed_region_are_missing() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve_two_shards(|route| bound_to(&["south"], route))
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.set_up_two_shards(|route| restricted_to(&["south"], route))
             .await;
-        let half = bed.get("1", "/half/x").await;
-        assert_eq!(half.status, StatusCode::OK);
-        assert_eq!(half.header("sablehaven-missing-parts"), Some("1"));
+        let partial = bed.get("1", "/half/x").await;
+        assert_eq!(partial.status, StatusCode::OK);
+        assert_eq!(partial.header("sablehaven-missing-parts"), Some("1"));
         assert_eq!(bed.arrivals("near-only"), 0);
-        // What cannot be answered is not begun: the shard that has a server is not asked either.
-        let asked = bed.arrivals("both");
-        assert_unservable(&bed.get("2", "/all/x").await);
-        assert_eq!(bed.arrivals("both"), asked);
+        // A query that cannot be answered is not started, so the shard that has a server gets no request either.
+        let arrivals_before = bed.arrivals("both");
+        assert_unavailable(&bed.get("2", "/all/x").await);
+        assert_eq!(bed.arrivals("both"), arrivals_before);
     });
 }
--- a/crates/sablehaven-gateway/tests/gateway/replies.rs
+++ b/crates/sablehaven-gateway/tests/gateway/replies.rs
@@ -1,26 +1,25 @@
-//! A server's reply counts only if it is whole, signed and to this request.
+//! Tests that the gateway accepts a server's reply only if it is complete, signed and belongs to the request.
 
 use hyper::StatusCode;
 use sablehaven_standins::routed::Behaviour;
 use sablehaven_types::RequestKind;
 
-use crate::support::routes::single;
-use crate::support::{Bed, run};
+use crate::support::routes::service_route;
+use crate::support::{TestBed, run_test};
 
-/// The near server answers badly, the far one well: the caller gets the good answer and never a part
-/// of the bad one.
-async fn assert_never_handed_on(bad: Behaviour) {
-    let mut bed = Bed::new().await;
-    bed.serve("search", &[bad.clone(), Behaviour::answer("good")])
+/// Checks that the caller gets the good reply of the far server and no part of the bad reply of the near one.
+async fn assert_never_forwarded(bad_reply: Behaviour) {
+    let mut bed = TestBed::new().await;
+    bed.add_servers("search", &[bad_reply.clone(), Behaviour::answer("good")])
         .await;
-    bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+    bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
         .await;
     for number in 0..4 {
-        let answer = bed.get(&format!("{number}"), "/q/x").await;
-        assert_eq!(answer.status, StatusCode::OK, "{bad:?}");
-        assert_eq!(&answer.body[..], b"good", "{bad:?}");
+        let response = bed.get(&format!("{number}"), "/q/x").await;
+        assert_eq!(response.status, StatusCode::OK, "{bad_reply:?}");
+        assert_eq!(&response.body[..], b"good", "{bad_reply:?}");
         assert!(
-            answer
+            response
                 .header("sablehaven-stamp")
                 .is_some_and(|stamp| stamp.starts_with("search-1"))
         );
@@ -28,8 +27,8 @@
 }
 
 #[test]
-fn bad_replies_are_never_handed_on() {
-    let bad = [
+fn bad_replies_are_never_forwarded() {
+    let bad_replies = [
         Behaviour::CutOff,
         Behaviour::Reset,
         Behaviour::Close,
@@ -44,13 +43,13 @@
         Behaviour::Fail,
         Behaviour::Silent,
     ];
-    for bad in bad {
-        run(assert_never_handed_on(bad));
+    for bad_reply in bad_replies {
+        run_test(assert_never_forwarded(bad_reply));
     }
 }
 
 #[test]
-fn every_framing_of_a_whole_body_is_handed_on_unchanged() {
+fn complete_bodies_of_every_framing_are_forwarded_unchanged() {
     let body = b"a body of some length".to_vec();
     let framings = [
         Behaviour::answer(body.clone()),
@@ -59,59 +58,60 @@
     ];
     for framing in framings {
         let body = body.clone();
-        run(async move {
-            let mut bed = Bed::new().await;
-            bed.serve("search", std::slice::from_ref(&framing)).await;
-            bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+        run_test(async move {
+            let mut bed = TestBed::new().await;
+            bed.add_servers("search", std::slice::from_ref(&framing))
+                .await;
+            bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
                 .await;
             for number in 0..3 {
-                let answer = bed.get(&format!("{number}"), "/q/x").await;
-                assert_eq!(answer.status, StatusCode::OK, "{framing:?}");
-                assert_eq!(answer.body[..], body[..], "{framing:?}");
+                let response = bed.get(&format!("{number}"), "/q/x").await;
+                assert_eq!(response.status, StatusCode::OK, "{framing:?}");
+                assert_eq!(response.body[..], body[..], "{framing:?}");
             }
         });
     }
 }
 
 #[test]
-fn a_surplus_answer_belongs_to_no_request() {
-    run(async {
-        let mut bed = Bed::new().await;
+fn a_surplus_response_is_assigned_to_no_request() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
         let surplus = Behaviour::Surplus {
             body: b"mine".to_vec(),
         };
-        bed.serve("search", &[surplus]).await;
-        bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+        bed.add_servers("search", &[surplus]).await;
+        bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
         for number in 0..20 {
-            let answer = bed.get(&format!("{number}"), "/q/x").await;
-            assert_eq!(answer.status, StatusCode::OK);
-            assert_eq!(&answer.body[..], b"mine");
+            let response = bed.get(&format!("{number}"), "/q/x").await;
+            assert_eq!(response.status, StatusCode::OK);
+            assert_eq!(&response.body[..], b"mine");
         }
     });
 }
 
 #[test]
-fn a_server_s_own_failure_is_handed_back_as_it_came() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("search", &[Behaviour::Fail, Behaviour::Fail])
+fn an_error_response_of_a_server_is_forwarded_unchanged() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("search", &[Behaviour::Fail, Behaviour::Fail])
             .await;
-        bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+        bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
-        let answer = bed.get("1", "/q/x").await;
-        assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
-        assert_eq!(&answer.body[..], b"failed");
-        assert!(answer.header("sablehaven-stamp").is_some());
+        let response = bed.get("1", "/q/x").await;
+        assert_eq!(response.status, StatusCode::INTERNAL_SERVER_ERROR);
+        assert_eq!(&response.body[..], b"failed");
+        assert!(response.header("sablehaven-stamp").is_some());
     });
 }
 
 #[test]
-fn the_request_reaches_the_server_as_it_was_sent() {
-    run(async {
-        let mut bed = Bed::new().await;
-        bed.serve("search", &[Behaviour::answer("ok")]).await;
-        bed.route(1, vec![single("/q/", RequestKind::Safe, "search")])
+fn a_request_is_forwarded_unchanged_except_for_hop_by_hop_and_forged_headers() {
+    run_test(async {
+        let mut bed = TestBed::new().await;
+        bed.add_servers("search", &[Behaviour::answer("ok")]).await;
+        bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
             .await;
         let headers = [
             ("x-own", "kept"),
@@ -120,10 +120,10 @@
             ("sablehaven-deadline-ms", "900"),
             ("sablehaven-expect-instance", "forged"),
         ];
-        let answer = bed
+        let response = bed
             .send("id-7", "POST", "/q/a%20b?c=%2F&d", &headers, "the body")
             .await;
-        assert_eq!(answer.status, StatusCode::OK);
+        assert_eq!(response.status, StatusCode::OK);
         let seen = bed.server("search", 0).seen();
         let seen = &seen[0];
         assert_eq!(seen.method, "POST");
@@ -133,10 +133,10 @@
         assert_eq!(seen.header("x-own"), Some("kept"));
         assert_eq!(seen.header("x-hop"), None);
         assert_eq!(seen.header("sablehaven-expect-instance"), Some("search-0"));
-        let left: u64 = seen
+        let time_left_ms: u64 = seen
             .header("sablehaven-deadline-ms")
             .and_then(|text| text.parse().ok())
             .expect("a deadline");
-        assert!((1..=900).contains(&left), "{left}");
+        assert!((1..=900).contains(&time_left_ms), "{time_left_ms}");
     });
 }
--- a/crates/sablehaven-gateway/tests/gateway/support/caller.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: one request on a connection of its own.
+//! A caller that sends each request on a new connection.
 
 use std::{
     net::SocketAddr,
@@ -10,40 +10,49 @@
 use hyper::{Request, StatusCode, header::HeaderMap};
 use sablehaven_http::{Opened, WholeBody, open};
 
-use super::LIMIT;
+use super::WAIT_TIMEOUT;
 
-/// A caller's answer.
+/// The response to a caller's request.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub taken: Duration,
+    pub elapsed: Duration,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
-/// The answer is a true "not run" at once, with about a second to come back.
-pub fn assert_unservable(answer: &Answer) {
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    let pause = answer.header("retry-after").expect("when to come back");
-    assert!(pause.parse::<f64>().expect("seconds") > 0.5, "{pause}");
-    assert!(answer.taken < Duration::from_secs(1), "{:?}", answer.taken);
+/// Asserts that the request was refused at once as not run, with a retry delay of about a second.
+pub fn assert_unavailable(response: &Response) {
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    let retry_after = response
+        .header("retry-after")
+        .expect("a Retry-After header");
+    assert!(
+        retry_after.parse::<f64>().expect("seconds") > 0.5,
+        "{retry_after}"
+    );
+    assert!(
+        response.elapsed < Duration::from_secs(1),
+        "{:?}",
+        response.elapsed
+    );
 }
 
-/// Sends one request on a connection of its own.
-pub async fn call(
+/// Sends a request on a new connection and waits for the whole response.
+pub async fn send_request(
     address: SocketAddr,
     id: Option<&str>,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Answer {
+) -> Response {
     let mut connection = connect(address).await;
     let mut request = Request::builder()
         .method(method)
@@ -60,19 +69,21 @@
     let response = connection
         .send_request(request.expect("a request"))
         .await
-        .expect("an answer");
+        .expect("a response");
     let (head, body) = response.into_parts();
-    let body = body.collect().await.expect("a whole body").to_bytes();
-    Answer {
+    let body = body.collect().await.expect("a complete body").to_bytes();
+    Response {
         status: head.status,
         headers: head.headers,
         body,
-        taken: started.elapsed(),
+        elapsed: started.elapsed(),
     }
 }
 
 async fn connect(address: SocketAddr) -> hyper::client::conn::http1::SendRequest<WholeBody> {
-    let opened = open(None, address, LIMIT, LIMIT).await.expect("connect");
+    let opened = open(None, address, WAIT_TIMEOUT, WAIT_TIMEOUT)
+        .await
+        .expect("connect");
     let Opened {
         sender, connection, ..
     } = opened;
--- a/crates/sablehaven-gateway/tests/gateway/support/control.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/control.rs
@@ -1,4 +1,4 @@
-//! A stand-in control replica that says what the test says.
+//! A test double of a control replica. It sends gateways the state that the test sets.
 
 use std::{
     cell::RefCell,
@@ -14,28 +14,31 @@
 };
 use tokio::{net::TcpListener, sync::watch};
 
-/// What the stand-in control replica says.
+/// The state that the control replica sends to gateways.
 #[derive(Clone, Default)]
-pub(super) struct Said {
-    /// Gateways of zone `a`; one where it is not said.
-    pub(super) gateways: Option<u32>,
+pub(super) struct ControlState {
+    /// Number of gateways in zone `a`; 1 if absent.
+    pub(super) gateway_count: Option<u32>,
     pub(super) routes: Option<Arc<RouteDocument>>,
-    /// Said after the routes.
+    /// A change of the routes; sent after them.
     pub(super) routes_change: Option<RoutesChange>,
     pub(super) listing: Option<Arc<ServerListing>>,
     pub(super) evacuated: EvacuatedZones,
-    pub(super) has_no_part: bool,
+    /// Whether callers are not told of this gateway, so that it has no share of the limits that all gateways
+    /// have together.
+    pub(super) is_unadvertised: bool,
 }
 
-/// The names of the messages that gateways have sent.
-pub(super) type HeardNames = Rc<RefCell<BTreeSet<&'static str>>>;
+/// The kinds of messages that gateways have sent.
+pub(super) type ReceivedKinds = Rc<RefCell<BTreeSet<&'static str>>>;
 
-/// Serves gateways until the test ends.
-pub(super) async fn stand_in_control(
+/// Accepts connections of gateways until the test ends. Sends them the state whenever it changes, and records their
+/// latest status and the kinds of their messages.
+pub(super) async fn run_control_double(
     listener: TcpListener,
-    saying: watch::Receiver<Said>,
-    hearing: watch::Sender<Option<GatewayStatus>>,
-    names: HeardNames,
+    state_receiver: watch::Receiver<ControlState>,
+    status_sender: watch::Sender<Option<GatewayStatus>>,
+    received_kinds: ReceivedKinds,
 ) {
     loop {
         let (stream, address) = listener.accept().await.expect("accept");
@@ -49,15 +52,15 @@
             continue;
         };
         let mut connection = connection.retype::<GatewayToControl, ControlToGateway>();
-        let mut saying = saying.clone();
-        saying.mark_changed();
-        let hearing = hearing.clone();
-        let names = Rc::clone(&names);
+        let mut state_receiver = state_receiver.clone();
+        state_receiver.mark_changed();
+        let status_sender = status_sender.clone();
+        let received_kinds = Rc::clone(&received_kinds);
         tokio::task::spawn_local(async move {
-            let members = |said: &Said| {
+            let members = |state: &ControlState| {
                 ControlToGateway::Members(DeploymentMembers {
-                    gateways: BTreeMap::from([("a".into(), said.gateways.unwrap_or(1))]),
-                    is_sharer: !said.has_no_part,
+                    gateways: BTreeMap::from([("a".into(), state.gateway_count.unwrap_or(1))]),
+                    is_sharer: !state.is_unadvertised,
                     ..DeploymentMembers::default()
                 })
             };
@@ -69,30 +72,30 @@
             connection.writer.send(&message).await.expect("send");
             loop {
                 tokio::select! {
-                    Ok(()) = saying.changed() => {
-                        let said = saying.borrow_and_update().clone();
-                        let message = members(&said);
+                    Ok(()) = state_receiver.changed() => {
+                        let state = state_receiver.borrow_and_update().clone();
+                        let message = members(&state);
                         connection.writer.send(&message).await.expect("send");
-                        let message = ControlToGateway::Evacuation(said.evacuated);
+                        let message = ControlToGateway::Evacuation(state.evacuated);
                         connection.writer.send(&message).await.expect("send");
-                        if let Some(listing) = said.listing {
+                        if let Some(listing) = state.listing {
                             let message = ControlToGateway::Listing(listing);
                             connection.writer.send(&message).await.expect("send");
                         }
-                        if let Some(routes) = said.routes {
+                        if let Some(routes) = state.routes {
                             let message = ControlToGateway::Routes(routes);
                             connection.writer.send(&message).await.expect("send");
                         }
-                        if let Some(change) = said.routes_change {
+                        if let Some(change) = state.routes_change {
                             let message = ControlToGateway::RoutesChange(change);
                             connection.writer.send(&message).await.expect("send");
                         }
                     }
                     received = connection.reader.receive() => match received {
                         Ok(message) => {
-                            names.borrow_mut().insert(name(&message));
+                            received_kinds.borrow_mut().insert(message_kind(&message));
                             if let GatewayToControl::Status(status) = message {
-                                hearing.send_replace(Some(status));
+                                status_sender.send_replace(Some(status));
                             }
                             if connection.writer.send(&ControlToGateway::Alive).await.is_err() {
                                 return;
@@ -106,7 +109,7 @@
     }
 }
 
-fn name(message: &GatewayToControl) -> &'static str {
+fn message_kind(message: &GatewayToControl) -> &'static str {
     match message {
         GatewayToControl::Status(_) => "status",
         GatewayToControl::Alive(_) => "alive",
--- a/crates/sablehaven-gateway/tests/gateway/support/mod.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway in this process, between a caller, a stand-in control replica and stand-in servers.
+//! A gateway in the test's process, with a caller and test doubles of a control replica and of servers.
 
 mod caller;
 mod control;
@@ -24,23 +24,23 @@
 
 #[allow(
     unused_imports,
-    reason = "the example gather_cost needs no answers of the gateway's own"
+    reason = "the example gather_cost does not inspect responses"
 )]
-pub use self::caller::{Answer, assert_unservable, call};
-use self::control::{HeardNames, Said, stand_in_control};
+pub use self::caller::{Response, assert_unavailable, send_request};
+use self::control::{ControlState, ReceivedKinds, run_control_double};
 
-pub const NAMES: RoutedNames = RoutedNames {
+pub const HEADER_NAMES: RoutedNames = RoutedNames {
     request_id: "sablehaven-request-id",
     stamp: "sablehaven-stamp",
     not_executed: "sablehaven-not-executed",
     instance: "sablehaven-instance",
 };
 
-/// Longest time that a condition may take; generous, since the machine may be busy.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a condition. It is generous, since the machine may be busy.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs a test on one thread, as a gateway runs.
-pub fn run(test: impl Future<Output = ()>) {
+/// Runs a test on a single thread, as a gateway runs.
+pub fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -48,48 +48,60 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Waits until a condition holds.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds, and panics if that takes longer than [`WAIT_TIMEOUT`].
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !holds() {
-        assert!(started.elapsed() < LIMIT, "not in time: {what}");
+    while !condition() {
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         sleep(Duration::from_millis(5)).await;
     }
 }
-/// A gateway with what is around it.
-pub struct Bed {
+
+/// A gateway with the test doubles that it is connected to.
+pub struct TestBed {
     pub gateway: Option<Handle>,
     pub address: SocketAddr,
-    pub ready: SocketAddr,
-    said: watch::Sender<Said>,
-    heard: watch::Receiver<Option<GatewayStatus>>,
-    heard_names: HeardNames,
-    reading: u64,
-    /// Servers by service, as they are listed.
+    pub ready_address: SocketAddr,
+    control_state: watch::Sender<ControlState>,
+    reported_status: watch::Receiver<Option<GatewayStatus>>,
+    received_kinds: ReceivedKinds,
+    /// The reading number of the latest server list.
+    listing_reading: u64,
+    /// Servers by service, in the order of the server list.
     pub servers: BTreeMap<String, Vec<RoutedServer>>,
+    /// IDs of the servers that are listed as draining.
     draining: Vec<String>,
+    /// IDs of the servers that are listed as cold.
     cold: Vec<String>,
-    /// What cold servers bear; 0 for no bound.
+    /// Maximum requests per second to a cold server; 0 for no limit.
     pub warmup_per_second: f64,
-    /// The tenants of the routes that are put in force next; none at first.
+    /// The tenants that are sent with the next routes.
     pub tenants: Vec<Tenant>,
 }
 
-impl Bed {
-    /// A gateway without routes and servers.
+impl TestBed {
+    /// Starts a gateway without routes and servers.
     pub async fn new() -> Self {
         Self::with(|_| {}).await
     }
 
-    /// A gateway with other settings.
+    /// Starts a gateway with changed settings.
     pub async fn with(change: impl FnOnce(&mut Config)) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
-        let control = listener.local_addr().expect("address");
-        let (said, saying) = watch::channel(Said::default());
-        let (hearing, heard) = watch::channel(None);
-        let heard_names = HeardNames::default();
-        let names = HeardNames::clone(&heard_names);
-        tokio::task::spawn_local(stand_in_control(listener, saying, hearing, names));
+        let control_address = listener.local_addr().expect("address");
+        let (control_state, state_receiver) = watch::channel(ControlState::default());
+        let (status_sender, reported_status) = watch::channel(None);
+        let received_kinds = ReceivedKinds::default();
+        let recorded_kinds = ReceivedKinds::clone(&received_kinds);
+        tokio::task::spawn_local(run_control_double(
+            listener,
+            state_receiver,
+            status_sender,
+            recorded_kinds,
+        ));
         let mut config = Config {
             deployment: "test".to_owned(),
             ready_listen: Some(([127, 0, 0, 1], 0).into()),
@@ -98,7 +110,7 @@
                 zone: "a".into(),
             },
             regions: BTreeMap::from([("a".into(), "north".into()), ("b".into(), "south".into())]),
-            controls: vec![control],
+            controls: vec![control_address],
             retries: RetryBounds {
                 ratio: 0.2,
                 slack: 1_000.0,
@@ -113,12 +125,12 @@
         let gateway = start(config, HeaderNames::default()).expect("start gateway");
         Self {
             address: gateway.addresses().http.expect("an address"),
-            ready: gateway.ready_address().expect("an address"),
+            ready_address: gateway.ready_address().expect("an address"),
             gateway: Some(gateway),
-            said,
-            heard,
-            heard_names,
-            reading: 0,
+            control_state,
+            reported_status,
+            received_kinds,
+            listing_reading: 0,
             servers: BTreeMap::new(),
             draining: Vec::new(),
             cold: Vec::new(),
@@ -127,36 +139,37 @@
         }
     }
 
-    /// Adds a server to a service and lists it.
-    pub async fn serve(&mut self, service: &str, zone_behaviours: &[Behaviour]) {
-        for behaviour in zone_behaviours {
+    /// Starts servers of a service, one for each behaviour, and publishes the list.
+    pub async fn add_servers(&mut self, service: &str, behaviours: &[Behaviour]) {
+        for behaviour in behaviours {
             let servers = self.servers.entry(service.to_owned()).or_default();
             let id = format!("{service}-{}", servers.len());
-            let server = RoutedServer::start(&id, NAMES, behaviour.clone()).await;
+            let server = RoutedServer::start(&id, HEADER_NAMES, behaviour.clone()).await;
             servers.push(server.expect("start server"));
         }
-        self.list();
+        self.publish_listing();
     }
 
-    /// Serves the shards `both`, with a server in each zone, and `near-only`, with one in zone `a`, through the
-    /// routes `/half/`, which either of them is enough for, and `/all/`, which needs both.
+    /// Starts the shards `both`, with a server in each zone, and `near-only`, with a server in zone `a`. Puts two
+    /// routes to them in force: `/half/`, for which either shard is enough, and `/all/`, which needs both. `change` is
+    /// applied to each route before.
     #[allow(dead_code, reason = "not used by the example gather_cost")]
-    pub async fn serve_two_shards(&mut self, change: impl Fn(Route) -> Route) {
+    pub async fn set_up_two_shards(&mut self, change: impl Fn(Route) -> Route) {
         let body = || Behaviour::answer(routes::record(1));
-        self.serve("both", &[body(), body()]).await;
-        self.serve("near-only", &[body()]).await;
+        self.add_servers("both", &[body(), body()]).await;
+        self.add_servers("near-only", &[body()]).await;
         let shards = ["both", "near-only"];
-        let half = routes::gather("/half/", &shards, 0.5);
-        let all = routes::gather("/all/", &shards, 0.9);
-        self.route(1, vec![change(half), change(all)]).await;
+        let half = routes::gather_route("/half/", &shards, 0.5);
+        let all = routes::gather_route("/all/", &shards, 0.9);
+        self.apply_routes(1, vec![change(half), change(all)]).await;
     }
 
-    /// As [`Self::serve`], with the servers on another runtime, so that this thread's processor time
-    /// is the gateway's.
+    /// Like [`Self::add_servers`], but runs the servers on another runtime, so that this thread only spends processor
+    /// time on the gateway.
     #[allow(dead_code, reason = "used by the example gather_cost")]
-    pub async fn serve_on(
+    pub async fn add_servers_on(
         &mut self,
-        elsewhere: &tokio::runtime::Handle,
+        runtime: &tokio::runtime::Handle,
         service: &str,
         behaviours: &[Behaviour],
     ) {
@@ -164,29 +177,30 @@
             let servers = self.servers.entry(service.to_owned()).or_default();
             let id = format!("{service}-{}", servers.len());
             let behaviour = behaviour.clone();
-            let starting =
-                elsewhere.spawn(async move { RoutedServer::start(&id, NAMES, behaviour).await });
-            let server = starting.await.expect("the start ends");
+            let start_task = runtime
+                .spawn(async move { RoutedServer::start(&id, HEADER_NAMES, behaviour).await });
+            let server = start_task.await.expect("the start task finishes");
             servers.push(server.expect("start server"));
         }
-        self.list();
+        self.publish_listing();
     }
 
-    /// The list says from now on that a server is leaving.
-    pub fn drain(&mut self, id: &str) {
+    /// Marks a server as draining and publishes the list.
+    pub fn set_draining(&mut self, id: &str) {
         self.draining.push(id.to_owned());
-        self.list();
+        self.publish_listing();
     }
 
-    /// The list says from now on that a server is cold.
-    pub fn cool(&mut self, id: &str) {
+    /// Marks a server as cold and publishes the list.
+    pub fn set_cold(&mut self, id: &str) {
         self.cold.push(id.to_owned());
-        self.list();
+        self.publish_listing();
     }
 
-    /// Says the list as it is now; the first server of each service is near, the others are far.
-    pub fn list(&mut self) {
-        self.reading += 1;
+    /// Publishes the current server list. The first server of each service is in the gateway's zone `a`, the others are
+    /// in zone `b`, which is in another region.
+    pub fn publish_listing(&mut self) {
+        self.listing_reading += 1;
         let mut listed = Vec::new();
         for (service, servers) in &self.servers {
             for (position, server) in servers.iter().enumerate() {
@@ -209,21 +223,22 @@
         let listing = ServerListing {
             number: ListingNumber {
                 term: 1,
-                reading: self.reading,
+                reading: self.listing_reading,
             },
             servers: listed,
         };
-        self.said
-            .send_modify(|said| said.listing = Some(Arc::new(listing)));
+        self.control_state
+            .send_modify(|control_state| control_state.listing = Some(Arc::new(listing)));
     }
 
-    /// Puts routes in force and waits for them and the list.
-    pub async fn route(&mut self, version: u64, routes: Vec<Route>) {
-        self.say_routes(version, routes);
-        self.settle(version).await;
+    /// Publishes routes and waits until the gateway has applied them and the latest server list.
+    pub async fn apply_routes(&mut self, version: u64, routes: Vec<Route>) {
+        self.set_routes(version, routes);
+        self.wait_until_applied(version).await;
     }
 
-    pub fn say_routes(&mut self, version: u64, routes: Vec<Route>) {
+    /// Publishes routes without waiting for the gateway.
+    pub fn set_routes(&mut self, version: u64, routes: Vec<Route>) {
         let services = routes
             .iter()
             .flat_map(|route| route.services().into_iter().cloned());
@@ -231,13 +246,13 @@
             version,
             services: services
                 .map(|service: ServiceName| {
-                    let known = RoutedService {
+                    let settings = RoutedService {
                         health_path: "/health".to_owned(),
                         max_connections: 64,
                         warmup_ms: 20_000,
                         warmup_per_second: self.warmup_per_second,
                     };
-                    (service, known)
+                    (service, settings)
                 })
                 .collect(),
             routes,
@@ -247,79 +262,89 @@
             },
             tenants: self.tenants.clone(),
         };
-        self.said
-            .send_modify(|said| said.routes = Some(Arc::new(document)));
+        self.control_state
+            .send_modify(|control_state| control_state.routes = Some(Arc::new(document)));
     }
 
-    /// Says only what differs between the routes that were said last and these tenants, as a change of the version `base`.
-    pub fn say_tenants_change(&mut self, base: u64, version: u64, tenants: Vec<Tenant>) {
-        self.said.send_modify(|said| {
-            let held = said.routes.as_ref().expect("routes were said");
+    /// Publishes a change of version `base`. It contains only what differs between the latest routes and the same
+    /// routes with `tenants`.
+    pub fn send_tenants_change(&mut self, base: u64, version: u64, tenants: Vec<Tenant>) {
+        self.control_state.send_modify(|control_state| {
+            let current = control_state
+                .routes
+                .as_ref()
+                .expect("routes were published");
             let next = RouteDocument {
                 version,
                 tenants,
-                ..RouteDocument::clone(held)
+                ..RouteDocument::clone(current)
             };
-            let change = RoutesChange::between(held, &next);
-            said.routes_change = Some(RoutesChange { base, ..change });
+            let change = RoutesChange::between(current, &next);
+            control_state.routes_change = Some(RoutesChange { base, ..change });
         });
     }
 
-    /// Says which zones are evacuated, and waits until the gateway has heard it.
+    /// Publishes the evacuated zones and waits until the gateway has applied them.
     pub async fn evacuate(&self, revision: u64, zones: &[&str]) {
         let zones = zones.iter().map(|zone| (*zone).into()).collect();
         let evacuated = EvacuatedZones { revision, zones };
-        self.said.send_modify(|said| said.evacuated = evacuated);
-        let mut heard = self.heard.clone();
-        let obeyed = heard.wait_for(|status| {
+        self.control_state
+            .send_modify(|control_state| control_state.evacuated = evacuated);
+        let mut reported_status = self.reported_status.clone();
+        let acknowledged = reported_status.wait_for(|status| {
             status
                 .as_ref()
                 .is_some_and(|status| status.evacuation_revision >= revision)
         });
-        let obeyed = tokio::time::timeout(LIMIT, obeyed).await;
-        obeyed.expect("the gateway hears in time").expect("control");
+        let acknowledged = tokio::time::timeout(WAIT_TIMEOUT, acknowledged).await;
+        acknowledged
+            .expect("the gateway applies the evacuation in time")
+            .expect("the control replica runs");
     }
 
-    /// Says that callers are told of other gateways, so that this one has no part of what they share.
-    pub fn take_part_away(&self) {
-        self.said.send_modify(|said| said.has_no_part = true);
+    /// Tells the gateway that callers are only told of other gateways, so that it has no share of the limits that all
+    /// gateways have together.
+    pub fn set_unadvertised(&self) {
+        self.control_state
+            .send_modify(|control_state| control_state.is_unadvertised = true);
     }
 
-    /// Says how many gateways there are.
-    pub fn say_gateways(&self, gateways: u32) {
-        self.said.send_modify(|said| said.gateways = Some(gateways));
+    /// Publishes the number of gateways in zone `a`.
+    pub fn set_gateway_count(&self, count: u32) {
+        self.control_state
+            .send_modify(|control_state| control_state.gateway_count = Some(count));
     }
 
-    /// Waits until the gateway has a version and the latest list.
-    pub async fn settle(&mut self, version: u64) {
-        let reading = self.reading;
-        let mut heard = self.heard.clone();
-        let settled = heard.wait_for(|status| {
+    /// Waits until the gateway has applied this version of the routes, or a newer one, and the latest server list.
+    pub async fn wait_until_applied(&mut self, version: u64) {
+        let listing_reading = self.listing_reading;
+        let mut reported_status = self.reported_status.clone();
+        let applied = reported_status.wait_for(|status| {
             status.as_ref().is_some_and(|status| {
-                status.routes_version >= version && status.listing.reading >= reading
+                status.routes_version >= version && status.listing.reading >= listing_reading
             })
         });
-        let settled = tokio::time::timeout(LIMIT, settled).await;
-        settled
-            .expect("the gateway settles in time")
-            .expect("control");
+        let applied = tokio::time::timeout(WAIT_TIMEOUT, applied).await;
+        applied
+            .expect("the gateway applies the configuration in time")
+            .expect("the control replica runs");
     }
 
-    /// The names of the messages that the gateway has sent.
-    pub fn heard_names(&self) -> Vec<&'static str> {
-        self.heard_names.borrow().iter().copied().collect()
+    /// The kinds of messages that the gateway has sent.
+    pub fn received_kinds(&self) -> Vec<&'static str> {
+        self.received_kinds.borrow().iter().copied().collect()
     }
 
-    /// The latest word of the gateway.
+    /// The latest status that the gateway has reported.
     pub fn status(&self) -> Option<GatewayStatus> {
-        self.heard.borrow().clone()
+        self.reported_status.borrow().clone()
     }
 
     pub fn server(&self, service: &str, position: usize) -> &RoutedServer {
         &self.servers[service][position]
     }
 
-    /// Requests that reached the servers of a service.
+    /// Number of requests that have reached the servers of a service.
     pub fn arrivals(&self, service: &str) -> usize {
         self.servers[service]
             .iter()
@@ -327,7 +352,7 @@
             .sum()
     }
 
-    pub async fn get(&self, id: &str, path: &str) -> Answer {
+    pub async fn get(&self, id: &str, path: &str) -> Response {
         self.send(id, "GET", path, &[], "").await
     }
 
@@ -338,7 +363,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Answer {
-        call(self.address, Some(id), method, path, headers, body).await
+    ) -> Response {
+        send_request(self.address, Some(id), method, path, headers, body).await
     }
 }
--- a/crates/sablehaven-gateway/tests/gateway/support/raw_caller.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/raw_caller.rs
@@ -1,4 +1,4 @@
-//! A caller that says byte for byte what the test says, on one connection for many requests.
+//! A caller that sends exactly the bytes that the test specifies, with many requests on one connection.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,7 +8,7 @@
     time::timeout,
 };
 
-use super::LIMIT;
+use super::WAIT_TIMEOUT;
 
 /// A caller's connection.
 pub struct RawCaller {
@@ -21,28 +21,28 @@
         Self { stream }
     }
 
-    /// Sends text as it is.
-    pub async fn say(&mut self, text: &str) {
+    /// Sends the bytes of `text` unchanged.
+    pub async fn send(&mut self, text: &str) {
         let sent = self.stream.write_all(text.as_bytes()).await;
         sent.expect("send");
     }
 
-    /// Sends a request without a body.
-    pub async fn ask(&mut self, path: &str, headers: &[&str]) -> String {
-        self.say(&head("GET", path, headers)).await;
-        self.hear().await
+    /// Sends a request without a body and returns the response.
+    pub async fn request(&mut self, path: &str, headers: &[&str]) -> String {
+        self.send(&request_head("GET", path, headers)).await;
+        self.receive().await
     }
 
-    /// The next answer, head and body, as text.
-    pub async fn hear(&mut self) -> String {
-        let heard = timeout(LIMIT, self.read_answer()).await;
-        heard.expect("an answer in time")
+    /// Receives the next response and returns its head and body as text.
+    pub async fn receive(&mut self) -> String {
+        let received = timeout(WAIT_TIMEOUT, self.read_response()).await;
+        received.expect("a response in time")
     }
 
-    async fn read_answer(&mut self) -> String {
+    async fn read_response(&mut self) -> String {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            head.push(self.stream.read_u8().await.expect("a whole head"));
+            head.push(self.stream.read_u8().await.expect("a complete head"));
         }
         let head = String::from_utf8_lossy(&head).into_owned();
         let mut lines = head.lines().map(str::to_ascii_lowercase);
@@ -51,7 +51,7 @@
         let length = length.map_or(0, |length| length.parse().expect("a length"));
         let mut body = vec![0; length];
         let read = self.stream.read_exact(&mut body).await;
-        read.expect("a whole body");
+        read.expect("a complete body");
         head + &String::from_utf8_lossy(&body)
     }
 
@@ -62,8 +62,8 @@
     }
 }
 
-/// The head of a request.
-pub fn head(method: &str, path: &str, headers: &[&str]) -> String {
+/// Builds the head of a request.
+pub fn request_head(method: &str, path: &str, headers: &[&str]) -> String {
     let mut head = format!("{method} {path} HTTP/1.1\r\nHost: stock.example\r\n");
     head += "sablehaven-request-id: raw\r\n";
     for header in headers {
@@ -73,7 +73,7 @@
     head + "\r\n"
 }
 
-/// Whether an answer has a status.
-pub fn has_status(answer: &str, status: u16) -> bool {
-    answer.starts_with(&format!("HTTP/1.1 {status} "))
+/// Whether a response has the given status code.
+pub fn has_status(response: &str, status: u16) -> bool {
+    response.starts_with(&format!("HTTP/1.1 {status} "))
 }
--- a/crates/sablehaven-gateway/tests/gateway/support/routes.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/routes.rs
@@ -1,9 +1,9 @@
-//! Routes and records of tests.
+//! Routes and records for tests.
 
 use sablehaven_types::{AllowedRegions, Gather, RequestKind, Route, RouteTarget};
 
 /// A route to one service.
-pub fn single(path_prefix: &str, kind: RequestKind, service: &str) -> Route {
+pub fn service_route(path_prefix: &str, kind: RequestKind, service: &str) -> Route {
     Route {
         name: format!("r{}", path_prefix.replace('/', "-")),
         host: "stock.example".to_owned(),
@@ -19,19 +19,19 @@
     }
 }
 
-/// A route that gathers over shards.
-pub fn gather(path_prefix: &str, shards: &[&str], min_coverage: f64) -> Route {
+/// A route to shards, whose replies are merged.
+pub fn gather_route(path_prefix: &str, shards: &[&str], min_coverage: f64) -> Route {
     Route {
         target: RouteTarget::Gather(Gather {
             shards: shards.iter().map(|shard| (*shard).into()).collect(),
             top_k: 3,
             min_coverage,
         }),
-        ..single(path_prefix, RequestKind::Safe, "none")
+        ..service_route(path_prefix, RequestKind::Safe, "none")
     }
 }
 
-/// A record of 16 bytes that ends in a value.
+/// A record of 16 bytes: 15 zeros and `value`.
 pub fn record(value: u8) -> Vec<u8> {
     let mut record = vec![0; 16];
     record[15] = value;
--- a/crates/sablehaven-gateway/tests/gateway/support/tenants.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/tenants.rs
@@ -1,8 +1,8 @@
-//! Tenants of tests.
+//! Tenants for tests.
 
 use sablehaven_types::{AllowedRegions, KeyDigest, Tenant};
 
-/// A tenant with these keys, of the most urgent rank.
+/// A tenant with these keys and the most urgent priority.
 pub fn tenant(name: &str, keys: &[&str]) -> Tenant {
     let keys = keys.iter();
     Tenant {
