--- a/crates/sablehaven-gateway/tests/gateway/answer_margin.rs
+++ b/crates/sablehaven-gateway/tests/gateway/answer_margin.rs
@@ -77,7 +77,7 @@
             after_stalls < LATENCY_TARGET - MIN_MARGIN - STALL / 2,
             "{after_stalls:?}"
         );
-        // Longer than a measured delay counts.
+        // Measured delays count for 3 s.
         sleep(Duration::from_secs(4)).await;
         let after_pause = time_query(&bed).await;
         assert!(
--- a/crates/sablehaven-gateway/tests/gateway/cold.rs
+++ b/crates/sablehaven-gateway/tests/gateway/cold.rs
@@ -10,7 +10,7 @@
 use crate::support::routes::service_route;
 use crate::support::{TestBed, run_test};
 
-/// Rate limit of a cold server. The tests accept this rate for the time that has passed.
+/// Request rate limit of a cold server. The number of requests that a test allows grows at this rate.
 const COLD_REQUESTS_PER_SECOND: f64 = 2.0;
 
 async fn start_test_bed(bodies: &[&str]) -> TestBed {
--- a/crates/sablehaven-gateway/tests/gateway/refusals.rs
+++ b/crates/sablehaven-gateway/tests/gateway/refusals.rs
@@ -35,7 +35,7 @@
             send_request(address, Some("1-2"), "GET", "/q/x", &resend_headers, "").await
         };
         let configuration_change = async {
-            // The resend has reached the gateway by now. Otherwise the test would not show that it waits.
+            // Gives the resend time to reach the gateway. If it arrived after the routes, the test would show nothing.
             tokio::time::sleep(Duration::from_millis(300)).await;
             bed.add_servers("search", &[Behaviour::answer("ok")]).await;
             bed.apply_routes(1, vec![service_route("/q/", RequestKind::Safe, "search")])
--- a/crates/sablehaven-gateway/tests/gateway/support/caller.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/caller.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Asserts that the request was refused at once as not run, with a retry delay of about a second.
+/// Asserts that the gateway refused the request at once without running it, with a retry delay of about a second.
 pub fn assert_unavailable(response: &Response) {
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     let retry_after = response
--- a/crates/sablehaven-gateway/tests/gateway/support/mod.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/mod.rs
@@ -152,7 +152,7 @@
 
     /// Starts the shards `both`, with a server in each zone, and `near-only`, with a server in zone `a`. Puts two
     /// routes to them in force: `/half/`, for which either shard is enough, and `/all/`, which needs both. `change` is
-    /// applied to each route before.
+    /// applied to each route first.
     #[allow(dead_code, reason = "not used by the example gather_cost")]
     pub async fn set_up_two_shards(&mut self, change: impl Fn(Route) -> Route) {
         let body = || Behaviour::answer(routes::record(1));
--- a/crates/sablehaven-gateway/tests/gateway/tenant_keys.rs
+++ b/crates/sablehaven-gateway/tests/gateway/tenant_keys.rs
@@ -103,7 +103,8 @@
             .send(&request_head("POST", "/once/x", &headers))
             .await;
         caller.send("ab").await;
-        // The gateway has received the head by now. Otherwise the test would not show that the key is checked again.
+        // Gives the gateway time to receive the head. If it received the head after the new tenants, the test would
+        // not show that the key is checked again.
         sleep(Duration::from_millis(100)).await;
         bed.tenants = vec![tenant("desk", &["desk-2"])];
         bed.apply_routes(2, routes()).await;
@@ -154,8 +155,8 @@
                 sleep(Duration::from_millis(5)).await;
             }
             let key_removal = async {
-                // The gateway has received the request by now. Otherwise the test would not show that the key is
-                // checked again.
+                // Gives the gateway time to receive the request. If it received the request after the new tenants,
+                // the test would not show that the key is checked again.
                 sleep(Duration::from_millis(200)).await;
                 bed.tenants.remove(0);
                 bed.apply_routes(3, routes()).await;
