--- a/crates/sablehaven-quota/examples/quota_model/buckets.rs
+++ b/crates/sablehaven-quota/examples/quota_model/buckets.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     demand::{Fleet, Ledger, Messages, Request},
-    lottery::Lottery,
+    random::Lottery,
 };
 
 /// A request that is passed on to the gateway that serves its tenant, and its answer: headers and a small body.
--- a/crates/sablehaven-quota/examples/quota_model/demand.rs
+++ b/crates/sablehaven-quota/examples/quota_model/demand.rs
@@ -4,7 +4,7 @@
 
 use sablehaven_types::{QuotaTolerance, RequestQuota, TenantName};
 
-use crate::lottery::Lottery;
+use crate::random::Lottery;
 
 pub const ZONES: usize = 6;
 /// Part of the demand that is in one zone at a time.
--- a/crates/sablehaven-quota/examples/quota_model/equal_parts.rs
+++ b/crates/sablehaven-quota/examples/quota_model/equal_parts.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     demand::{Fleet, Ledger, Messages, Request, ZONES},
-    lottery::Lottery,
     measure::token_bytes,
+    random::Lottery,
 };
 
 /// One way between replicas.
--- a/crates/sablehaven-quota/examples/quota_model/leases.rs
+++ b/crates/sablehaven-quota/examples/quota_model/leases.rs
@@ -8,8 +8,8 @@
 use crate::{
     buckets::Bucket,
     demand::{Fleet, Ledger, Messages, Request},
-    lottery::Lottery,
     measure::token_bytes,
+    random::Lottery,
 };
 
 /// Time for which a lease is good.
--- a/crates/sablehaven-quota/examples/quota_model/main.rs
+++ b/crates/sablehaven-quota/examples/quota_model/main.rs
@@ -5,9 +5,9 @@
 mod demand;
 mod equal_parts;
 mod leases;
-#[path = "../../tests/support/lottery.rs"]
-mod lottery;
 mod measure;
+#[path = "../../tests/support/random.rs"]
+mod random;
 
 use clap::{Arg, Command, value_parser};
 
--- a/crates/sablehaven-quota/examples/quota_model/measure.rs
+++ b/crates/sablehaven-quota/examples/quota_model/measure.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     demand::{Fleet, Ledger, Request},
-    lottery::Lottery,
+    random::Lottery,
 };
 
 const STEP: Duration = Duration::from_millis(4);
--- a/crates/sablehaven-quota/src/lib.rs
+++ b/crates/sablehaven-quota/src/lib.rs
@@ -11,8 +11,8 @@
 mod fair_share;
 mod loan;
 mod part;
-mod stock;
 mod tenant_part;
+mod token_cache;
 
 pub use part::{QuotaPart, TenantUsage};
-pub use stock::TokenStock;
+pub use token_cache::TokenStock;
--- a/crates/sablehaven-quota/tests/support/mod.rs
+++ b/crates/sablehaven-quota/tests/support/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 pub mod faults;
-pub mod lottery;
 pub mod plan;
+pub mod random;
 pub mod steady;
 pub mod windows;
 pub mod world;
--- a/crates/sablehaven-quota/tests/support/steady.rs
+++ b/crates/sablehaven-quota/tests/support/steady.rs
@@ -7,7 +7,7 @@
     LoanRequest, QuotaTolerance, RequestQuota, TenantName, TokenLoan, TokenRequest, TokenVerdict,
 };
 
-use super::{lottery::Lottery, ms};
+use super::{ms, random::Lottery};
 
 const STEP: Duration = Duration::from_millis(1);
 
--- a/crates/sablehaven-quota/tests/support/world.rs
+++ b/crates/sablehaven-quota/tests/support/world.rs
@@ -8,9 +8,9 @@
 };
 
 use super::{
-    lottery::Lottery,
     ms,
     plan::{Phase, Plan},
+    random::Lottery,
     windows::{InForce, Served},
 };
 
