--- a/crates/sablehaven-control/src/quotas/replica_quotas.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas.rs
@@ -145,7 +145,7 @@
     /// The loans to request from other replicas.
     pub(super) fn loans_wanted(&self) -> Vec<LoanRequest> {
         let now = self.now();
-        self.lock_current_part(now).part.loans_wanted(now)
+        self.lock_current_part(now).part.loan_requests(now)
     }
 
     /// Lends the tokens that this part can spare; `None` if it can spare none.
@@ -159,7 +159,7 @@
     /// Adds borrowed tokens to the part and replies to requests that waited for them.
     pub(crate) fn receive(&self, loan: &TokenLoan) {
         let now = self.now();
-        self.lock_current_part(now).part.receive(now, loan);
+        self.lock_current_part(now).part.receive_loan(now, loan);
         self.metrics.tokens_borrowed.inc_by(loan.tokens.into());
         self.decide_waiting();
     }
@@ -234,7 +234,7 @@
             (part_count(&published, has_lease), published.routes_version)
         };
         let mut state = self.part.lock().unwrap_or_else(PoisonError::into_inner);
-        state.part.set_parts(now, parts);
+        state.part.set_part_count(now, parts);
         if state.routes_version < routes_version {
             state.apply_routes(now, self.routes());
         }
--- a/crates/sablehaven-gateway/src/quotas/client.rs
+++ b/crates/sablehaven-gateway/src/quotas/client.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use sablehaven_quota::TokenStock;
+use sablehaven_quota::TokenCache;
 use sablehaven_types::{
     Distance, QuotaTolerance, TenantName, TokenReply, TokenRequest, TokenRequestNumber,
     TokenVerdict,
@@ -71,7 +71,7 @@
 }
 
 struct ClientState {
-    stock: TokenStock,
+    stock: TokenCache,
     replicas: TokenReplicas,
     pending: BTreeMap<TokenRequestNumber, PendingRequest>,
     last_number: TokenRequestNumber,
@@ -99,7 +99,7 @@
     /// Creates a client that holds no tokens.
     pub(crate) fn new(clock: Clock, tolerance: &QuotaTolerance) -> Self {
         let state = ClientState {
-            stock: TokenStock::new(tolerance),
+            stock: TokenCache::new(tolerance),
             replicas: TokenReplicas::default(),
             pending: BTreeMap::new(),
             last_number: 0,
@@ -218,7 +218,7 @@
         let wanted = if has_pending || options.shed_permille > 0 {
             1
         } else {
-            state.stock.wanted(now, tenant)
+            state.stock.tokens_to_request(now, tenant)
         };
         state.last_number += 1;
         let number = state.last_number;
@@ -264,7 +264,7 @@
                 };
                 let is_received = pending.decision_sender.send(decision).is_ok();
                 let surplus = tokens.saturating_sub(u32::from(is_received));
-                self.stock.put(requested_at, &pending.tenant, surplus);
+                self.stock.add(requested_at, &pending.tenant, surplus);
             }
             verdict => {
                 if verdict == TokenVerdict::NoPart {
@@ -340,7 +340,7 @@
         let mut state = self.client.state.borrow_mut();
         while let Ok(decision) = self.decisions.try_recv() {
             if let TokenVerdict::Granted(tokens) = decision.verdict {
-                state.stock.put(decision.requested_at, self.tenant, tokens);
+                state.stock.add(decision.requested_at, self.tenant, tokens);
             }
         }
     }
--- a/crates/sablehaven-quota/examples/quota_model/buckets.rs
+++ b/crates/sablehaven-quota/examples/quota_model/buckets.rs
@@ -3,42 +3,42 @@
 use std::{collections::HashMap, time::Duration};
 
 use crate::{
-    demand::{Fleet, Ledger, Messages, Request},
-    random::Lottery,
+    demand::{Fleet, MessageCounts, QuotaScheme, Request},
+    random::Random,
 };
 
 /// A request that is passed on to the gateway that serves its tenant, and its answer: headers and a small body.
-const FORWARDED_BYTES: u64 = 600;
+const FORWARDED_MESSAGE_BYTES: u64 = 600;
 /// Gateways that serve a tenant.
-const SERVING: usize = 2;
+const GATEWAYS_PER_TENANT: usize = 2;
 
 /// A part of a bucket, full at first.
 pub struct Bucket {
     per_second: f64,
     depth: f64,
     tokens: f64,
-    filled_at: Duration,
+    refilled_at: Duration,
 }
 
 impl Bucket {
     /// One of so many parts, where tokens are good for `life`.
-    pub fn part(fleet: &Fleet, tenant: usize, parts: usize, life: Duration) -> Self {
+    pub fn part(fleet: &Fleet, tenant: usize, parts: usize, token_lifetime: Duration) -> Self {
         let quota = fleet.quotas[tenant];
-        let span = (fleet.tolerance.window() + life).as_secs_f64();
+        let span = (fleet.tolerance.window() + token_lifetime).as_secs_f64();
         let depth = fleet.tolerance.bound(quota) - quota.per_second * span;
         let depth = depth / parts as f64;
         Self {
             per_second: quota.per_second / parts as f64,
             depth,
             tokens: depth,
-            filled_at: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 
     pub fn take(&mut self, now: Duration, wanted: u32) -> u32 {
-        let since = now.saturating_sub(self.filled_at).as_secs_f64();
+        let since = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + since * self.per_second).min(self.depth);
-        self.filled_at = now;
+        self.refilled_at = now;
         let taken = wanted.min(self.tokens.max(0.0) as u32);
         self.tokens -= f64::from(taken);
         taken
@@ -58,8 +58,8 @@
     }
 }
 
-impl Ledger for FixedParts {
-    fn passes(&mut self, fleet: &Fleet, request: Request, _lottery: &mut Lottery) -> Option<bool> {
+impl QuotaScheme for FixedParts {
+    fn admit(&mut self, fleet: &Fleet, request: Request, _lottery: &mut Random) -> Option<bool> {
         let full = Bucket::part(fleet, request.tenant, fleet.gateways, Duration::ZERO);
         if full.depth < 1.0 {
             // It never holds a token.
@@ -72,39 +72,39 @@
         Some(part.take(request.now, 1) == 1)
     }
 
-    fn messages(&self) -> Messages {
-        Messages::default()
+    fn messages(&self) -> MessageCounts {
+        MessageCounts::default()
     }
 }
 
 /// A few gateways serve a tenant; the others pass its requests on.
-pub struct FewGateways {
-    parts: Vec<[Bucket; SERVING]>,
-    messages: Messages,
+pub struct DesignatedGateways {
+    parts: Vec<[Bucket; GATEWAYS_PER_TENANT]>,
+    messages: MessageCounts,
 }
 
-impl FewGateways {
+impl DesignatedGateways {
     pub fn new(fleet: &Fleet) -> Self {
-        let part = |tenant| Bucket::part(fleet, tenant, SERVING, Duration::ZERO);
+        let part = |tenant| Bucket::part(fleet, tenant, GATEWAYS_PER_TENANT, Duration::ZERO);
         let parts = (0..fleet.names.len()).map(|tenant| [part(tenant), part(tenant)]);
         Self {
             parts: parts.collect(),
-            messages: Messages::default(),
+            messages: MessageCounts::default(),
         }
     }
 }
 
-impl Ledger for FewGateways {
-    fn passes(&mut self, _fleet: &Fleet, request: Request, lottery: &mut Lottery) -> Option<bool> {
+impl QuotaScheme for DesignatedGateways {
+    fn admit(&mut self, _fleet: &Fleet, request: Request, random: &mut Random) -> Option<bool> {
         // Two messages, each counted where it is sent and where it arrives.
         self.messages.at_gateways += 4;
-        self.messages.bytes += 2 * FORWARDED_BYTES;
-        let serving = lottery.below(SERVING as u64) as usize;
-        let part = &mut self.parts[request.tenant][serving];
+        self.messages.bytes += 2 * FORWARDED_MESSAGE_BYTES;
+        let gateway = random.below(GATEWAYS_PER_TENANT as u64) as usize;
+        let part = &mut self.parts[request.tenant][gateway];
         Some(part.take(request.now, 1) == 1)
     }
 
-    fn messages(&self) -> Messages {
+    fn messages(&self) -> MessageCounts {
         self.messages
     }
 }
--- a/crates/sablehaven-quota/examples/quota_model/demand.rs
+++ b/crates/sablehaven-quota/examples/quota_model/demand.rs
@@ -4,16 +4,16 @@
 
 use sablehaven_types::{QuotaTolerance, RequestQuota, TenantName};
 
-use crate::random::Lottery;
+use crate::random::Random;
 
 pub const ZONES: usize = 6;
 /// Part of the demand that is in one zone at a time.
-const IN_ONE_ZONE: f64 = 0.6;
+const SINGLE_ZONE_FRACTION: f64 = 0.6;
 const HOT_TENANT: usize = 2;
 const HOT_FACTOR: f64 = 9.0;
 const QUOTA_FACTOR: f64 = 1.6;
 /// Demand moves to the next zone once in this time, within a second.
-const MOVES_EVERY: f64 = 4.0;
+const ZONE_MOVE_SECONDS: f64 = 4.0;
 
 pub struct Fleet {
     pub gateways: usize,
@@ -22,7 +22,7 @@
     pub tolerance: QuotaTolerance,
     pub per_second: f64,
     /// Sums of the tenants' demand up to each.
-    sums: Vec<f64>,
+    cumulative_rates: Vec<f64>,
 }
 
 /// One request.
@@ -35,16 +35,16 @@
 
 /// Messages that a way sends.
 #[derive(Clone, Copy, Default)]
-pub struct Messages {
+pub struct MessageCounts {
     pub at_gateways: u64,
     pub bytes: u64,
     pub between_replicas: u64,
 }
 
 /// A way to hold quotas.
-pub trait Ledger {
+pub trait QuotaScheme {
     /// Whether the request passes; `None` where it is held.
-    fn passes(&mut self, fleet: &Fleet, request: Request, lottery: &mut Lottery) -> Option<bool>;
+    fn admit(&mut self, fleet: &Fleet, request: Request, random: &mut Random) -> Option<bool>;
 
     /// Does what is due after each step; returns what became of requests that were held.
     fn tick(&mut self, _fleet: &Fleet, _now: Duration) -> Vec<(Request, bool)> {
@@ -52,29 +52,29 @@
     }
 
     /// What was sent so far.
-    fn messages(&self) -> Messages;
+    fn messages(&self) -> MessageCounts;
 }
 
 impl Fleet {
     pub fn new(gateways: usize, tenants: usize, per_gateway: u64) -> Self {
-        let usual_total = (gateways as u64 * per_gateway) as f64;
-        let sizes: Vec<_> = (1..=tenants).map(|rank| (rank as f64).powf(-1.2)).collect();
-        let sum: f64 = sizes.iter().sum();
-        let usual = sizes.iter().map(|size| size / sum * usual_total);
+        let base_total = (gateways as u64 * per_gateway) as f64;
+        let weights: Vec<_> = (1..=tenants).map(|rank| (rank as f64).powf(-1.2)).collect();
+        let sum: f64 = weights.iter().sum();
+        let base_rates = weights.iter().map(|size| size / sum * base_total);
         let quota = |rate: f64| RequestQuota {
             per_second: rate * QUOTA_FACTOR,
             burst: 0.0,
         };
-        let quotas: Vec<_> = usual.clone().map(quota).collect();
-        let mut sums = Vec::new();
+        let quotas: Vec<_> = base_rates.clone().map(quota).collect();
+        let mut cumulative_rates = Vec::new();
         let mut per_second = 0.0;
-        for (rank, rate) in usual.enumerate() {
+        for (rank, rate) in base_rates.enumerate() {
             per_second += if rank == HOT_TENANT {
                 rate * HOT_FACTOR
             } else {
                 rate
             };
-            sums.push(per_second);
+            cumulative_rates.push(per_second);
         }
         Self {
             gateways,
@@ -88,7 +88,7 @@
                 slack: 20,
             },
             per_second,
-            sums,
+            cumulative_rates,
         }
     }
 
@@ -100,19 +100,19 @@
         gateway % ZONES
     }
 
-    pub fn draw(&self, now: Duration, lottery: &mut Lottery) -> Request {
-        let place = lottery.draw() * self.per_second;
-        let tenant = self.sums.partition_point(|sum| *sum <= place);
-        let moves = now.as_secs_f64() / MOVES_EVERY;
-        let moved = (moves.fract() * MOVES_EVERY).min(1.0);
-        let mut zone = lottery.below(ZONES as u64) as usize;
-        if lottery.hits(IN_ONE_ZONE) {
+    pub fn next_request(&self, now: Duration, random: &mut Random) -> Request {
+        let point = random.uniform() * self.per_second;
+        let tenant = self.cumulative_rates.partition_point(|sum| *sum <= point);
+        let moves = now.as_secs_f64() / ZONE_MOVE_SECONDS;
+        let moved = (moves.fract() * ZONE_MOVE_SECONDS).min(1.0);
+        let mut zone = random.below(ZONES as u64) as usize;
+        if random.chance(SINGLE_ZONE_FRACTION) {
             zone = moves as usize % ZONES;
-            if !lottery.hits(moved) {
+            if !random.chance(moved) {
                 zone = (zone + ZONES - 1) % ZONES;
             }
         }
-        let row = lottery.below((self.gateways / ZONES) as u64) as usize;
+        let row = random.below((self.gateways / ZONES) as u64) as usize;
         Request {
             now,
             gateway: row * ZONES + zone,
--- a/crates/sablehaven-quota/examples/quota_model/equal_parts.rs
+++ b/crates/sablehaven-quota/examples/quota_model/equal_parts.rs
@@ -2,36 +2,36 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use sablehaven_quota::{QuotaPart, TokenStock};
+use sablehaven_quota::{QuotaPart, TokenCache};
 use sablehaven_types::{LoanRequest, TokenLoan, TokenRequest, TokenVerdict};
 
 use crate::{
-    demand::{Fleet, Ledger, Messages, Request, ZONES},
+    demand::{Fleet, MessageCounts, QuotaScheme, Request, ZONES},
     measure::token_bytes,
-    random::Lottery,
+    random::Random,
 };
 
 /// One way between replicas.
-const ONE_WAY: Duration = Duration::from_millis(12);
+const ONE_WAY_LATENCY: Duration = Duration::from_millis(12);
 
 enum Message {
-    Ask(usize, usize, LoanRequest),
+    RequestLoan(usize, usize, LoanRequest),
     Loan(usize, TokenLoan),
 }
 
 /// A request that a replica holds.
 struct HeldRequest {
     request: Request,
-    take: TokenRequest,
+    token_request: TokenRequest,
     draw: f64,
 }
 
 pub struct EqualParts {
     parts: Vec<QuotaPart>,
-    stocks: Vec<TokenStock>,
-    on_the_way: VecDeque<(Duration, Message)>,
+    caches: Vec<TokenCache>,
+    in_flight: VecDeque<(Duration, Message)>,
     held: Vec<HeldRequest>,
-    messages: Messages,
+    messages: MessageCounts,
 }
 
 impl EqualParts {
@@ -44,24 +44,24 @@
         };
         let part = |_| {
             let mut part = QuotaPart::new(fleet.tolerance);
-            part.set_parts(Duration::ZERO, Some(ZONES as u32 + 1));
+            part.set_part_count(Duration::ZERO, Some(ZONES as u32 + 1));
             part.set_tenants(Duration::ZERO, quotas());
             part
         };
         Self {
             parts: (0..ZONES).map(part).collect(),
-            stocks: (0..fleet.gateways)
-                .map(|_| TokenStock::new(&fleet.tolerance))
+            caches: (0..fleet.gateways)
+                .map(|_| TokenCache::new(&fleet.tolerance))
                 .collect(),
-            on_the_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             held: Vec::new(),
-            messages: Messages::default(),
+            messages: MessageCounts::default(),
         }
     }
 
     fn send(&mut self, now: Duration, message: Message) {
         self.messages.between_replicas += 1;
-        self.on_the_way.push_back((now + ONE_WAY, message));
+        self.in_flight.push_back((now + ONE_WAY_LATENCY, message));
     }
 
     /// What becomes of a request that waits at its replica.
@@ -70,51 +70,54 @@
         let part = &mut self.parts[Fleet::zone_of(request.gateway)];
         let waited = now - request.now;
         let TokenVerdict::Granted(granted) =
-            part.take_or_hold(now, &held.take, held.draw, waited)?
+            part.take_or_hold(now, &held.token_request, held.draw, waited)?
         else {
             return Some(false);
         };
-        self.stocks[request.gateway].put(request.now, &held.take.tenant, granted - 1);
+        self.caches[request.gateway].add(request.now, &held.token_request.tenant, granted - 1);
         Some(true)
     }
 
     fn deliver(&mut self, now: Duration) {
-        while self.on_the_way.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, message)) = self.on_the_way.pop_front() else {
+        while self.in_flight.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, message)) = self.in_flight.pop_front() else {
                 break;
             };
             match message {
-                Message::Ask(from, to, request) => {
+                Message::RequestLoan(from, to, request) => {
                     if let Some(loan) = self.parts[to].lend(now, &request) {
                         self.send(now, Message::Loan(from, loan));
                     }
                 }
-                Message::Loan(to, loan) => self.parts[to].receive(now, &loan),
+                Message::Loan(to, loan) => self.parts[to].receive_loan(now, &loan),
             }
         }
     }
 
-    fn ask_loans(&mut self, now: Duration) {
+    fn request_loans(&mut self, now: Duration) {
         for from in 0..ZONES {
-            for request in self.parts[from].loans_wanted(now) {
+            for request in self.parts[from].loan_requests(now) {
                 let step = 1 + request.number as usize % (ZONES - 1);
-                self.send(now, Message::Ask(from, (from + step) % ZONES, request));
+                self.send(
+                    now,
+                    Message::RequestLoan(from, (from + step) % ZONES, request),
+                );
             }
         }
     }
 }
 
-impl Ledger for EqualParts {
-    fn passes(&mut self, fleet: &Fleet, request: Request, lottery: &mut Lottery) -> Option<bool> {
+impl QuotaScheme for EqualParts {
+    fn admit(&mut self, fleet: &Fleet, request: Request, random: &mut Random) -> Option<bool> {
         let name = &fleet.names[request.tenant];
-        let stock = &mut self.stocks[request.gateway];
-        if stock.spend(request.now, name) {
+        let cache = &mut self.caches[request.gateway];
+        if cache.spend(request.now, name) {
             return Some(true);
         }
-        let take = TokenRequest {
+        let token_request = TokenRequest {
             number: 0,
             tenant: name.clone(),
-            wanted: stock.wanted(request.now, name),
+            wanted: cache.tokens_to_request(request.now, name),
             shed_permille: 0,
             patience_ms: 200,
             is_resend: false,
@@ -123,8 +126,8 @@
         self.messages.bytes += token_bytes(name);
         let held = HeldRequest {
             request,
-            take,
-            draw: lottery.draw(),
+            token_request,
+            draw: random.uniform(),
         };
         let outcome = self.decide(request.now, &held);
         if outcome.is_none() {
@@ -135,7 +138,7 @@
 
     fn tick(&mut self, _fleet: &Fleet, now: Duration) -> Vec<(Request, bool)> {
         self.deliver(now);
-        self.ask_loans(now);
+        self.request_loans(now);
         let mut decided = Vec::new();
         for held in std::mem::take(&mut self.held) {
             let is_new = held.request.now == now;
@@ -145,14 +148,14 @@
                 self.decide(now, &held)
             };
             match outcome {
-                Some(is_passed) => decided.push((held.request, is_passed)),
+                Some(is_admitted) => decided.push((held.request, is_admitted)),
                 None => self.held.push(held),
             }
         }
         decided
     }
 
-    fn messages(&self) -> Messages {
+    fn messages(&self) -> MessageCounts {
         self.messages
     }
 }
--- a/crates/sablehaven-quota/examples/quota_model/main.rs
+++ b/crates/sablehaven-quota/examples/quota_model/main.rs
@@ -11,11 +11,11 @@
 
 use clap::{Arg, Command, value_parser};
 
-use buckets::{FewGateways, FixedParts};
+use buckets::{DesignatedGateways, FixedParts};
 use demand::Fleet;
 use equal_parts::EqualParts;
 use leases::LeaderLeases;
-use measure::play;
+use measure::run;
 
 fn command() -> Command {
     let number = |name: &'static str, default: &'static str| {
@@ -45,28 +45,28 @@
         "| way | refused inside the quota | held for a loan | fullest window, of its bound | messages a gateway and s | bytes a gateway and s | between replicas, messages a s |"
     );
     println!("|---|---|---|---|---|---|---|");
-    play(
+    run(
         "fixed parts",
         &fleet,
         FixedParts::new(&fleet),
         seconds,
         seed,
     );
-    play(
+    run(
         "leader's leases",
         &fleet,
         LeaderLeases::new(&fleet),
         seconds,
         seed,
     );
-    play(
+    run(
         "few gateways",
         &fleet,
-        FewGateways::new(&fleet),
+        DesignatedGateways::new(&fleet),
         seconds,
         seed,
     );
-    play(
+    run(
         "equal parts, loans",
         &fleet,
         EqualParts::new(&fleet),
--- a/crates/sablehaven-quota/examples/quota_model/measure.rs
+++ b/crates/sablehaven-quota/examples/quota_model/measure.rs
@@ -5,8 +5,8 @@
 use sablehaven_types::TenantName;
 
 use crate::{
-    demand::{Fleet, Ledger, Request},
-    random::Lottery,
+    demand::{Fleet, QuotaScheme, Request},
+    random::Random,
 };
 
 const STEP: Duration = Duration::from_millis(4);
@@ -17,18 +17,18 @@
 /// IPv4 and TCP headers of a message that shares its packet with no other.
 const HEADER_BYTES: u64 = 40;
 /// What the messages for tokens encode to beside the tenant's name.
-const TAKE_BYTES: u64 = 20;
+const REQUEST_BYTES: u64 = 20;
 const REPLY_BYTES: u64 = 16;
 
 /// Bytes of a request for tokens and its reply.
 pub fn token_bytes(tenant: &TenantName) -> u64 {
-    2 * HEADER_BYTES + TAKE_BYTES + tenant.as_str().len() as u64 + REPLY_BYTES
+    2 * HEADER_BYTES + REQUEST_BYTES + tenant.as_str().len() as u64 + REPLY_BYTES
 }
 
 /// Requests that passed, by tenant, in the slots of the last window.
 struct Windows {
     slots: Vec<Vec<u32>>,
-    sums: Vec<u32>,
+    cumulative_rates: Vec<u32>,
     fullest: f64,
 }
 
@@ -37,7 +37,7 @@
         let slots = fleet.tolerance.window().as_millis() / SLOT.as_millis();
         Self {
             slots: vec![vec![0; fleet.names.len()]; slots as usize],
-            sums: vec![0; fleet.names.len()],
+            cumulative_rates: vec![0; fleet.names.len()],
             fullest: 0.0,
         }
     }
@@ -45,7 +45,7 @@
     fn count(&mut self, now: Duration, tenant: usize) {
         let index = self.index(now);
         self.slots[index][tenant] += 1;
-        self.sums[tenant] += 1;
+        self.cumulative_rates[tenant] += 1;
     }
 
     fn index(&self, now: Duration) -> usize {
@@ -53,54 +53,54 @@
     }
 
     /// Ends the slot before this time: looks at the window that it ends, and forgets the oldest slot.
-    fn turn(&mut self, fleet: &Fleet, now: Duration) {
-        for (tenant, sum) in self.sums.iter().enumerate() {
+    fn rotate(&mut self, fleet: &Fleet, now: Duration) {
+        for (tenant, sum) in self.cumulative_rates.iter().enumerate() {
             let bound = fleet.tolerance.bound(fleet.quotas[tenant]);
             self.fullest = self.fullest.max(f64::from(*sum) / bound);
         }
         let index = self.index(now);
         for (tenant, count) in self.slots[index].iter_mut().enumerate() {
-            self.sums[tenant] -= *count;
+            self.cumulative_rates[tenant] -= *count;
             *count = 0;
         }
     }
 }
 
-pub fn play(name: &str, fleet: &Fleet, mut ledger: impl Ledger, seconds: u64, seed: u64) {
-    let mut lottery = Lottery(seed);
-    let mut tally = Tally::new(fleet);
+pub fn run(name: &str, fleet: &Fleet, mut scheme: impl QuotaScheme, seconds: u64, seed: u64) {
+    let mut random = Random(seed);
+    let mut counts = RequestCounts::new(fleet);
     let mut due = 0.0;
-    let mut before = ledger.messages();
+    let mut before = scheme.messages();
     let mut now = Duration::ZERO;
     let end = WARM_UP + Duration::from_secs(seconds);
     while now < end {
         now += STEP;
         if now.as_millis() % SLOT.as_millis() < STEP.as_millis() {
-            tally.windows.turn(fleet, now);
+            counts.windows.rotate(fleet, now);
         }
         if now == WARM_UP {
-            before = ledger.messages();
+            before = scheme.messages();
         }
         due += fleet.per_second * STEP.as_secs_f64();
         while due >= 1.0 {
             due -= 1.0;
-            let request = fleet.draw(now, &mut lottery);
-            if let Some(is_passed) = ledger.passes(fleet, request, &mut lottery) {
-                tally.count(now, request, is_passed);
+            let request = fleet.next_request(now, &mut random);
+            if let Some(is_admitted) = scheme.admit(fleet, request, &mut random) {
+                counts.count(now, request, is_admitted);
             }
         }
-        for (request, is_passed) in ledger.tick(fleet, now) {
-            tally.count(now, request, is_passed);
+        for (request, is_admitted) in scheme.tick(fleet, now) {
+            counts.count(now, request, is_admitted);
         }
     }
-    let sent = ledger.messages();
+    let sent = scheme.messages();
     let rate = |count: u64| count as f64 / seconds as f64;
     let by_gateway = |count: u64| rate(count) / fleet.gateways as f64;
     println!(
         "| {name} | {:.3} % | {:.1} % | {:.3} | {:.2} | {:.0} | {:.0} |",
-        tally.percent(tally.refused),
-        tally.percent(tally.held),
-        tally.windows.fullest,
+        counts.percent(counts.refused),
+        counts.percent(counts.held),
+        counts.windows.fullest,
         by_gateway(sent.at_gateways - before.at_gateways),
         by_gateway(sent.bytes - before.bytes),
         rate(sent.between_replicas - before.between_replicas),
@@ -108,14 +108,14 @@
 }
 
 /// What became of requests, those of the hot tenant left out but for the windows.
-struct Tally {
+struct RequestCounts {
     windows: Windows,
     asked: u64,
     refused: u64,
     held: u64,
 }
 
-impl Tally {
+impl RequestCounts {
     fn new(fleet: &Fleet) -> Self {
         Self {
             windows: Windows::new(fleet),
@@ -125,13 +125,13 @@
         }
     }
 
-    fn count(&mut self, now: Duration, request: Request, is_passed: bool) {
-        if is_passed {
+    fn count(&mut self, now: Duration, request: Request, is_admitted: bool) {
+        if is_admitted {
             self.windows.count(now, request.tenant);
         }
         if now > WARM_UP && !Fleet::is_hot(request.tenant) {
             self.asked += 1;
-            self.refused += u64::from(!is_passed);
+            self.refused += u64::from(!is_admitted);
             self.held += u64::from(now > request.now);
         }
     }
--- a/crates/sablehaven-quota/src/allowance.rs
+++ b/crates/sablehaven-quota/src/allowance.rs
@@ -3,7 +3,7 @@
 //! # Why no window goes over the bound
 //!
 //! A request counts in a window where it was sent by its caller and arrived at a server within it. Its token is spent
-//! between the two and is never older than `token_life` since it was asked for, so it was granted in the window or in that
+//! between the two and is never older than `token_lifetime` since it was asked for, so it was granted in the window or in that
 //! life before it: within a *span* of window plus life. What all parts grant in a span is what they held at its start,
 //! what refilled, and what they received on loan, less what they lent.
 //!
@@ -30,21 +30,23 @@
 use sablehaven_types::{QuotaTolerance, RequestQuota};
 
 /// The longest time for which a granted token is good: about as long as a gateway foresees what it will need.
-const LONGEST_TOKEN_LIFE: Duration = Duration::from_millis(500);
+const MAX_TOKEN_LIFETIME: Duration = Duration::from_millis(500);
 /// Part of the tolerated excess that the life of tokens uses up; the rest makes up for unequal demand on equal parts.
-const LIFE_SHARE: f64 = 0.08;
+const LIFETIME_EXCESS_FRACTION: f64 = 0.08;
 /// The depth of each part covers the whole quota's demand in this time, a message and its answer between replicas: all
 /// of it can then come to one replica as loans.
-const DEPTH_FOR: Duration = Duration::from_millis(36);
+const MIN_DEPTH_DEMAND_TIME: Duration = Duration::from_millis(36);
 /// Least part of what the bound leaves beyond the quota's rate that goes into the depth. Demand comes in bunches, and a
 /// shallow part has nothing to lend.
-const DEPTH_SHARE: f64 = 0.6;
+const MIN_DEPTH_FRACTION: f64 = 0.6;
 
 /// Time for which a granted token is good. A token that is spent late counts in a window that began after it was
 /// granted, which the tolerance has to bear: without any, tokens are for the request that waits alone.
-pub(crate) fn token_life(tolerance: &QuotaTolerance) -> Duration {
-    let borne = tolerance.window().mul_f64(tolerance.excess() * LIFE_SHARE);
-    borne.min(LONGEST_TOKEN_LIFE)
+pub(crate) fn token_lifetime(tolerance: &QuotaTolerance) -> Duration {
+    let tolerated = tolerance
+        .window()
+        .mul_f64(tolerance.excess() * LIFETIME_EXCESS_FRACTION);
+    tolerated.min(MAX_TOKEN_LIFETIME)
 }
 
 /// What one part may grant.
@@ -67,19 +69,19 @@
     pub(crate) fn new(tolerance: &QuotaTolerance, quota: RequestQuota, parts: u32) -> Self {
         let parts = f64::from(parts.max(1));
         let window = tolerance.window().as_secs_f64();
-        let span = window + token_life(tolerance).as_secs_f64();
+        let span = window + token_lifetime(tolerance).as_secs_f64();
         let bound = tolerance.bound(quota) / parts;
         let fair_rate = quota.per_second / parts;
         let room = (bound - fair_rate * span).max(0.0);
-        let least_depth = (quota.burst / parts)
-            .max(quota.per_second * DEPTH_FOR.as_secs_f64())
+        let min_depth = (quota.burst / parts)
+            .max(quota.per_second * MIN_DEPTH_DEMAND_TIME.as_secs_f64())
             .max(1.0)
-            .max(room * DEPTH_SHARE)
+            .max(room * MIN_DEPTH_FRACTION)
             .min(room);
         let used_rate = quota.per_second / (parts - 1.0).max(1.0);
         let first_token_rate = 1.0 / window.max(f64::MIN_POSITIVE);
         let added_rate = used_rate.max(first_token_rate) - fair_rate;
-        let added_rate = added_rate.max(0.0).min((room - least_depth) / span);
+        let added_rate = added_rate.max(0.0).min((room - min_depth) / span);
         let per_second = fair_rate + added_rate;
         Self {
             per_second,
--- a/crates/sablehaven-quota/src/demand.rs
+++ b/crates/sablehaven-quota/src/demand.rs
@@ -21,8 +21,8 @@
     }
 
     /// Counts what is asked for now.
-    pub(crate) fn add(&mut self, now: Duration, asked: u32) {
-        self.count = self.count_at(now) + f64::from(asked);
+    pub(crate) fn add(&mut self, now: Duration, amount: u32) {
+        self.count = self.count_at(now) + f64::from(amount);
         self.counted_at = self.counted_at.max(now);
     }
 
@@ -32,7 +32,7 @@
     }
 
     fn count_at(&self, now: Duration) -> f64 {
-        let since = now.saturating_sub(self.counted_at).as_secs_f64();
-        self.count * (-since / self.half_life.as_secs_f64()).exp2()
+        let elapsed_seconds = now.saturating_sub(self.counted_at).as_secs_f64();
+        self.count * (-elapsed_seconds / self.half_life.as_secs_f64()).exp2()
     }
 }
--- a/crates/sablehaven-quota/src/fair_share.rs
+++ b/crates/sablehaven-quota/src/fair_share.rs
@@ -19,20 +19,20 @@
 const PRIOR_REQUESTS: f64 = 10.0;
 /// Standard deviations by which a tenant has to be above the level before it is refused for it. What passes beyond the
 /// room by this, gateways see, and refuse more; those that are surely above the level bear it.
-const SURE_DEVIATIONS: f64 = 2.5;
+const CONFIDENCE_DEVIATIONS: f64 = 2.5;
 /// The level is found anew after this time at the earliest, since that goes over all tenants.
-const LEVEL_LASTS: Duration = Duration::from_millis(200);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Demand below which a tenant is as good as gone: a single request, ten half-lives ago.
-const FORGOTTEN_PER_SECOND: f64 = 0.000_3;
+const MIN_RATE_PER_SECOND: f64 = 0.000_3;
 
 /// What one tenant asks for lately, whether or not it passes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AskedDemand {
+pub(crate) struct RecentDemand {
     rate: DemandRate,
 }
 
-impl AskedDemand {
+impl RecentDemand {
     /// Nothing yet.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
@@ -41,38 +41,38 @@
     }
 
     /// Counts tokens that are asked for.
-    pub(crate) fn count(&mut self, now: Duration, wanted: u32) {
+    pub(crate) fn add(&mut self, now: Duration, wanted: u32) {
         self.rate.add(now, wanted);
     }
 
     /// Requests a second for each unit of weight, drawn towards the mean as far as little is known.
     fn load(&self, now: Duration, weight: f64, mean: f64) -> f64 {
-        let weighed = weight * remembered_seconds() + PRIOR_REQUESTS / mean;
-        (self.remembered(now) + PRIOR_REQUESTS) / weighed
+        let weighted_seconds = weight * decay_seconds() + PRIOR_REQUESTS / mean;
+        (self.decayed_count(now) + PRIOR_REQUESTS) / weighted_seconds
     }
 
     /// The load less what chance may have added: a tenant at its usual is not refused because some of its requests came
     /// close together.
-    fn sure_load(&self, now: Duration, weight: f64, mean: f64) -> f64 {
-        let asked = self.remembered(now);
-        let by_chance = SURE_DEVIATIONS * asked.sqrt() / (asked + PRIOR_REQUESTS);
-        self.load(now, weight, mean) * (1.0 - by_chance)
+    fn load_lower_bound(&self, now: Duration, weight: f64, mean: f64) -> f64 {
+        let count = self.decayed_count(now);
+        let deviation = CONFIDENCE_DEVIATIONS * count.sqrt() / (count + PRIOR_REQUESTS);
+        self.load(now, weight, mean) * (1.0 - deviation)
     }
 
-    fn remembered(&self, now: Duration) -> f64 {
-        self.rate.per_second(now) * remembered_seconds()
+    fn decayed_count(&self, now: Duration) -> f64 {
+        self.rate.per_second(now) * decay_seconds()
     }
 }
 
 /// What a second's steady demand adds up to in a count that decays.
-fn remembered_seconds() -> f64 {
+fn decay_seconds() -> f64 {
     DEMAND_HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2
 }
 
 /// The loads of all tenants as of some time ago, from which the level follows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairShare {
-    found_at: Option<Duration>,
+    refreshed_at: Option<Duration>,
     mean_quota: f64,
     mean_load: f64,
     /// In ascending order of the loads, with the sums of demand up to there and of weight beyond.
@@ -91,18 +91,18 @@
 
 impl FairShare {
     /// Whether the loads are to be taken anew.
-    pub(crate) fn is_old(&self, now: Duration) -> bool {
-        let found_at = self.found_at;
-        found_at.is_none_or(|found_at| now.saturating_sub(found_at) >= LEVEL_LASTS)
+    pub(crate) fn is_stale(&self, now: Duration) -> bool {
+        let refreshed_at = self.refreshed_at;
+        refreshed_at.is_none_or(|refreshed_at| now.saturating_sub(refreshed_at) >= REFRESH_INTERVAL)
     }
 
     /// Takes the loads of all tenants: what each asked for, and its quota in requests a second.
     pub(crate) fn refresh<'a>(
         &mut self,
         now: Duration,
-        tenants: impl Iterator<Item = (&'a AskedDemand, Option<f64>)> + Clone,
+        tenants: impl Iterator<Item = (&'a RecentDemand, Option<f64>)> + Clone,
     ) {
-        self.found_at = Some(now);
+        self.refreshed_at = Some(now);
         let quotas = tenants.clone().filter_map(|(_, quota)| quota);
         let (count, sum) =
             quotas.fold((0.0, 0.0), |(count, sum), quota| (count + 1.0, sum + quota));
@@ -112,20 +112,20 @@
         if self.mean_load <= 0.0 {
             return;
         }
-        for (asked, quota) in tenants {
-            if asked.rate.per_second(now) >= FORGOTTEN_PER_SECOND {
-                self.steps.push(self.step_of(now, asked, quota));
+        for (recent, quota) in tenants {
+            if recent.rate.per_second(now) >= MIN_RATE_PER_SECOND {
+                self.steps.push(self.load_step_of(now, recent, quota));
             }
         }
-        self.sum_up();
+        self.compute_sums();
     }
 
     /// The chance, 0 to 1, with which a request of a tenant passes while the part `shed` of all requests has to be refused,
     /// 0 to 1 too. `quota` is the tenant's, in requests a second.
-    pub(crate) fn chance(
+    pub(crate) fn admission_probability(
         &self,
         now: Duration,
-        asked: &AskedDemand,
+        recent: &RecentDemand,
         quota: Option<f64>,
         shed: f64,
     ) -> f64 {
@@ -133,20 +133,20 @@
         if self.mean_load <= 0.0 || weight <= 0.0 {
             return 1.0 - shed;
         }
-        let load = asked.sure_load(now, weight, self.mean_load);
+        let load = recent.load_lower_bound(now, weight, self.mean_load);
         (self.level(shed) / load).min(1.0)
     }
 
     fn mean_load_of<'a>(
         &self,
         now: Duration,
-        tenants: impl Iterator<Item = (&'a AskedDemand, Option<f64>)>,
+        tenants: impl Iterator<Item = (&'a RecentDemand, Option<f64>)>,
     ) -> f64 {
         let mut demand = 0.0;
         let mut weights = 0.0;
-        for (asked, quota) in tenants {
-            let per_second = asked.rate.per_second(now);
-            if per_second < FORGOTTEN_PER_SECOND {
+        for (recent, quota) in tenants {
+            let per_second = recent.rate.per_second(now);
+            if per_second < MIN_RATE_PER_SECOND {
                 continue;
             }
             let weight = quota.unwrap_or(self.mean_quota);
@@ -156,9 +156,9 @@
         if weights > 0.0 { demand / weights } else { 0.0 }
     }
 
-    fn step_of(&self, now: Duration, asked: &AskedDemand, quota: Option<f64>) -> LoadStep {
+    fn load_step_of(&self, now: Duration, recent: &RecentDemand, quota: Option<f64>) -> LoadStep {
         let weight = quota.unwrap_or(self.mean_quota);
-        let load = asked.load(now, weight, self.mean_load);
+        let load = recent.load(now, weight, self.mean_load);
         LoadStep {
             // What is asked beyond the quota has no claim to room.
             load: if quota.is_some() { load.min(1.0) } else { load },
@@ -168,7 +168,7 @@
         }
     }
 
-    fn sum_up(&mut self) {
+    fn compute_sums(&mut self) {
         self.steps
             .sort_unstable_by(|left, right| left.load.total_cmp(&right.load));
         let mut weight_from: f64 = self.steps.iter().map(|step| step.weight).sum();
@@ -183,12 +183,12 @@
 
     /// The level at which all but `shed` of the demand passes.
     fn level(&self, shed: f64) -> f64 {
-        let passing = self.demand * (1.0 - shed);
-        let is_under =
-            |step: &LoadStep| step.demand_below + step.load * step.weight_from <= passing;
-        let index = self.steps.partition_point(is_under);
+        let admitted = self.demand * (1.0 - shed);
+        let is_below =
+            |step: &LoadStep| step.demand_below + step.load * step.weight_from <= admitted;
+        let index = self.steps.partition_point(is_below);
         match self.steps.get(index) {
-            Some(step) => (passing - step.demand_below) / step.weight_from,
+            Some(step) => (admitted - step.demand_below) / step.weight_from,
             None => f64::INFINITY,
         }
     }
--- a/crates/sablehaven-quota/src/part.rs
+++ b/crates/sablehaven-quota/src/part.rs
@@ -12,20 +12,20 @@
 use crate::{fair_share::FairShare, tenant_part::TenantPart};
 
 /// The most requests for loans in one call: a bound for the messages of a moment in which all tenants are short.
-const MOST_LOANS: usize = 64;
+const MAX_LOAN_REQUESTS: usize = 64;
 /// The longest time for which a request is held while a loan may come: a few round trips between replicas, far below
 /// what callers wait.
-const LONGEST_HOLD: Duration = Duration::from_millis(200);
+const MAX_HOLD: Duration = Duration::from_millis(200);
 
 /// One control replica's part of all tenants' quotas. Times are any steady time of the replica.
 #[derive(Clone, Debug)]
 pub struct QuotaPart {
     tolerance: QuotaTolerance,
     /// The number of equal parts, of which this is one; `None` while this replica may not spend any.
-    parts: Option<u32>,
+    part_count: Option<u32>,
     tenants: HashMap<TenantName, TenantPart>,
     /// Tenants whose part is short, in the order in which loans are asked for.
-    short: VecDeque<TenantName>,
+    short_tenants: VecDeque<TenantName>,
     fair_share: FairShare,
 }
 
@@ -49,9 +49,9 @@
     pub fn new(tolerance: QuotaTolerance) -> Self {
         Self {
             tolerance,
-            parts: None,
+            part_count: None,
             tenants: HashMap::new(),
-            short: VecDeque::new(),
+            short_tenants: VecDeque::new(),
             fair_share: FairShare::default(),
         }
     }
@@ -62,32 +62,33 @@
         now: Duration,
         tenants: impl Iterator<Item = (&'a TenantName, Option<RequestQuota>)>,
     ) {
-        let mut former = std::mem::take(&mut self.tenants);
+        let mut previous = std::mem::take(&mut self.tenants);
         for (name, quota) in tenants {
-            let part = former.remove(name);
+            let part = previous.remove(name);
             let mut part = part.unwrap_or_else(|| TenantPart::new(now));
             part.quota = quota;
-            part.resize(now, &self.tolerance, self.parts);
+            part.resize(now, &self.tolerance, self.part_count);
             self.tenants.insert(name.clone(), part);
         }
-        self.short.retain(|name| self.tenants.contains_key(name));
+        self.short_tenants
+            .retain(|name| self.tenants.contains_key(name));
     }
 
     /// Takes the number of equal parts, or that this replica has none. What it held before is gone then.
-    pub fn set_parts(&mut self, now: Duration, parts: Option<u32>) {
-        if self.parts == parts {
+    pub fn set_part_count(&mut self, now: Duration, part_count: Option<u32>) {
+        if self.part_count == part_count {
             return;
         }
-        self.parts = parts;
+        self.part_count = part_count;
         for part in self.tenants.values_mut() {
-            part.resize(now, &self.tolerance, parts);
+            part.resize(now, &self.tolerance, part_count);
         }
     }
 
     /// Decides on a request that waits for a token. `draw` is uniform, 0 to 1. No token is taken for a request that is
     /// refused.
     pub fn take(&mut self, now: Duration, request: &TokenRequest, draw: f64) -> TokenVerdict {
-        self.count(now, request, draw);
+        self.record_request(now, request, draw);
         self.decide(now, request, draw)
     }
 
@@ -102,22 +103,22 @@
         held: Duration,
     ) -> Option<TokenVerdict> {
         if held.is_zero() {
-            self.count(now, request, draw);
+            self.record_request(now, request, draw);
         }
         let patience = Duration::from_millis(request.patience_ms.into());
-        let may_hold = held < patience.min(LONGEST_HOLD);
+        let may_hold = held < patience.min(MAX_HOLD);
         let part = self.tenants.get_mut(&request.tenant);
-        let is_held = part.is_some_and(|part| may_hold && part.awaits_loan(now));
-        if is_held {
+        let should_hold = part.is_some_and(|part| may_hold && part.should_wait_for_loan(now));
+        if should_hold {
             self.queue_if_short(now, &request.tenant);
             return None;
         }
         Some(self.decide(now, request, draw))
     }
 
-    fn count(&mut self, now: Duration, request: &TokenRequest, draw: f64) {
+    fn record_request(&mut self, now: Duration, request: &TokenRequest, draw: f64) {
         if let Some(part) = self.tenants.get_mut(&request.tenant) {
-            part.count(now, request.wanted, draw);
+            part.record_request(now, request.wanted, draw);
         }
     }
 
@@ -126,8 +127,8 @@
             // The gateway has a newer configuration than this replica, or an older one.
             return TokenVerdict::NoPart;
         };
-        let is_pressed = request.shed_permille > 0 && part.has_token(now);
-        if is_pressed && !self.passes_fairly(now, request, draw) {
+        let applies_fair_share = request.shed_permille > 0 && part.has_token(now);
+        if applies_fair_share && !self.is_within_fair_share(now, request, draw) {
             return TokenVerdict::OverFairShare;
         }
         let part = self.tenants.get_mut(&request.tenant);
@@ -136,10 +137,10 @@
         verdict.unwrap_or(TokenVerdict::NoPart)
     }
 
-    fn passes_fairly(&mut self, now: Duration, request: &TokenRequest, draw: f64) -> bool {
-        if self.fair_share.is_old(now) {
+    fn is_within_fair_share(&mut self, now: Duration, request: &TokenRequest, draw: f64) -> bool {
+        if self.fair_share.is_stale(now) {
             let parts = self.tenants.values();
-            let loads = parts.map(|part| (&part.asked, part.quota_per_second()));
+            let loads = parts.map(|part| (&part.demand, part.quota_per_second()));
             self.fair_share.refresh(now, loads);
         }
         let Some(part) = self.tenants.get(&request.tenant) else {
@@ -147,7 +148,9 @@
         };
         let shed = f64::from(request.shed_permille.min(1_000)) / 1_000.0;
         let quota = part.quota_per_second();
-        draw < self.fair_share.chance(now, &part.asked, quota, shed)
+        draw < self
+            .fair_share
+            .admission_probability(now, &part.demand, quota, shed)
     }
 
     fn queue_if_short(&mut self, now: Duration, tenant: &TenantName) {
@@ -156,35 +159,35 @@
         };
         if !part.is_queued && part.is_short(now) {
             part.is_queued = true;
-            self.short.push_back(tenant.clone());
+            self.short_tenants.push_back(tenant.clone());
         }
     }
 
     /// What is to be asked of other replicas: tokens of the tenants whose part is used up, or soon will be, while requests
     /// come. Each request goes to one other replica. A tenant's numbers are consecutive, so that the number modulo the
     /// count of other replicas takes each in turn. To be called every few milliseconds.
-    pub fn loans_wanted(&mut self, now: Duration) -> Vec<LoanRequest> {
+    pub fn loan_requests(&mut self, now: Duration) -> Vec<LoanRequest> {
         let mut requests = Vec::new();
-        for _ in 0..self.short.len() {
-            if requests.len() >= MOST_LOANS {
+        for _ in 0..self.short_tenants.len() {
+            if requests.len() >= MAX_LOAN_REQUESTS {
                 break;
             }
-            let Some(tenant) = self.short.pop_front() else {
+            let Some(tenant) = self.short_tenants.pop_front() else {
                 break;
             };
             let Some(part) = self.tenants.get_mut(&tenant) else {
                 continue;
             };
-            while let Some(ask) = part.ask_for_loan(now) {
+            while let Some(outgoing) = part.open_loan_request(now) {
                 requests.push(LoanRequest {
-                    number: ask.number,
+                    number: outgoing.number,
                     tenant: tenant.clone(),
-                    wanted: ask.wanted,
+                    wanted: outgoing.wanted,
                 });
             }
             part.is_queued = part.is_short(now);
             if part.is_queued {
-                self.short.push_back(tenant);
+                self.short_tenants.push_back(tenant);
             }
         }
         requests
@@ -203,9 +206,9 @@
     }
 
     /// Takes a loan, unless it comes too late or twice.
-    pub fn receive(&mut self, now: Duration, loan: &TokenLoan) {
+    pub fn receive_loan(&mut self, now: Duration, loan: &TokenLoan) {
         if let Some(part) = self.tenants.get_mut(&loan.tenant) {
-            part.receive(now, loan.number, loan.tokens);
+            part.receive_loan(now, loan.number, loan.tokens);
         }
     }
 
--- a/crates/sablehaven-quota/src/tenant_part.rs
+++ b/crates/sablehaven-quota/src/tenant_part.rs
@@ -7,8 +7,8 @@
 use crate::{
     allowance::PartAllowance,
     bucket::TokenBucket,
-    fair_share::AskedDemand,
-    loan::{LoanAsk, LoanNeed},
+    fair_share::RecentDemand,
+    loan::{LoanState, OutgoingLoanRequest},
 };
 
 /// One tenant's quota at one replica.
@@ -17,9 +17,9 @@
     pub(crate) quota: Option<RequestQuota>,
     pub(crate) granted: u64,
     pub(crate) refused: u64,
-    pub(crate) asked: AskedDemand,
+    pub(crate) demand: RecentDemand,
     bucket: Option<TokenBucket>,
-    loan: LoanNeed,
+    loan: LoanState,
     /// Whether the tenant stands in the queue of those that need a loan.
     pub(crate) is_queued: bool,
 }
@@ -31,21 +31,26 @@
             quota: None,
             granted: 0,
             refused: 0,
-            asked: AskedDemand::new(now),
+            demand: RecentDemand::new(now),
             bucket: None,
-            loan: LoanNeed::new(now),
+            loan: LoanState::new(now),
             is_queued: false,
         }
     }
 
     /// Takes the number of parts, and the quota as it is now.
-    pub(crate) fn resize(&mut self, now: Duration, tolerance: &QuotaTolerance, parts: Option<u32>) {
-        let (Some(quota), Some(parts)) = (self.quota, parts) else {
+    pub(crate) fn resize(
+        &mut self,
+        now: Duration,
+        tolerance: &QuotaTolerance,
+        part_count: Option<u32>,
+    ) {
+        let (Some(quota), Some(part_count)) = (self.quota, part_count) else {
             self.bucket = None;
-            self.loan = LoanNeed::new(now);
+            self.loan = LoanState::new(now);
             return;
         };
-        let allowance = PartAllowance::new(tolerance, quota, parts);
+        let allowance = PartAllowance::new(tolerance, quota, part_count);
         match &mut self.bucket {
             Some(bucket) => bucket.resize(now, allowance),
             None => self.bucket = Some(TokenBucket::new(now, allowance)),
@@ -53,20 +58,20 @@
     }
 
     /// Counts a request for tokens.
-    pub(crate) fn count(&mut self, now: Duration, wanted: u32, draw: f64) {
-        self.asked.count(now, wanted);
+    pub(crate) fn record_request(&mut self, now: Duration, wanted: u32, draw: f64) {
+        self.demand.add(now, wanted);
         if self.bucket.is_some() {
-            self.loan.count(now, wanted, draw);
+            self.loan.record_request(now, wanted, draw);
         }
     }
 
     /// Whether no token is there and others may lend some soon; the need for a loan is noted.
-    pub(crate) fn awaits_loan(&mut self, now: Duration) -> bool {
-        let is_used_up = self.bucket.is_some() && !self.has_token(now);
-        if is_used_up {
+    pub(crate) fn should_wait_for_loan(&mut self, now: Duration) -> bool {
+        let is_exhausted = self.bucket.is_some() && !self.has_token(now);
+        if is_exhausted {
             self.loan.note_refused(true);
         }
-        is_used_up && self.loan.may_come(now)
+        is_exhausted && self.loan.may_receive_loan(now)
     }
 
     /// Decides on a request that waits for a token. While the tenant asks for more than it may, the next token is for a
@@ -78,17 +83,17 @@
         let Some(bucket) = &mut self.bucket else {
             return TokenVerdict::NoPart;
         };
-        let is_late = is_resend && self.loan.is_above_refill(now, bucket);
-        let granted = match is_late {
+        let is_deferred = is_resend && self.loan.exceeds_refill(now, bucket);
+        let granted = match is_deferred {
             true => bucket.take_spare(now, wanted),
             false => bucket.take(now, wanted),
         };
         self.loan.note_refused(granted == 0);
         if granted == 0 {
             self.refused += 1;
-            let wait = bucket.promise(now).as_micros().div_ceil(1_000);
+            let wait_ms = bucket.promise_token(now).as_micros().div_ceil(1_000);
             return TokenVerdict::OverQuota {
-                retry_after_ms: u32::try_from(wait).unwrap_or(u32::MAX),
+                retry_after_ms: u32::try_from(wait_ms).unwrap_or(u32::MAX),
             };
         }
         self.granted += u64::from(granted);
@@ -102,8 +107,8 @@
     }
 
     /// Opens a request for a loan if it is time for one; returns what to ask for.
-    pub(crate) fn ask_for_loan(&mut self, now: Duration) -> Option<LoanAsk> {
-        self.loan.ask(now, self.bucket.as_mut()?)
+    pub(crate) fn open_loan_request(&mut self, now: Duration) -> Option<OutgoingLoanRequest> {
+        self.loan.open_request(now, self.bucket.as_mut()?)
     }
 
     /// Takes tokens out for another part; `None` while this replica has none.
@@ -113,9 +118,9 @@
     }
 
     /// Takes a loan if it answers the open request and is not late.
-    pub(crate) fn receive(&mut self, now: Duration, number: u64, tokens: u32) {
+    pub(crate) fn receive_loan(&mut self, now: Duration, number: u64, tokens: u32) {
         if let Some(bucket) = &mut self.bucket {
-            self.loan.receive(now, bucket, number, tokens);
+            self.loan.receive_loan(now, bucket, number, tokens);
         }
     }
 
--- a/crates/sablehaven-quota/src/token_cache.rs
+++ b/crates/sablehaven-quota/src/token_cache.rs
@@ -7,108 +7,115 @@
 
 use sablehaven_types::{QuotaTolerance, TenantName};
 
-use crate::{allowance::token_life, demand::DemandRate};
+use crate::{allowance::token_lifetime, demand::DemandRate};
 
 /// Memory of a tenant's demand at a gateway.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(1);
 /// A tenant without a request for this long is forgotten; its rate is about nothing by then.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The tokens that a gateway holds. Times are any steady time of the gateway that counts suspension too.
 #[derive(Debug)]
-pub struct TokenStock {
-    life: Duration,
-    tenants: HashMap<TenantName, TenantStock>,
-    forgot_at: Duration,
+pub struct TokenCache {
+    token_lifetime: Duration,
+    tenants: HashMap<TenantName, TenantTokens>,
+    last_cleanup: Duration,
 }
 
 #[derive(Debug)]
-struct TenantStock {
+struct TenantTokens {
     demand: DemandRate,
     last_request: Duration,
     /// Ordered by the time of asking.
-    held: VecDeque<DatedTokens>,
+    available: VecDeque<TokenBatch>,
     /// Asked for beyond the token of the request that waits, and not answered yet.
-    ahead: VecDeque<DatedTokens>,
+    pending: VecDeque<TokenBatch>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct DatedTokens {
+struct TokenBatch {
     asked_at: Duration,
     tokens: u32,
 }
 
-impl TokenStock {
+impl TokenCache {
     /// An empty stock.
     pub fn new(tolerance: &QuotaTolerance) -> Self {
         Self {
-            life: token_life(tolerance),
+            token_lifetime: token_lifetime(tolerance),
             tenants: HashMap::new(),
-            forgot_at: Duration::ZERO,
+            last_cleanup: Duration::ZERO,
         }
     }
 
     /// Spends a token that is there.
     pub fn spend(&mut self, now: Duration, tenant: &TenantName) -> bool {
-        self.spend_dated(now, tenant).is_some()
+        self.spend_with_request_time(now, tenant).is_some()
     }
 
-    /// Spends a token that is there; returns when it was asked for, for [`TokenStock::put_back`].
-    pub fn spend_dated(&mut self, now: Duration, tenant: &TenantName) -> Option<Duration> {
-        let life = self.life;
-        let stock = self.tenants.get_mut(tenant)?;
-        stock.drop_expired(now, life);
-        let oldest = stock.held.front_mut()?;
+    /// Spends a token that is there; returns when it was asked for, for [`TokenCache::return_token`].
+    pub fn spend_with_request_time(
+        &mut self,
+        now: Duration,
+        tenant: &TenantName,
+    ) -> Option<Duration> {
+        let token_lifetime = self.token_lifetime;
+        let tenant_tokens = self.tenants.get_mut(tenant)?;
+        tenant_tokens.drop_expired(now, token_lifetime);
+        let oldest = tenant_tokens.available.front_mut()?;
         oldest.tokens -= 1;
         let asked_at = oldest.asked_at;
-        stock.count(now);
+        tenant_tokens.record_request(now);
         Some(asked_at)
     }
 
     /// How many tokens to ask for, that of the request that waits included: what the tenant will need here within the
     /// tokens' life.
-    pub fn wanted(&mut self, now: Duration, tenant: &TenantName) -> u32 {
-        if self.life.is_zero() {
+    pub fn tokens_to_request(&mut self, now: Duration, tenant: &TenantName) -> u32 {
+        if self.token_lifetime.is_zero() {
             return 1;
         }
-        self.forget_idle(now);
-        let life = self.life;
-        let stock = self.stock_of(now, tenant);
-        stock.drop_expired(now, life);
-        stock.count(now);
-        let needed = stock.demand.per_second(now) * life.as_secs_f64();
-        let coming = DatedTokens::sum(&stock.held) + DatedTokens::sum(&stock.ahead);
-        let lacking = needed - f64::from(coming);
-        let wanted = lacking.max(1.0) as u32;
-        if wanted > 1 {
-            stock.ahead.push_back(DatedTokens {
+        self.remove_idle_tenants(now);
+        let token_lifetime = self.token_lifetime;
+        let tenant_tokens = self.tenant_mut(now, tenant);
+        tenant_tokens.drop_expired(now, token_lifetime);
+        tenant_tokens.record_request(now);
+        let expected_requests = tenant_tokens.demand.per_second(now) * token_lifetime.as_secs_f64();
+        let outstanding =
+            TokenBatch::sum(&tenant_tokens.available) + TokenBatch::sum(&tenant_tokens.pending);
+        let missing = expected_requests - f64::from(outstanding);
+        let tokens = missing.max(1.0) as u32;
+        if tokens > 1 {
+            tenant_tokens.pending.push_back(TokenBatch {
                 asked_at: now,
-                tokens: wanted - 1,
+                tokens: tokens - 1,
             });
         }
-        wanted
+        tokens
     }
 
     /// Takes tokens beyond that of the request that waited; `asked_at` is when they were asked for.
-    pub fn put(&mut self, asked_at: Duration, tenant: &TenantName, tokens: u32) {
-        if tokens == 0 || self.life.is_zero() {
+    pub fn add(&mut self, asked_at: Duration, tenant: &TenantName, tokens: u32) {
+        if tokens == 0 || self.token_lifetime.is_zero() {
             return;
         }
-        let stock = self.stock_of(asked_at, tenant);
-        stock.ahead.retain(|ahead| ahead.asked_at != asked_at);
-        stock.hold(DatedTokens { asked_at, tokens });
+        let tenant_tokens = self.tenant_mut(asked_at, tenant);
+        tenant_tokens
+            .pending
+            .retain(|batch| batch.asked_at != asked_at);
+        tenant_tokens.insert(TokenBatch { asked_at, tokens });
     }
 
     /// Takes back a token whose request reached no server; `asked_at` is when the token was asked for.
-    pub fn put_back(&mut self, now: Duration, asked_at: Duration, tenant: &TenantName) {
-        if now.saturating_sub(asked_at) >= self.life {
+    pub fn return_token(&mut self, now: Duration, asked_at: Duration, tenant: &TenantName) {
+        if now.saturating_sub(asked_at) >= self.token_lifetime {
             return;
         }
-        let returned = DatedTokens {
+        let returned = TokenBatch {
             asked_at,
             tokens: 1,
         };
-        self.stock_of(now, tenant).hold(returned);
+        self.tenant_mut(now, tenant).insert(returned);
     }
 
     /// The number of tenants that the stock knows of.
@@ -116,52 +123,54 @@
         self.tenants.len()
     }
 
-    fn stock_of(&mut self, now: Duration, tenant: &TenantName) -> &mut TenantStock {
-        let stock = self.tenants.entry(tenant.clone());
-        stock.or_insert_with(|| TenantStock::new(now))
+    fn tenant_mut(&mut self, now: Duration, tenant: &TenantName) -> &mut TenantTokens {
+        let tenant_tokens = self.tenants.entry(tenant.clone());
+        tenant_tokens.or_insert_with(|| TenantTokens::new(now))
     }
 
-    fn forget_idle(&mut self, now: Duration) {
-        if now.saturating_sub(self.forgot_at) < FORGET_AFTER {
+    fn remove_idle_tenants(&mut self, now: Duration) {
+        if now.saturating_sub(self.last_cleanup) < TENANT_IDLE_TIMEOUT {
             return;
         }
-        self.forgot_at = now;
-        let is_idle = |stock: &TenantStock| now.saturating_sub(stock.last_request) >= FORGET_AFTER;
-        self.tenants.retain(|_, stock| !is_idle(stock));
+        self.last_cleanup = now;
+        let is_idle =
+            |tokens: &TenantTokens| now.saturating_sub(tokens.last_request) >= TENANT_IDLE_TIMEOUT;
+        self.tenants.retain(|_, tokens| !is_idle(tokens));
     }
 }
 
-impl TenantStock {
+impl TenantTokens {
     fn new(now: Duration) -> Self {
         Self {
             demand: DemandRate::new(DEMAND_HALF_LIFE, now),
             last_request: now,
-            held: VecDeque::new(),
-            ahead: VecDeque::new(),
+            available: VecDeque::new(),
+            pending: VecDeque::new(),
         }
     }
 
-    fn count(&mut self, now: Duration) {
+    fn record_request(&mut self, now: Duration) {
         self.demand.add(now, 1);
         self.last_request = now;
     }
 
-    fn hold(&mut self, tokens: DatedTokens) {
-        let is_before = |held: &DatedTokens| held.asked_at <= tokens.asked_at;
-        let place = self.held.partition_point(is_before);
-        self.held.insert(place, tokens);
+    fn insert(&mut self, batch: TokenBatch) {
+        let is_before = |other: &TokenBatch| other.asked_at <= batch.asked_at;
+        let position = self.available.partition_point(is_before);
+        self.available.insert(position, batch);
     }
 
-    fn drop_expired(&mut self, now: Duration, life: Duration) {
-        let is_good =
-            |dated: &DatedTokens| dated.tokens > 0 && now.saturating_sub(dated.asked_at) < life;
-        self.held.retain(is_good);
-        self.ahead.retain(is_good);
+    fn drop_expired(&mut self, now: Duration, token_lifetime: Duration) {
+        let is_valid = |batch: &TokenBatch| {
+            batch.tokens > 0 && now.saturating_sub(batch.asked_at) < token_lifetime
+        };
+        self.available.retain(is_valid);
+        self.pending.retain(is_valid);
     }
 }
 
-impl DatedTokens {
-    fn sum(dated: &VecDeque<Self>) -> u32 {
-        dated.iter().map(|dated| dated.tokens).sum()
+impl TokenBatch {
+    fn sum(batches: &VecDeque<Self>) -> u32 {
+        batches.iter().map(|batch| batch.tokens).sum()
     }
 }
--- a/crates/sablehaven-quota/tests/even_demand.rs
+++ b/crates/sablehaven-quota/tests/even_demand.rs
@@ -14,23 +14,33 @@
     slack: 20,
 };
 /// Parts are empty at first; the first token of each comes within a window.
-const FIRST_SECONDS: Duration = Duration::from_secs(6);
+const EVEN_WARM_UP: Duration = Duration::from_secs(6);
 /// Parts lend their last token after the time for two.
-const UNTIL_LOANS: Duration = Duration::from_secs(12);
+const SINGLE_REPLICA_WARM_UP: Duration = Duration::from_secs(12);
 
-fn play(quota: RequestQuota, replicas: usize, load: f64, at_one: bool, seed: u64) -> SteadyServed {
+fn run(
+    quota: RequestQuota,
+    replicas: usize,
+    load: f64,
+    at_one_replica: bool,
+    seed: u64,
+) -> SteadyServed {
     SteadyDemand {
         tolerance: TOLERANCE,
         quota,
         replicas,
         load,
-        at_one,
+        at_one_replica,
         round_trip: Duration::from_millis(30),
-        warm_up: if at_one { UNTIL_LOANS } else { FIRST_SECONDS },
+        warm_up: if at_one_replica {
+            SINGLE_REPLICA_WARM_UP
+        } else {
+            EVEN_WARM_UP
+        },
         seconds: 30,
         seed,
     }
-    .play()
+    .run()
 }
 
 proptest! {
@@ -43,7 +53,7 @@
         seed: u64,
     ) {
         let quota = RequestQuota { per_second, burst: 0.0 };
-        let served = play(quota, replicas, 0.6, false, seed);
+        let served = run(quota, replicas, 0.6, false, seed);
         prop_assert_eq!(served.refused, 0, "of {}", served.asked);
     }
 
@@ -54,7 +64,7 @@
         seed: u64,
     ) {
         let quota = RequestQuota { per_second, burst: per_second / 2.0 };
-        let served = play(quota, replicas, 1.0, true, seed);
+        let served = run(quota, replicas, 1.0, true, seed);
         let share = 1.0 - served.refused as f64 / served.asked as f64;
         prop_assert!(share >= 0.9, "{share}");
     }
--- a/crates/sablehaven-quota/tests/fair_room.rs
+++ b/crates/sablehaven-quota/tests/fair_room.rs
@@ -14,10 +14,10 @@
 const SECONDS: f64 = 60.0;
 const STEP: Duration = Duration::from_millis(5);
 
-struct Draws(u64);
+struct Random(u64);
 
-impl Draws {
-    fn draw(&mut self) -> f64 {
+impl Random {
+    fn uniform(&mut self) -> f64 {
         self.0 = self
             .0
             .wrapping_mul(0x5851_f42d_4c95_7f2d)
@@ -30,8 +30,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
     asked: f64,
-    passed: f64,
-    unfair: f64,
+    granted: f64,
+    over_fair_share: f64,
     over_quota: f64,
 }
 
@@ -39,20 +39,20 @@
     fn count(&mut self, verdict: TokenVerdict) {
         self.asked += 1.0;
         match verdict {
-            TokenVerdict::Granted(_) => self.passed += 1.0,
-            TokenVerdict::OverFairShare => self.unfair += 1.0,
+            TokenVerdict::Granted(_) => self.granted += 1.0,
+            TokenVerdict::OverFairShare => self.over_fair_share += 1.0,
             TokenVerdict::OverQuota { .. } => self.over_quota += 1.0,
             TokenVerdict::NoPart => panic!("the replica has its part"),
         }
     }
 
-    fn lost(&self) -> f64 {
-        self.unfair / self.asked
+    fn refused_fraction(&self) -> f64 {
+        self.over_fair_share / self.asked
     }
 }
 
 /// Usual rates, as 1 / k^1.2.
-fn usual_rates() -> Vec<f64> {
+fn zipf_rates() -> Vec<f64> {
     let sizes: Vec<_> = (1..=TENANTS).map(|rank| (rank as f64).powf(-1.2)).collect();
     let sum: f64 = sizes.iter().sum();
     sizes
@@ -62,9 +62,9 @@
 }
 
 /// What became of each tenant.
-fn play(rates: &[f64], usual: &[f64], room_per_second: f64, seed: u64) -> Vec<Served> {
+fn run(rates: &[f64], base_rates: &[f64], capacity_per_second: f64, seed: u64) -> Vec<Served> {
     let mut served = vec![Served::default(); rates.len()];
-    for outcome in outcomes(rates, usual, room_per_second, seed) {
+    for outcome in outcomes(rates, base_rates, capacity_per_second, seed) {
         served[outcome.rank].count(outcome.verdict);
     }
     served
@@ -77,7 +77,12 @@
 }
 
 /// Asks at random times while a gateway adapts what it refuses to the room.
-fn outcomes(rates: &[f64], usual: &[f64], room_per_second: f64, seed: u64) -> Vec<Outcome> {
+fn outcomes(
+    rates: &[f64],
+    base_rates: &[f64],
+    capacity_per_second: f64,
+    seed: u64,
+) -> Vec<Outcome> {
     let tolerance = QuotaTolerance {
         window_ms: 5_000,
         excess_permille: 100,
@@ -86,7 +91,7 @@
     let names: Vec<_> = (0..rates.len())
         .map(|rank| TenantName(format!("tenant-{rank}")))
         .collect();
-    let quotas: Vec<_> = usual
+    let quotas: Vec<_> = base_rates
         .iter()
         .map(|rate| RequestQuota {
             per_second: rate * QUOTA_FACTOR,
@@ -95,25 +100,25 @@
         .collect();
     let mut part = QuotaPart::new(tolerance);
     let start = Duration::from_secs(100);
-    part.set_parts(start, Some(1));
+    part.set_part_count(start, Some(1));
     part.set_tenants(
         start,
         names.iter().zip(quotas.iter().map(|quota| Some(*quota))),
     );
-    let mut draws = Draws(seed);
+    let mut random = Random(seed);
     let mut outcomes = Vec::new();
     let mut shed: f64 = 0.0;
-    let mut passed_lately = 0.0;
+    let mut decayed_granted = 0.0;
     let mut now = start;
     let end = start + WARM_UP + Duration::from_secs_f64(SECONDS);
     while now < end {
         now += STEP;
         // What is over the room for the last second makes the gateway refuse more, and the reverse.
-        passed_lately *= 1.0 - STEP.as_secs_f64();
-        let over = passed_lately / room_per_second - 1.0;
-        shed = (shed + over * 0.2 * STEP.as_secs_f64()).clamp(0.0, 0.9);
+        decayed_granted *= 1.0 - STEP.as_secs_f64();
+        let excess = decayed_granted / capacity_per_second - 1.0;
+        shed = (shed + excess * 0.2 * STEP.as_secs_f64()).clamp(0.0, 0.9);
         for (rank, rate) in rates.iter().enumerate() {
-            if draws.draw() >= rate * STEP.as_secs_f64() {
+            if random.uniform() >= rate * STEP.as_secs_f64() {
                 continue;
             }
             let request = TokenRequest {
@@ -124,9 +129,9 @@
                 patience_ms: 0,
                 is_resend: false,
             };
-            let verdict = part.take(now, &request, draws.draw());
-            let is_passed = verdict == TokenVerdict::Granted(1);
-            passed_lately += f64::from(u8::from(is_passed));
+            let verdict = part.take(now, &request, random.uniform());
+            let is_granted = verdict == TokenVerdict::Granted(1);
+            decayed_granted += f64::from(u8::from(is_granted));
             if now >= start + WARM_UP {
                 outcomes.push(Outcome {
                     at: now - start - WARM_UP,
@@ -142,8 +147,8 @@
 fn sum(served: &[Served]) -> Served {
     served.iter().fold(Served::default(), |sum, tenant| Served {
         asked: sum.asked + tenant.asked,
-        passed: sum.passed + tenant.passed,
-        unfair: sum.unfair + tenant.unfair,
+        granted: sum.granted + tenant.granted,
+        over_fair_share: sum.over_fair_share + tenant.over_fair_share,
         over_quota: sum.over_quota + tenant.over_quota,
     })
 }
@@ -151,38 +156,41 @@
 /// Twice the usual fitted before half of the room went.
 #[test]
 fn tenants_at_their_usual_lose_nothing_beside_one_above_its_share() {
-    let usual = usual_rates();
+    let base_rates = zipf_rates();
     for (hot, seed) in [(0, 1), (0, 2), (3, 3), (10, 4)] {
-        let mut rates = usual.clone();
+        let mut rates = base_rates.clone();
         rates[hot] *= HOT_FACTOR;
-        let served = play(&rates, &usual, TOTAL_PER_SECOND, seed);
+        let served = run(&rates, &base_rates, TOTAL_PER_SECOND, seed);
         let (before, after) = (sum(&served[..hot]), sum(&served[hot + 1..]));
         let others = sum(&[before, after]);
         println!(
             "hot {hot}: {:?} others {others:?} {:.4}",
             served[hot],
-            others.lost()
+            others.refused_fraction()
         );
-        assert!(others.lost() < 0.01, "{others:?}");
-        let hot_passed = served[hot].passed / SECONDS;
-        assert!(hot_passed < usual[hot] * QUOTA_FACTOR * 1.1, "{hot_passed}");
-        assert!(hot_passed > usual[hot] * 0.7, "{hot_passed}");
+        assert!(others.refused_fraction() < 0.01, "{others:?}");
+        let hot_granted = served[hot].granted / SECONDS;
+        assert!(
+            hot_granted < base_rates[hot] * QUOTA_FACTOR * 1.1,
+            "{hot_granted}"
+        );
+        assert!(hot_granted > base_rates[hot] * 0.7, "{hot_granted}");
     }
 }
 
 #[test]
 fn all_at_their_usual_lose_alike() {
-    let usual = usual_rates();
-    let served = play(&usual, &usual, TOTAL_PER_SECOND / 2.0, 5);
+    let base_rates = zipf_rates();
+    let served = run(&base_rates, &base_rates, TOTAL_PER_SECOND / 2.0, 5);
     let all = sum(&served);
     let groups = [0..1, 1..3, 3..10, 10..30, 30..75];
-    println!("all {:.3}", all.lost());
+    println!("all {:.3}", all.refused_fraction());
     for group in groups {
-        let lost = sum(&served[group.clone()]).lost();
-        println!("{group:?} {lost:.3}");
+        let refused_fraction = sum(&served[group.clone()]).refused_fraction();
+        println!("{group:?} {refused_fraction:.3}");
         assert!(
-            (lost - all.lost()).abs() < 0.1,
-            "{group:?} lost {lost} of {all:?}"
+            (refused_fraction - all.refused_fraction()).abs() < 0.1,
+            "{group:?} refused {refused_fraction} of {all:?}"
         );
     }
 }
@@ -190,20 +198,23 @@
 /// In any five seconds; tenants with too few requests in these to tell are looked at together, by size.
 #[test]
 fn no_tenant_starves() {
-    let usual = usual_rates();
-    let mut rates = usual.clone();
+    let base_rates = zipf_rates();
+    let mut rates = base_rates.clone();
     rates[0] *= HOT_FACTOR;
-    let mut spans = vec![vec![Served::default(); TENANTS]; (SECONDS / 5.0) as usize + 1];
-    for outcome in outcomes(&rates, &usual, TOTAL_PER_SECOND / 2.0, 6) {
-        let span = outcome.at.as_secs() as usize / 5;
-        spans[span][outcome.rank].count(outcome.verdict);
+    let mut intervals = vec![vec![Served::default(); TENANTS]; (SECONDS / 5.0) as usize + 1];
+    for outcome in outcomes(&rates, &base_rates, TOTAL_PER_SECOND / 2.0, 6) {
+        let interval = outcome.at.as_secs() as usize / 5;
+        intervals[interval][outcome.rank].count(outcome.verdict);
     }
-    let share = |tenants: &[Served]| sum(tenants).passed / sum(tenants).asked;
-    for span in &spans[..spans.len() - 1] {
-        let mean = share(&span[1..]);
+    let share = |tenants: &[Served]| sum(tenants).granted / sum(tenants).asked;
+    for interval in &intervals[..intervals.len() - 1] {
+        let mean_share = share(&interval[1..]);
         for group in [1..2, 2..3, 3..5, 5..9, 9..20, 20..40, 40..75] {
-            let got = share(&span[group.clone()]);
-            assert!(got >= mean / 4.0, "{group:?} got {got}, the mean {mean}");
+            let group_share = share(&interval[group.clone()]);
+            assert!(
+                group_share >= mean_share / 4.0,
+                "{group:?} admitted {group_share}, mean {mean_share}"
+            );
         }
     }
 }
@@ -223,10 +234,10 @@
         excess_permille: 100,
         slack: 20,
     });
-    part.set_parts(Duration::ZERO, Some(1));
+    part.set_part_count(Duration::ZERO, Some(1));
     part.set_tenants(Duration::ZERO, names.iter().map(|name| (name, Some(quota))));
-    let mut draws = Draws(9);
-    let mut lost = [0.0; 2];
+    let mut random = Random(9);
+    let mut refused_fraction = [0.0; 2];
     let asked = 10_000;
     for index in 0..2 * asked {
         let request = TokenRequest {
@@ -238,12 +249,15 @@
             is_resend: false,
         };
         let now = Duration::from_secs(60) + Duration::from_millis(2 * index as u64);
-        let verdict = part.take(now, &request, draws.draw());
-        lost[index % 2] += f64::from(u8::from(verdict == TokenVerdict::OverFairShare));
+        let verdict = part.take(now, &request, random.uniform());
+        refused_fraction[index % 2] += f64::from(u8::from(verdict == TokenVerdict::OverFairShare));
     }
-    let lost = lost.map(|lost| lost / asked as f64);
-    assert_eq!(lost[0], 0.0);
-    assert!((0.4..0.7).contains(&lost[1]), "{lost:?}");
+    let refused_fraction = refused_fraction.map(|refused_fraction| refused_fraction / asked as f64);
+    assert_eq!(refused_fraction[0], 0.0);
+    assert!(
+        (0.4..0.7).contains(&refused_fraction[1]),
+        "{refused_fraction:?}"
+    );
 }
 
 #[test]
@@ -259,7 +273,7 @@
         slack: 20,
     };
     let mut part = QuotaPart::new(tolerance);
-    part.set_parts(Duration::ZERO, Some(4));
+    part.set_part_count(Duration::ZERO, Some(4));
     part.set_tenants(Duration::ZERO, [(&tenant, Some(quota))].into_iter());
     let now = Duration::from_secs(60);
     let before = part.usage(now)[0].tokens;
--- a/crates/sablehaven-quota/tests/held_requests.rs
+++ b/crates/sablehaven-quota/tests/held_requests.rs
@@ -13,7 +13,7 @@
     slack: 20,
 };
 const START: Duration = Duration::from_secs(60);
-const LONGEST_HOLD: Duration = Duration::from_millis(200);
+const MAX_HOLD: Duration = Duration::from_millis(200);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -23,17 +23,17 @@
     TenantName::from("tenant")
 }
 
-fn part() -> QuotaPart {
-    part_of(0.5)
+fn new_part() -> QuotaPart {
+    part_with_rate(0.5)
 }
 
-fn part_of(per_second: f64) -> QuotaPart {
+fn part_with_rate(per_second: f64) -> QuotaPart {
     let quota = RequestQuota {
         per_second,
         burst: 0.0,
     };
     let mut part = QuotaPart::new(TOLERANCE);
-    part.set_parts(Duration::ZERO, Some(7));
+    part.set_part_count(Duration::ZERO, Some(7));
     part.set_tenants(Duration::ZERO, [(&tenant(), Some(quota))].into_iter());
     part
 }
@@ -49,8 +49,8 @@
     }
 }
 
-fn used_up() -> QuotaPart {
-    let mut part = part();
+fn exhausted_part() -> QuotaPart {
+    let mut part = new_part();
     while part
         .take_or_hold(START, &request(), 0.5, Duration::ZERO)
         .is_some()
@@ -60,14 +60,14 @@
 
 #[test]
 fn a_request_that_is_held_passes_with_a_loan() {
-    let mut borrower = used_up();
-    let mut lender = part();
-    let ask = borrower
-        .loans_wanted(START + ms(1))
+    let mut borrower = exhausted_part();
+    let mut lender = new_part();
+    let loan_request = borrower
+        .loan_requests(START + ms(1))
         .pop()
         .expect("a request for a loan");
-    let loan = lender.lend(START + ms(15), &ask).expect("a part");
-    borrower.receive(START + ms(30), &loan);
+    let loan = lender.lend(START + ms(15), &loan_request).expect("a part");
+    borrower.receive_loan(START + ms(30), &loan);
     let verdict = borrower.take_or_hold(START + ms(30), &request(), 0.5, ms(30));
     assert_eq!(verdict, Some(TokenVerdict::Granted(1)));
     assert_eq!(borrower.usage(START + ms(30))[0].refused, 0);
@@ -75,8 +75,8 @@
 
 #[test]
 fn none_is_held_for_long() {
-    let mut borrower = used_up();
-    let verdict = borrower.take_or_hold(START + LONGEST_HOLD, &request(), 0.5, LONGEST_HOLD);
+    let mut borrower = exhausted_part();
+    let verdict = borrower.take_or_hold(START + MAX_HOLD, &request(), 0.5, MAX_HOLD);
     assert!(
         matches!(verdict, Some(TokenVerdict::OverQuota { .. })),
         "{verdict:?}"
@@ -85,17 +85,17 @@
 
 #[test]
 fn none_is_held_when_the_others_have_nothing() {
-    let mut borrower = used_up();
+    let mut borrower = exhausted_part();
     let mut now = START;
     for _ in 0..100 {
         now += ms(5);
-        for ask in borrower.loans_wanted(now) {
+        for loan_request in borrower.loan_requests(now) {
             let nothing = TokenLoan {
-                number: ask.number,
+                number: loan_request.number,
                 tenant: tenant(),
                 tokens: 0,
             };
-            borrower.receive(now, &nothing);
+            borrower.receive_loan(now, &nothing);
         }
         let _ = borrower.take(now, &request(), 0.5);
     }
@@ -112,30 +112,30 @@
 
 #[test]
 fn a_loan_that_comes_late_or_twice_is_dropped() {
-    let mut borrower = used_up();
-    let ask = borrower
-        .loans_wanted(START + ms(1))
+    let mut borrower = exhausted_part();
+    let loan_request = borrower
+        .loan_requests(START + ms(1))
         .pop()
         .expect("a request for a loan");
     let loan = TokenLoan {
-        number: ask.number,
+        number: loan_request.number,
         tenant: tenant(),
         tokens: 1,
     };
     let before = borrower.usage(START + ms(200))[0].tokens;
     let mut late = borrower.clone();
-    late.receive(START + ms(200), &loan);
+    late.receive_loan(START + ms(200), &loan);
     assert_eq!(late.usage(START + ms(200))[0].tokens, before);
 
-    borrower.receive(START + ms(30), &loan);
+    borrower.receive_loan(START + ms(30), &loan);
     let once = borrower.usage(START + ms(30))[0].tokens;
-    borrower.receive(START + ms(30), &loan);
+    borrower.receive_loan(START + ms(30), &loan);
     assert_eq!(borrower.usage(START + ms(30))[0].tokens, once);
 }
 
 #[test]
 fn two_parts_do_not_pass_the_same_tokens_back_and_forth() {
-    let mut parts = [part(), part()];
+    let mut parts = [new_part(), new_part()];
     let mut loans = 0;
     for step in 0..5_000u64 {
         let now = START + ms(step);
@@ -145,10 +145,10 @@
             }
         }
         for from in 0..2 {
-            for ask in parts[from].loans_wanted(now) {
-                let loan = parts[1 - from].lend(now, &ask).expect("a part");
+            for loan_request in parts[from].loan_requests(now) {
+                let loan = parts[1 - from].lend(now, &loan_request).expect("a part");
                 loans += u32::from(loan.tokens > 0);
-                parts[from].receive(now, &loan);
+                parts[from].receive_loan(now, &loan);
             }
         }
     }
@@ -157,7 +157,7 @@
 
 #[test]
 fn a_request_waits_no_longer_than_its_gateway_lets_it() {
-    let mut part = used_up();
+    let mut part = exhausted_part();
     let impatient = TokenRequest {
         patience_ms: 12,
         ..request()
@@ -172,9 +172,9 @@
 /// Seven times what the part refills is asked for, half of it by callers that were refused before.
 #[test]
 fn while_too_much_is_asked_for_tokens_go_to_first_requests() {
-    let mut part = part_of(45.0);
+    let mut part = part_with_rate(45.0);
     while let TokenVerdict::Granted(_) = part.take(START, &request(), 0.5) {}
-    let (mut first, mut again) = (0, 0);
+    let (mut new, mut resent) = (0, 0);
     for step in 0..2_000_u64 {
         let now = START + ms(step * 20);
         let is_resend = step % 2 == 1;
@@ -184,16 +184,16 @@
             ..request()
         };
         if part.take(now, &request, 0.5) == TokenVerdict::Granted(1) {
-            *(if is_resend { &mut again } else { &mut first }) += 1;
+            *(if is_resend { &mut resent } else { &mut new }) += 1;
         }
     }
-    assert!(first > 100, "{first}");
-    assert_eq!(again, 0, "beside {first} first ones");
+    assert!(new > 100, "{new}");
+    assert_eq!(resent, 0, "beside {new} new ones");
 }
 
 #[test]
 fn where_there_is_room_a_caller_that_was_refused_passes() {
-    let mut part = part();
+    let mut part = new_part();
     let request = TokenRequest {
         is_resend: true,
         ..request()
--- a/crates/sablehaven-quota/tests/refusal_wait.rs
+++ b/crates/sablehaven-quota/tests/refusal_wait.rs
@@ -11,7 +11,7 @@
     slack: 20,
 };
 const START: Duration = Duration::from_secs(60);
-const LONGEST_WAIT_MS: u32 = 30_000;
+const MAX_WAIT_MS: u32 = 30_000;
 
 struct Caller {
     part: QuotaPart,
@@ -20,19 +20,19 @@
 
 impl Caller {
     /// A replica whose part of the tenant is used up at the start.
-    fn at_empty_part(per_second: f64) -> Self {
+    fn with_empty_part(per_second: f64) -> Self {
         let tenant = TenantName::from("tenant");
         let quota = RequestQuota {
             per_second,
             burst: 0.0,
         };
         let mut part = QuotaPart::new(TOLERANCE);
-        part.set_parts(Duration::ZERO, Some(4));
+        part.set_part_count(Duration::ZERO, Some(4));
         part.set_tenants(Duration::ZERO, [(&tenant, Some(quota))].into_iter());
         let mut caller = Self { part, tenant };
         while caller.ask(START) == TokenVerdict::Granted(1) {}
-        caller.part.set_parts(START, None);
-        caller.part.set_parts(START, Some(4));
+        caller.part.set_part_count(START, None);
+        caller.part.set_part_count(START, Some(4));
         caller
     }
 
@@ -48,7 +48,7 @@
         self.part.take(now, &request, 0.5)
     }
 
-    fn refused(&mut self, now: Duration) -> u32 {
+    fn refused_wait_ms(&mut self, now: Duration) -> u32 {
         match self.ask(now) {
             TokenVerdict::OverQuota { retry_after_ms } => retry_after_ms,
             verdict => panic!("{verdict:?} of an empty part"),
@@ -56,20 +56,20 @@
     }
 }
 
-fn after(wait_ms: u32) -> Duration {
+fn time_after(wait_ms: u32) -> Duration {
     START + Duration::from_millis(u64::from(wait_ms))
 }
 
 #[test]
 fn each_who_is_refused_finds_a_token_at_the_time_told() {
     for per_second in [0.5, 7.3, 200.0] {
-        let mut caller = Caller::at_empty_part(per_second);
-        let waits: Vec<_> = (0..5).map(|_| caller.refused(START)).collect();
-        for wait in waits {
+        let mut caller = Caller::with_empty_part(per_second);
+        let waits_ms: Vec<_> = (0..5).map(|_| caller.refused_wait_ms(START)).collect();
+        for wait_ms in waits_ms {
             assert_eq!(
-                caller.ask(after(wait)),
+                caller.ask(time_after(wait_ms)),
                 TokenVerdict::Granted(1),
-                "{wait} at {per_second}"
+                "{wait_ms} at {per_second}"
             );
         }
     }
@@ -77,27 +77,30 @@
 
 #[test]
 fn those_refused_before_stand_before() {
-    let mut caller = Caller::at_empty_part(7.3);
-    let waits: Vec<_> = (0..5).map(|_| caller.refused(START)).collect();
+    let mut caller = Caller::with_empty_part(7.3);
+    let waits_ms: Vec<_> = (0..5).map(|_| caller.refused_wait_ms(START)).collect();
     assert!(
-        waits.is_sorted_by(|earlier, later| earlier < later),
-        "{waits:?}"
+        waits_ms.is_sorted_by(|earlier, later| earlier < later),
+        "{waits_ms:?}"
     );
 }
 
 #[test]
 fn those_whose_time_has_come_stand_before_nobody() {
-    let mut caller = Caller::at_empty_part(7.3);
-    let last = (0..5).map(|_| caller.refused(START)).last().expect("five");
-    let later = after(last);
+    let mut caller = Caller::with_empty_part(7.3);
+    let last_wait_ms = (0..5)
+        .map(|_| caller.refused_wait_ms(START))
+        .last()
+        .expect("five");
+    let later = time_after(last_wait_ms);
     while caller.ask(later) == TokenVerdict::Granted(1) {}
-    let token_ms = 1_000.0 * 4.0 / 7.3;
-    assert!(f64::from(caller.refused(later)) <= 2.0 * token_ms);
+    let token_interval_ms = 1_000.0 * 4.0 / 7.3;
+    assert!(f64::from(caller.refused_wait_ms(later)) <= 2.0 * token_interval_ms);
 }
 
 #[test]
 fn a_wait_stays_of_use() {
-    let mut caller = Caller::at_empty_part(0.5);
-    let longest = (0..10_000).map(|_| caller.refused(START)).max();
-    assert_eq!(longest, Some(LONGEST_WAIT_MS));
+    let mut caller = Caller::with_empty_part(0.5);
+    let max_wait_ms = (0..10_000).map(|_| caller.refused_wait_ms(START)).max();
+    assert_eq!(max_wait_ms, Some(MAX_WAIT_MS));
 }
--- a/crates/sablehaven-quota/tests/support/faults.rs
+++ b/crates/sablehaven-quota/tests/support/faults.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use sablehaven_quota::{QuotaPart, TokenStock};
+use sablehaven_quota::{QuotaPart, TokenCache};
 use sablehaven_types::RequestQuota;
 
 use super::{
     ms,
     plan::Event,
-    windows::InForce,
-    world::{Gateway, Message, Replica, Without, World},
+    windows::QuotaInterval,
+    world::{DisabledSafeguard, Gateway, Message, Replica, World},
 };
 
 /// Time until all replicas have applied a change.
-const APPLY_MS: u64 = 400;
+const MAX_APPLY_DELAY_MS: u64 = 400;
 
 impl World {
     pub fn apply_event(&mut self, event: &Event) {
@@ -37,7 +37,7 @@
                     gateway.suspended_until = self.now + ms(*time);
                 }
             }
-            Event::CutReplica(index) => self.replicas[index % members].is_cut = true,
+            Event::PartitionReplica(index) => self.replicas[index % members].is_partitioned = true,
             Event::SpendAllTokens => {
                 for index in 0..self.gateways.len() {
                     while self.spend(index) {}
@@ -50,12 +50,12 @@
     fn set_quota(&mut self, quota: RequestQuota) {
         self.quota = quota;
         for replica in &mut self.replicas {
-            let at = self.now + ms(self.lottery.below(APPLY_MS));
+            let at = self.now + ms(self.random.below(MAX_APPLY_DELAY_MS));
             replica.next_quota = Some((at, quota));
         }
     }
 
-    pub fn apply_quotas(&mut self) {
+    pub fn apply_due_updates(&mut self) {
         for index in 0..self.replicas.len() {
             let Some((at, quota)) = self.replicas[index].next_quota else {
                 continue;
@@ -63,10 +63,10 @@
             if at > self.now {
                 continue;
             }
-            self.end_quota(index);
+            self.close_quota_interval(index);
             let replica = &mut self.replicas[index];
             let is_lower = self.tolerance.bound(quota) < self.tolerance.bound(replica.quota);
-            if self.without != Without::LowerLimit || !is_lower {
+            if self.disabled_safeguard != DisabledSafeguard::LowerLimit || !is_lower {
                 let tenants = [(&self.tenant, Some(quota))].into_iter();
                 replica.part.set_tenants(self.now, tenants);
             }
@@ -77,15 +77,15 @@
         for index in 0..self.gateways.len() {
             if self.gateways[index].suspended_until <= now {
                 for (asked_at, verdict) in std::mem::take(&mut self.gateways[index].inbox) {
-                    self.use_reply(index, asked_at, verdict);
+                    self.apply_reply(index, asked_at, verdict);
                 }
             }
         }
     }
 
-    pub fn end_quota(&mut self, index: usize) {
+    pub fn close_quota_interval(&mut self, index: usize) {
         let replica = &mut self.replicas[index];
-        self.quotas.push(InForce {
+        self.quotas.push(QuotaInterval {
             quota: replica.quota,
             from: replica.in_force_since,
             until: self.now,
@@ -94,50 +94,50 @@
     }
 
     fn restart(&mut self, index: usize) {
-        self.end_quota(index);
-        let filled_since = match self.without {
-            Without::EmptyStart => self.now - ms(60_000),
+        self.close_quota_interval(index);
+        let created_at = match self.disabled_safeguard {
+            DisabledSafeguard::EmptyStart => self.now - ms(60_000),
             _ => self.now,
         };
-        self.replicas[index] = self.new_replica(filled_since);
+        self.replicas[index] = self.new_replica(created_at);
     }
 
     /// The replica goes on for a while without knowing that another one has its place. The one that went on before ends.
     fn replace(&mut self, index: usize) {
         if let Some(stale) = self.replicas.iter().position(|replica| replica.is_stale) {
-            self.end_quota(stale);
+            self.close_quota_interval(stale);
             self.replicas.truncate(stale);
             self.messages.retain(|(_, message)| match message {
-                Message::Take { replica, .. } => *replica < stale,
-                Message::Ask { from, to, .. } => *from < stale && *to < stale,
+                Message::RequestTokens { replica, .. } => *replica < stale,
+                Message::RequestLoan { from, to, .. } => *from < stale && *to < stale,
                 Message::Loan { to, .. } => *to < stale,
                 Message::Reply { .. } => true,
             });
         }
-        let newcomer = self.new_replica(self.now);
-        let mut stale = std::mem::replace(&mut self.replicas[index], newcomer);
+        let replacement = self.new_replica(self.now);
+        let mut stale = std::mem::replace(&mut self.replicas[index], replacement);
         stale.is_stale = true;
         self.replicas.push(stale);
     }
 
-    pub fn new_replica(&mut self, filled_since: Duration) -> Replica {
+    pub fn new_replica(&mut self, created_at: Duration) -> Replica {
         let mut part = QuotaPart::new(self.tolerance);
-        part.set_parts(filled_since, Some(self.parts));
+        part.set_part_count(created_at, Some(self.parts));
         let tenants = [(&self.tenant, Some(self.quota))].into_iter();
-        part.set_tenants(filled_since, tenants);
+        part.set_tenants(created_at, tenants);
         Replica {
             part,
             quota: self.quota,
             in_force_since: self.now,
             next_quota: None,
-            is_cut: false,
+            is_partitioned: false,
             is_stale: false,
         }
     }
 
     pub fn new_gateway(&self, incarnation: u64) -> Gateway {
         Gateway {
-            stock: TokenStock::new(&self.tolerance),
+            cache: TokenCache::new(&self.tolerance),
             suspended_until: Duration::ZERO,
             inbox: Vec::new(),
             answered: Vec::new(),
--- a/crates/sablehaven-quota/tests/support/plan.rs
+++ b/crates/sablehaven-quota/tests/support/plan.rs
@@ -22,10 +22,10 @@
     /// Gateways take tokens and keep them.
     pub is_hoarding: bool,
     /// Whether all gateways ask the same replica.
-    pub is_at_one: bool,
-    pub lost: f64,
-    pub doubled: f64,
-    pub late: f64,
+    pub uses_one_replica: bool,
+    pub loss: f64,
+    pub duplicated: f64,
+    pub delayed: f64,
 }
 
 #[derive(Clone, Debug)]
@@ -38,13 +38,14 @@
     KillGateway(usize),
     SuspendGateway(usize, u64),
     SuspendAllGateways(u64),
-    CutReplica(usize),
+    PartitionReplica(usize),
     SetQuota(RequestQuota),
 }
 
 pub fn plan() -> impl Strategy<Value = Plan> {
     let phases = prop::collection::vec(phase(), 1..5);
-    let phases = (phases, climax()).prop_map(|(before, climax)| [before, climax].concat());
+    let phases = (phases, stress_phases())
+        .prop_map(|(before, stress_phases)| [before, stress_phases].concat());
     (
         any::<u64>(),
         tolerance(),
@@ -84,36 +85,38 @@
     let length = prop_oneof![2 => 30..400u64, 1 => 400..1_500u64, 1 => 2_000..5_000u64];
     let chance = || prop_oneof![5 => Just(0.0), 1 => 0.0..0.5f64];
     let is_rare = || prop::bool::weighted(0.25);
-    let habits = (demand, is_rare(), is_rare());
-    (length, event(), habits, chance(), chance(), chance()).prop_map(
-        |(length_ms, event, (demand, is_hoarding, is_at_one), lost, doubled, late)| Phase {
-            length_ms,
-            event,
-            demand,
-            is_hoarding,
-            is_at_one,
-            lost,
-            doubled,
-            late,
+    let behavior = (demand, is_rare(), is_rare());
+    (length, event(), behavior, chance(), chance(), chance()).prop_map(
+        |(length_ms, event, (demand, is_hoarding, uses_one_replica), loss, duplicated, delayed)| {
+            Phase {
+                length_ms,
+                event,
+                demand,
+                is_hoarding,
+                uses_one_replica,
+                loss,
+                duplicated,
+                delayed,
+            }
         },
     )
 }
 
 /// A rest in which parts fill, a rush, what happens then, another rush, and all that is held is spent.
-fn climax() -> impl Strategy<Value = Vec<Phase>> {
-    let rush = |event: Event, length_ms: u64, is_hoarding: bool| Phase {
+fn stress_phases() -> impl Strategy<Value = Vec<Phase>> {
+    let burst_phase = |event: Event, length_ms: u64, is_hoarding: bool| Phase {
         length_ms,
         event,
         demand: 3.0,
         is_hoarding,
-        is_at_one: false,
-        lost: 0.0,
-        doubled: 0.0,
-        late: 0.0,
+        uses_one_replica: false,
+        loss: 0.0,
+        duplicated: 0.0,
+        delayed: 0.0,
     };
-    let rest = move |length_ms: u64| Phase {
+    let idle_phase = move |length_ms: u64| Phase {
         demand: 0.0,
-        ..rush(Event::Nothing, length_ms, false)
+        ..burst_phase(Event::Nothing, length_ms, false)
     };
     let fill = prop_oneof![500..4_000u64, 20_000..40_000u64];
     let lengths = (fill, 30..300u64, 0..1_500u64, 30..500u64);
@@ -121,11 +124,11 @@
     (lengths, events).prop_map(
         move |((fill, first, pause, second), (event, other, is_hoarding))| {
             vec![
-                rest(fill),
-                rush(event, first, is_hoarding),
-                rest(if is_hoarding { pause } else { 0 }),
-                rush(other, second, is_hoarding),
-                rush(Event::SpendAllTokens, 20, false),
+                idle_phase(fill),
+                burst_phase(event, first, is_hoarding),
+                idle_phase(if is_hoarding { pause } else { 0 }),
+                burst_phase(other, second, is_hoarding),
+                burst_phase(Event::SpendAllTokens, 20, false),
             ]
         },
     )
@@ -141,7 +144,7 @@
         1 => any::<usize>().prop_map(Event::KillGateway),
         1 => (any::<usize>(), 20..2_000u64).prop_map(|(gateway, time)| Event::SuspendGateway(gateway, time)),
         1 => (20..2_000u64).prop_map(Event::SuspendAllGateways),
-        1 => any::<usize>().prop_map(Event::CutReplica),
+        1 => any::<usize>().prop_map(Event::PartitionReplica),
         3 => quota().prop_map(Event::SetQuota),
     ]
 }
--- a/crates/sablehaven-quota/tests/support/random.rs
+++ b/crates/sablehaven-quota/tests/support/random.rs
@@ -1,18 +1,18 @@
 //! Draws that a seed determines.
 
-pub struct Lottery(pub u64);
+pub struct Random(pub u64);
 
-impl Lottery {
-    pub fn draw(&mut self) -> f64 {
+impl Random {
+    pub fn uniform(&mut self) -> f64 {
         (self.bits() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     pub fn below(&mut self, end: u64) -> u64 {
-        (self.draw() * end as f64) as u64
+        (self.uniform() * end as f64) as u64
     }
 
-    pub fn hits(&mut self, chance: f64) -> bool {
-        self.draw() < chance
+    pub fn chance(&mut self, probability: f64) -> bool {
+        self.uniform() < probability
     }
 
     fn bits(&mut self) -> u64 {
--- a/crates/sablehaven-quota/tests/support/steady.rs
+++ b/crates/sablehaven-quota/tests/support/steady.rs
@@ -7,7 +7,7 @@
     LoanRequest, QuotaTolerance, RequestQuota, TenantName, TokenLoan, TokenRequest, TokenVerdict,
 };
 
-use super::{ms, random::Lottery};
+use super::{ms, random::Random};
 
 const STEP: Duration = Duration::from_millis(1);
 
@@ -18,7 +18,7 @@
     /// Part of the quota that is asked for.
     pub load: f64,
     /// All of it at one replica, or evenly spread.
-    pub at_one: bool,
+    pub at_one_replica: bool,
     /// Between replicas.
     pub round_trip: Duration,
     pub warm_up: Duration,
@@ -34,31 +34,35 @@
 }
 
 enum Message {
-    Ask(usize, usize, LoanRequest),
+    RequestLoan(usize, usize, LoanRequest),
     Loan(usize, TokenLoan),
 }
 
 impl SteadyDemand {
-    pub fn play(&self) -> SteadyServed {
+    pub fn run(&self) -> SteadyServed {
         let tenant = TenantName::from("tenant");
         let start = ms(10_000);
-        let mut lottery = Lottery(self.seed);
+        let mut random = Random(self.seed);
         let mut parts: Vec<_> = (0..self.replicas)
             .map(|_| self.part(start, &tenant))
             .collect();
         let mut messages: Vec<(Duration, Message)> = Vec::new();
         let mut served = SteadyServed::default();
-        let mut due = lottery.draw();
-        let mut turn = 0;
+        let mut due = random.uniform();
+        let mut next_replica = 0;
         let mut now = start;
         while now < start + self.warm_up + Duration::from_secs(self.seconds) {
             now += STEP;
             due += self.quota.per_second * self.load * STEP.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
-                turn += 1;
-                let index = if self.at_one { 0 } else { turn % self.replicas };
-                let is_refused = Self::is_refused(&mut parts[index], now, &tenant, &mut lottery);
+                next_replica += 1;
+                let index = if self.at_one_replica {
+                    0
+                } else {
+                    next_replica % self.replicas
+                };
+                let is_refused = Self::is_refused(&mut parts[index], now, &tenant, &mut random);
                 if now >= start + self.warm_up {
                     served.asked += 1;
                     served.refused += u64::from(is_refused);
@@ -69,20 +73,20 @@
             messages = waiting;
             for (_, message) in arrived {
                 match message {
-                    Message::Ask(from, to, request) => {
+                    Message::RequestLoan(from, to, request) => {
                         let loan = parts[to].lend(now, &request);
                         let loan = loan.map(|loan| Message::Loan(from, loan));
                         messages.extend(loan.map(|loan| (now + self.round_trip / 2, loan)));
                     }
-                    Message::Loan(to, loan) => parts[to].receive(now, &loan),
+                    Message::Loan(to, loan) => parts[to].receive_loan(now, &loan),
                 }
             }
             for (from, part) in parts.iter_mut().enumerate() {
-                for request in part.loans_wanted(now) {
+                for request in part.loan_requests(now) {
                     served.loan_requests += 1;
-                    let step = 1 + request.number as usize % (self.replicas - 1);
-                    let to = (from + step) % self.replicas;
-                    let ask = Message::Ask(from, to, request);
+                    let offset = 1 + request.number as usize % (self.replicas - 1);
+                    let to = (from + offset) % self.replicas;
+                    let ask = Message::RequestLoan(from, to, request);
                     messages.push((now + self.round_trip / 2, ask));
                 }
             }
@@ -92,7 +96,7 @@
 
     fn part(&self, now: Duration, tenant: &TenantName) -> QuotaPart {
         let mut part = QuotaPart::new(self.tolerance);
-        part.set_parts(now, Some(self.replicas as u32 + 1));
+        part.set_part_count(now, Some(self.replicas as u32 + 1));
         part.set_tenants(now, [(tenant, Some(self.quota))].into_iter());
         part
     }
@@ -101,7 +105,7 @@
         part: &mut QuotaPart,
         now: Duration,
         tenant: &TenantName,
-        lottery: &mut Lottery,
+        random: &mut Random,
     ) -> bool {
         let request = TokenRequest {
             number: 0,
@@ -111,6 +115,6 @@
             patience_ms: 0,
             is_resend: false,
         };
-        part.take(now, &request, lottery.draw()) != TokenVerdict::Granted(1)
+        part.take(now, &request, random.uniform()) != TokenVerdict::Granted(1)
     }
 }
--- a/crates/sablehaven-quota/tests/support/windows.rs
+++ b/crates/sablehaven-quota/tests/support/windows.rs
@@ -13,7 +13,7 @@
 
 /// A quota was in force at some replica for a time.
 #[derive(Clone, Copy, Debug)]
-pub struct InForce {
+pub struct QuotaInterval {
     pub quota: RequestQuota,
     pub from: Duration,
     pub until: Duration,
@@ -35,7 +35,7 @@
 pub fn worst_window(
     tolerance: &QuotaTolerance,
     served: &[Served],
-    quotas: &[InForce],
+    quotas: &[QuotaInterval],
 ) -> WorstWindow {
     let mut worst = WorstWindow {
         bound: f64::INFINITY,
@@ -59,9 +59,10 @@
     worst
 }
 
-fn bound_at(tolerance: &QuotaTolerance, start: Duration, quotas: &[InForce]) -> f64 {
+fn bound_at(tolerance: &QuotaTolerance, start: Duration, quotas: &[QuotaInterval]) -> f64 {
     let window = tolerance.window();
-    let counts = |quota: &&InForce| quota.from <= start + window && quota.until + window >= start;
+    let counts =
+        |quota: &&QuotaInterval| quota.from <= start + window && quota.until + window >= start;
     let bounds = quotas
         .iter()
         .filter(counts)
--- a/crates/sablehaven-quota/tests/support/world.rs
+++ b/crates/sablehaven-quota/tests/support/world.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sablehaven_quota::{QuotaPart, TokenStock};
+use sablehaven_quota::{QuotaPart, TokenCache};
 use sablehaven_types::{
     LoanRequest, QuotaTolerance, RequestQuota, TenantName, TokenLoan, TokenRequest, TokenVerdict,
 };
@@ -10,20 +10,20 @@
 use super::{
     ms,
     plan::{Phase, Plan},
-    random::Lottery,
-    windows::{InForce, Served},
+    random::Random,
+    windows::{QuotaInterval, Served},
 };
 
 const STEP: Duration = Duration::from_millis(10);
 /// Time for which a message that is not late is on its way, at the most.
-const USUAL_WAY_MS: u64 = 25;
-const LATE_WAY_MS: u64 = 2_500;
+const MAX_LATENCY_MS: u64 = 25;
+const MAX_DELAYED_LATENCY_MS: u64 = 2_500;
 
 /// A protection that a broken variant goes without.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Without {
+pub enum DisabledSafeguard {
     Nothing,
-    TokenLife,
+    TokenExpiry,
     EmptyStart,
     LowerLimit,
     LoanDeduction,
@@ -34,12 +34,12 @@
     pub quota: RequestQuota,
     pub in_force_since: Duration,
     pub next_quota: Option<(Duration, RequestQuota)>,
-    pub is_cut: bool,
+    pub is_partitioned: bool,
     pub is_stale: bool,
 }
 
 pub struct Gateway {
-    pub stock: TokenStock,
+    pub cache: TokenCache,
     pub suspended_until: Duration,
     /// Replies that came while it was suspended.
     pub inbox: Vec<(Duration, TokenVerdict)>,
@@ -48,7 +48,7 @@
 }
 
 pub enum Message {
-    Take {
+    RequestTokens {
         gateway: usize,
         incarnation: u64,
         replica: usize,
@@ -63,7 +63,7 @@
         asked_at: Duration,
         verdict: TokenVerdict,
     },
-    Ask {
+    RequestLoan {
         from: usize,
         to: usize,
         request: LoanRequest,
@@ -77,12 +77,12 @@
 pub struct World {
     pub now: Duration,
     pub served: Vec<Served>,
-    pub quotas: Vec<InForce>,
+    pub quotas: Vec<QuotaInterval>,
     pub tolerance: QuotaTolerance,
     pub parts: u32,
     pub tenant: TenantName,
-    pub without: Without,
-    pub lottery: Lottery,
+    pub disabled_safeguard: DisabledSafeguard,
+    pub random: Random,
     pub replicas: Vec<Replica>,
     pub gateways: Vec<Gateway>,
     pub messages: Vec<(Duration, Message)>,
@@ -91,7 +91,7 @@
 }
 
 impl World {
-    pub fn new(plan: &Plan, without: Without) -> Self {
+    pub fn new(plan: &Plan, disabled_safeguard: DisabledSafeguard) -> Self {
         let mut world = Self {
             now: ms(100_000),
             served: Vec::new(),
@@ -99,8 +99,8 @@
             tolerance: plan.tolerance,
             parts: plan.members as u32 + 1,
             tenant: TenantName::from("tenant"),
-            without,
-            lottery: Lottery(plan.seed),
+            disabled_safeguard,
+            random: Random(plan.seed),
             replicas: Vec::new(),
             gateways: Vec::new(),
             messages: Vec::new(),
@@ -119,33 +119,33 @@
     }
 
     /// Plays a phase after its event.
-    pub fn play(&mut self, phase: &Phase) {
+    pub fn run(&mut self, phase: &Phase) {
         self.apply_event(&phase.event);
         let end = self.now + ms(phase.length_ms);
-        let target = self.lottery.below(1_000) as usize;
+        let target = self.random.below(1_000) as usize;
         while self.now < end {
-            self.step(phase, target);
+            self.offset(phase, target);
         }
         for replica in &mut self.replicas {
-            replica.is_cut = false;
+            replica.is_partitioned = false;
         }
     }
 
     /// Ends the times of the quotas that are in force.
     pub fn finish(&mut self) {
         for index in 0..self.replicas.len() {
-            self.end_quota(index);
+            self.close_quota_interval(index);
         }
     }
 
-    fn step(&mut self, phase: &Phase, target: usize) {
+    fn offset(&mut self, phase: &Phase, target: usize) {
         self.now += STEP;
-        self.apply_quotas();
+        self.apply_due_updates();
         self.deliver(phase);
-        self.ask_loans(phase);
+        self.request_loans(phase);
         for gateway in 0..self.gateways.len() {
             let mut demand = phase.demand;
-            while demand > 0.0 && self.lottery.hits(demand.min(1.0)) {
+            while demand > 0.0 && self.random.chance(demand.min(1.0)) {
                 self.request(phase, gateway, target);
                 demand -= 1.0;
             }
@@ -154,7 +154,7 @@
 
     fn request(&mut self, phase: &Phase, index: usize, target: usize) {
         let now = self.now;
-        let stock_time = self.stock_time();
+        let cache_time = self.cache_time();
         let gateway = &mut self.gateways[index];
         if gateway.suspended_until > now {
             return;
@@ -163,19 +163,19 @@
             return;
         }
         let gateway = &mut self.gateways[index];
-        let wanted = gateway.stock.wanted(stock_time, &self.tenant);
+        let wanted = gateway.cache.tokens_to_request(cache_time, &self.tenant);
         let hoarded = if phase.is_hoarding {
-            self.lottery.below(12)
+            self.random.below(12)
         } else {
             0
         };
         let wanted = wanted.max(hoarded as u32);
-        let replica = match phase.is_at_one {
+        let replica = match phase.uses_one_replica {
             true => target % self.replicas.len(),
-            false => self.lottery.below(self.replicas.len() as u64) as usize,
+            false => self.random.below(self.replicas.len() as u64) as usize,
         };
         self.next_number += 1;
-        let message = Message::Take {
+        let message = Message::RequestTokens {
             gateway: index,
             incarnation: self.gateways[index].incarnation,
             replica,
@@ -187,20 +187,20 @@
     }
 
     /// The time that the gateways' stocks are told.
-    fn stock_time(&self) -> Duration {
-        match self.without {
+    fn cache_time(&self) -> Duration {
+        match self.disabled_safeguard {
             // It stands still, as a clock does that does not count suspension.
-            Without::TokenLife => Duration::ZERO,
+            DisabledSafeguard::TokenExpiry => Duration::ZERO,
             _ => self.now,
         }
     }
 
     pub fn spend(&mut self, index: usize) -> bool {
         let now = self.now;
-        let spent_at = self.stock_time();
+        let spent_at = self.cache_time();
         let gateway = &mut self.gateways[index];
         let is_awake = gateway.suspended_until <= now;
-        let is_spent = is_awake && gateway.stock.spend(spent_at, &self.tenant);
+        let is_spent = is_awake && gateway.cache.spend(spent_at, &self.tenant);
         if is_spent {
             self.served.push(Served {
                 sent: now,
@@ -211,12 +211,16 @@
     }
 
     fn send(&mut self, phase: &Phase, message: Message) {
-        if self.lottery.hits(phase.lost) {
+        if self.random.chance(phase.loss) {
             return;
         }
-        let is_late = self.lottery.hits(phase.late);
-        let longest = if is_late { LATE_WAY_MS } else { USUAL_WAY_MS };
-        let arrival = self.now + ms(self.lottery.below(longest));
+        let is_delayed = self.random.chance(phase.delayed);
+        let longest = if is_delayed {
+            MAX_DELAYED_LATENCY_MS
+        } else {
+            MAX_LATENCY_MS
+        };
+        let arrival = self.now + ms(self.random.below(longest));
         self.messages.push((arrival, message));
     }
 
@@ -227,8 +231,8 @@
             .partition(|(at, _)| *at <= now);
         self.messages = waiting;
         for (_, message) in due {
-            let is_doubled = self.lottery.hits(phase.doubled);
-            let repeats = if is_doubled { 2 } else { 1 };
+            let is_duplicated = self.random.chance(phase.duplicated);
+            let repeats = if is_duplicated { 2 } else { 1 };
             for _ in 0..repeats {
                 self.receive(phase, &message);
             }
@@ -238,7 +242,7 @@
     fn receive(&mut self, phase: &Phase, message: &Message) {
         let now = self.now;
         match message {
-            Message::Take {
+            Message::RequestTokens {
                 gateway,
                 incarnation,
                 replica,
@@ -246,9 +250,9 @@
                 asked_at,
                 wanted,
             } => {
-                let draw = self.lottery.draw();
+                let draw = self.random.uniform();
                 let replica = &mut self.replicas[*replica];
-                if replica.is_cut {
+                if replica.is_partitioned {
                     return;
                 }
                 let request = TokenRequest {
@@ -278,11 +282,11 @@
             } => {
                 self.receive_reply((*gateway, *incarnation), *number, *asked_at, *verdict);
             }
-            Message::Ask { from, to, request } => self.lend(phase, *from, *to, request),
+            Message::RequestLoan { from, to, request } => self.lend(phase, *from, *to, request),
             Message::Loan { to, loan } => {
                 let replica = &mut self.replicas[*to];
-                if !replica.is_cut {
-                    replica.part.receive(now, loan);
+                if !replica.is_partitioned {
+                    replica.part.receive_loan(now, loan);
                 }
             }
         }
@@ -303,19 +307,19 @@
         if gateway.suspended_until > self.now {
             gateway.inbox.push((asked_at, verdict));
         } else {
-            self.use_reply(index, asked_at, verdict);
+            self.apply_reply(index, asked_at, verdict);
         }
     }
 
-    pub fn use_reply(&mut self, index: usize, asked_at: Duration, verdict: TokenVerdict) {
+    pub fn apply_reply(&mut self, index: usize, asked_at: Duration, verdict: TokenVerdict) {
         let TokenVerdict::Granted(tokens) = verdict else {
             return;
         };
         let gateway = &mut self.gateways[index];
-        gateway.stock.put(asked_at, &self.tenant, tokens - 1);
-        if self.lottery.hits(0.1) {
+        gateway.cache.add(asked_at, &self.tenant, tokens - 1);
+        if self.random.chance(0.1) {
             // The request that waited reached no server.
-            gateway.stock.put_back(self.now, asked_at, &self.tenant);
+            gateway.cache.return_token(self.now, asked_at, &self.tenant);
             return;
         }
         self.served.push(Served {
@@ -324,25 +328,25 @@
         });
     }
 
-    fn ask_loans(&mut self, phase: &Phase) {
+    fn request_loans(&mut self, phase: &Phase) {
         for from in 0..self.replicas.len() {
-            for request in self.replicas[from].part.loans_wanted(self.now) {
+            for request in self.replicas[from].part.loan_requests(self.now) {
                 let others = self.replicas.len() as u64 - 1;
-                let step = 1 + request.number % others;
-                let to = (from + step as usize) % self.replicas.len();
-                self.send(phase, Message::Ask { from, to, request });
+                let offset = 1 + request.number % others;
+                let to = (from + offset as usize) % self.replicas.len();
+                self.send(phase, Message::RequestLoan { from, to, request });
             }
         }
     }
 
     fn lend(&mut self, phase: &Phase, from: usize, to: usize, request: &LoanRequest) {
         let replica = &mut self.replicas[to];
-        if replica.is_cut {
+        if replica.is_partitioned {
             return;
         }
         let before = replica.part.clone();
         let loan = replica.part.lend(self.now, request);
-        if self.without == Without::LoanDeduction {
+        if self.disabled_safeguard == DisabledSafeguard::LoanDeduction {
             replica.part = before;
         }
         if let Some(loan) = loan {
--- a/crates/sablehaven-quota/tests/window_bound.rs
+++ b/crates/sablehaven-quota/tests/window_bound.rs
@@ -10,31 +10,31 @@
 use support::{
     plan::{Plan, plan},
     windows::{WorstWindow, worst_window},
-    world::{Without, World},
+    world::{DisabledSafeguard, World},
 };
 
 /// Far below one request.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 /// Plans in which a broken variant has to show.
-const BROKEN_PLANS: u32 = 400;
+const PLAN_COUNT: u32 = 400;
 
-fn play(plan: &Plan, without: Without) -> WorstWindow {
-    let mut world = World::new(plan, without);
+fn run(plan: &Plan, disabled_safeguard: DisabledSafeguard) -> WorstWindow {
+    let mut world = World::new(plan, disabled_safeguard);
     for phase in &plan.phases {
-        world.play(phase);
+        world.run(phase);
     }
     world.finish();
     worst_window(&plan.tolerance, &world.served, &world.quotas)
 }
 
 /// Plans of a fixed seed in which the window is over its bound.
-fn plans_over_bound(without: Without) -> usize {
+fn plans_over_bound(disabled_safeguard: DisabledSafeguard) -> usize {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
     let strategy = plan();
-    (0..BROKEN_PLANS)
+    (0..PLAN_COUNT)
         .map(|_| strategy.new_tree(&mut runner).expect("a plan").current())
-        .filter(|plan| play(plan, without).excess() > ROUNDING)
+        .filter(|plan| run(plan, disabled_safeguard).excess() > ROUNDING_TOLERANCE)
         .count()
 }
 
@@ -43,32 +43,32 @@
 
     #[test]
     fn no_window_goes_over_its_bound(plan in plan()) {
-        let worst = play(&plan, Without::Nothing);
-        prop_assert!(worst.excess() <= ROUNDING, "{worst:?}");
+        let worst = run(&plan, DisabledSafeguard::Nothing);
+        prop_assert!(worst.excess() <= ROUNDING_TOLERANCE, "{worst:?}");
     }
 }
 
 #[test]
 fn tokens_that_are_good_for_ever_show() {
-    assert!(plans_over_bound(Without::TokenLife) > 0);
+    assert!(plans_over_bound(DisabledSafeguard::TokenExpiry) > 0);
 }
 
 #[test]
 fn a_replica_that_starts_full_shows() {
-    assert!(plans_over_bound(Without::EmptyStart) > 0);
+    assert!(plans_over_bound(DisabledSafeguard::EmptyStart) > 0);
 }
 
 #[test]
 fn a_lower_limit_that_does_not_bind_shows() {
-    assert!(plans_over_bound(Without::LowerLimit) > 0);
+    assert!(plans_over_bound(DisabledSafeguard::LowerLimit) > 0);
 }
 
 #[test]
 fn a_lender_that_keeps_what_it_lends_shows() {
-    assert!(plans_over_bound(Without::LoanDeduction) > 0);
+    assert!(plans_over_bound(DisabledSafeguard::LoanDeduction) > 0);
 }
 
 #[test]
 fn the_same_plans_stay_under_their_bound_when_nothing_is_broken() {
-    assert_eq!(plans_over_bound(Without::Nothing), 0);
+    assert_eq!(plans_over_bound(DisabledSafeguard::Nothing), 0);
 }
