--- a/crates/sablehaven-quota/src/allowance.rs
+++ b/crates/sablehaven-quota/src/allowance.rs
@@ -1,47 +1,52 @@
-//! How much one part of a tenant's quota may grant: its rate, its depth, and the life of a token.
+//! The rate and the depth of one part of a tenant's token bucket, and the lifetime of a token.
 //!
-//! # Why no window goes over the bound
+//! # Why no window exceeds the bound
 //!
-//! A request counts in a window where it was sent by its caller and arrived at a server within it. Its token is spent
-//! between the two and is never older than `token_lifetime` since it was asked for, so it was granted in the window or in that
-//! life before it: within a *span* of window plus life. What all parts grant in a span is what they held at its start,
-//! what refilled, and what they received on loan, less what they lent.
+//! A request counts in a window if its caller sent it and it arrived at a server within that window. Its token is spent
+//! between these two moments, and no later than `token_lifetime` after the gateway requested the token. The token was
+//! therefore granted within the window, or within one token lifetime before it: within a *span* that is as long as the
+//! window plus the token lifetime. In a span, all parts together grant at most the tokens that they held at its start,
+//! plus the refill, plus the tokens received on loan, minus the tokens lent.
 //!
-//! - A part that lends keeps the room of what it lent blocked for the life of a loan: its tokens and that room never
-//!   exceed its depth.
-//! - A loan is received once, where it answers an open request that is no older than the life of a loan. It was lent after
-//!   that request, so the lender's room is still blocked. A lender that was restarted meanwhile gains nothing for that
-//!   time.
+//! - A part that lends tokens keeps the room of these tokens blocked for the lifetime of the loan. Its tokens and the
+//!   blocked room together never exceed its depth.
+//! - A loan is received only once, and only if it answers an open request that is no older than the lifetime of a loan.
+//!   The tokens were lent after that request was sent, so the lender's room is still blocked when they arrive. A lender
+//!   that restarted in the meantime gains no tokens for one loan lifetime after its start.
 //!
-//! At any time, therefore, all tokens that are held or may still be received are no more than the sum of the depths.
-//! The parts grant at most that sum and what refills over a span, however late, lost or doubled loans are. Each part keeps
-//! `depth + rate * span <= bound / parts`, whatever number of parts and quota it knows of; where replicas differ in these,
-//! the greater bound holds while the group changes by one member at a time.
+//! Therefore, at any time, the tokens that are held and those that may still be received together do not exceed the sum
+//! of all depths. In a span, the parts grant at most that sum plus the refill of the span, no matter which loans are
+//! late, lost or duplicated. Each part maintains `depth + rate * span <= bound / parts` for the number of parts and the
+//! quota that it knows. Replicas may differ in these; the greater bound then holds, provided that the group changes by
+//! one member at a time.
 //!
-//! A part whose depth is below one token grants none. That is where the bound leaves fewer tokens beyond the rate than
-//! there are parts: the tolerance's slack has to be at least the number of parts for quotas without a burst.
+//! A part whose depth is below one token grants nothing. This happens if the bound leaves fewer tokens above the
+//! quota's rate than there are parts. For quotas without a burst, the tolerance's slack must therefore be at least the
+//! number of parts.
 //!
-//! When a part gets less depth, what it lacks to be full stays lacking: otherwise it could grant its former depth just
-//! before and refill at a higher rate just after. After a start, nothing is held: what was granted before counts in the
-//! same span.
+//! When the depth of a part is lowered, the number of tokens that it lacks to be full does not change. Otherwise the
+//! part could grant its previous depth just before the change, and refill at a higher rate just after it. A part is
+//! empty after a start, since the tokens granted before a restart count in the same span.
 
 use std::time::Duration;
 
 use sablehaven_types::{QuotaTolerance, RequestQuota};
 
-/// The longest time for which a granted token is good: about as long as a gateway foresees what it will need.
+/// The longest lifetime of a granted token: about as far ahead as a gateway can predict its demand.
 const MAX_TOKEN_LIFETIME: Duration = Duration::from_millis(500);
-/// Part of the tolerated excess that the life of tokens uses up; the rest makes up for unequal demand on equal parts.
+/// The fraction of the tolerated excess that is spent on the lifetime of tokens. The rest compensates for uneven demand
+/// on equal parts.
 const LIFETIME_EXCESS_FRACTION: f64 = 0.08;
-/// The depth of each part covers the whole quota's demand in this time, a message and its answer between replicas: all
-/// of it can then come to one replica as loans.
+/// Each part is at least deep enough for the demand of the whole quota during this time, which is one round trip
+/// between replicas. If all requests come to one replica, it can then receive all of their tokens as loans.
 const MIN_DEPTH_DEMAND_TIME: Duration = Duration::from_millis(36);
-/// Least part of what the bound leaves beyond the quota's rate that goes into the depth. Demand comes in bunches, and a
-/// shallow part has nothing to lend.
+/// The minimum fraction of the room between the quota's rate and the bound that goes into the depth. Requests come in
+/// bursts, and a shallow part has no tokens to lend.
 const MIN_DEPTH_FRACTION: f64 = 0.6;
 
-/// Time for which a granted token is good. A token that is spent late counts in a window that began after it was
-/// granted, which the tolerance has to bear: without any, tokens are for the request that waits alone.
+/// Returns the time for which a granted token may be spent. A token that is spent late counts in a window that began
+/// after the token was granted, and the tolerance has to cover this. Without any tolerated excess the lifetime is zero:
+/// each token is only for the request that waits for it.
 pub(crate) fn token_lifetime(tolerance: &QuotaTolerance) -> Duration {
     let tolerated = tolerance
         .window()
@@ -49,23 +54,26 @@
     tolerated.min(MAX_TOKEN_LIFETIME)
 }
 
-/// What one part may grant.
+/// The rate and depth of one part of a tenant's token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PartAllowance {
-    /// Tokens that the part gains a second.
+    /// The refill rate in tokens per second.
     pub(crate) per_second: f64,
-    /// The most tokens that it holds.
+    /// The maximum number of tokens that the part holds.
     pub(crate) depth: f64,
-    /// The number of parts.
+    /// The number of parts into which the quota is divided.
     pub(crate) parts: f64,
 }
 
 impl PartAllowance {
-    /// The allowance of one of `parts`.
+    /// Computes the allowance of one of `parts` equal parts.
     ///
-    /// Of what the bound leaves beyond the quota's rate, the burst and a token for each part come first; then the
-    /// rate rises, so that the parts that are in use give the whole quota without the one more part, and each
-    /// has its first token within a window of its start; what is left deepens the part.
+    /// The bound leaves room above the quota's rate, which is used in this order:
+    ///
+    /// 1. The depth covers the burst, one token per part, and the minimum depths above.
+    /// 2. The rate is raised so that all parts but one refill at the rate of the whole quota, since one part is a
+    ///    spare, and so that each part has its first token within one window after its start.
+    /// 3. The rest of the room increases the depth.
     pub(crate) fn new(tolerance: &QuotaTolerance, quota: RequestQuota, parts: u32) -> Self {
         let parts = f64::from(parts.max(1));
         let window = tolerance.window().as_secs_f64();
--- a/crates/sablehaven-quota/src/bucket.rs
+++ b/crates/sablehaven-quota/src/bucket.rs
@@ -4,32 +4,36 @@
 
 use crate::allowance::PartAllowance;
 
-/// The longest wait that is told to a caller that was refused, and up to which tokens are promised: callers that
-/// wait longer have given up.
+/// The longest wait that is reported to a refused caller. Tokens are promised at most this far ahead, since callers
+/// that have to wait longer have given up by then.
 const MAX_WAIT: Duration = Duration::from_secs(30);
-/// Sums of small gains fall short of a whole token by rounding; so little is made up for. It is far below
-/// what a window can tell apart.
+/// Tolerance for rounding errors: the sum of many small refills may be slightly less than a whole token. The value is
+/// far too small to matter in any window.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// A loan that comes later than this after it was asked for is dropped. So long the lender's room for it stays blocked.
+/// A loan that arrives later than this after it was requested is dropped. The lender keeps the room of the lent tokens
+/// blocked for the same time.
 pub(crate) const LOAN_LIFETIME: Duration = Duration::from_millis(100);
 
-/// One part of a tenant's token bucket; it starts empty. Tokens and blocked room never exceed the depth together.
+/// One part of a tenant's token bucket; it starts empty. The sum of its tokens and its blocked room never exceeds the
+/// depth.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     allowance: PartAllowance,
-    /// Below 0 after a lower limit.
+    /// May be negative after the limit was lowered.
     tokens: f64,
-    /// Room of tokens that were lent and may still be on their way, by the time until which they may.
+    /// Lent tokens that may not have arrived yet, whose room is blocked. Each entry holds the time until which they may
+    /// arrive and their number.
     lent: VecDeque<(Duration, u32)>,
     refilled_at: Duration,
     started_at: Duration,
-    /// When the last token comes that is promised to a caller that was refused.
-    last_promise_at: Duration,
+    /// The time at which the last token promised to a refused caller becomes available.
+    promised_until: Duration,
 }
 
 impl TokenBucket {
-    /// An empty part. It gains nothing while loans of the former one may be on their way.
+    /// Creates an empty part. It does not refill while loans of a previous part of this replica may not have arrived
+    /// yet.
     pub(crate) fn new(now: Duration, allowance: PartAllowance) -> Self {
         Self {
             allowance,
@@ -37,30 +41,32 @@
             lent: VecDeque::new(),
             refilled_at: now + LOAN_LIFETIME,
             started_at: now + LOAN_LIFETIME,
-            last_promise_at: Duration::ZERO,
+            promised_until: Duration::ZERO,
         }
     }
 
-    /// Takes another allowance. What was lacking to a full part stays lacking where the depth goes down.
+    /// Applies a new allowance. Where the depth decreases, the number of tokens missing from a full part does not
+    /// change.
     pub(crate) fn resize(&mut self, now: Duration, allowance: PartAllowance) {
         self.refill(now);
         self.tokens += (allowance.depth - self.allowance.depth).min(0.0);
         self.allowance = allowance;
-        self.last_promise_at = Duration::ZERO;
+        self.promised_until = Duration::ZERO;
     }
 
-    /// Takes as many whole tokens as there are, `wanted` at the most.
+    /// Takes up to `wanted` whole tokens, and returns how many were taken.
     pub(crate) fn take(&mut self, now: Duration, wanted: u32) -> u32 {
         self.take_above_reserve(now, wanted, 0.0)
     }
 
-    /// Takes tokens beyond the next one that others will ask for, as far as the part can hold more than that.
+    /// Takes up to `wanted` whole tokens but leaves one for other requests. If the depth is below two tokens, it leaves
+    /// only `depth - 1`, since the bucket could otherwise never hold a token to spare.
     pub(crate) fn take_spare(&mut self, now: Duration, wanted: u32) -> u32 {
         let reserve = (self.allowance.depth - 1.0).clamp(0.0, 1.0);
         self.take_above_reserve(now, wanted, reserve)
     }
 
-    /// Takes as many whole tokens as there are beyond those that are kept, `wanted` at the most.
+    /// Takes up to `wanted` whole tokens, and leaves at least `reserve` tokens.
     fn take_above_reserve(&mut self, now: Duration, wanted: u32, reserve: f64) -> u32 {
         self.refill(now);
         let taken = wanted.min((self.tokens - reserve + ROUNDING_TOLERANCE).max(0.0) as u32);
@@ -68,7 +74,7 @@
         taken
     }
 
-    /// Takes tokens for another part, as many as there are beyond those that are kept.
+    /// Takes up to `wanted` whole tokens for another part, and leaves at least `reserve` tokens.
     pub(crate) fn lend(&mut self, now: Duration, wanted: u32, reserve: f64) -> u32 {
         let tokens = self.take_above_reserve(now, wanted, reserve);
         if tokens > 0 {
@@ -77,58 +83,59 @@
         tokens
     }
 
-    /// Takes tokens of another part, as far as there is room.
+    /// Adds tokens lent by another part, as far as there is room for them.
     pub(crate) fn deposit(&mut self, now: Duration, tokens: u32) {
         let accepted = f64::from(tokens).min(self.room(now));
         self.tokens += accepted.max(0.0);
     }
 
-    /// Room that is left for tokens.
+    /// Returns the room that is left for tokens.
     pub(crate) fn room(&mut self, now: Duration) -> f64 {
         self.refill(now);
         self.allowance.depth - self.blocked_room() - self.tokens
     }
 
-    /// The tokens that are there.
+    /// Returns the number of available tokens.
     pub(crate) fn tokens(&mut self, now: Duration) -> f64 {
         self.refill(now);
         self.tokens.max(0.0)
     }
 
-    /// Whether a whole token is there.
+    /// Returns whether at least one whole token is available.
     pub(crate) fn has_token(&mut self, now: Duration) -> bool {
         self.refill(now);
         self.tokens + ROUNDING_TOLERANCE >= 1.0
     }
 
-    /// Tokens that come in a second.
+    /// Returns the refill rate in tokens per second.
     pub(crate) fn per_second(&self) -> f64 {
         self.allowance.per_second
     }
 
-    /// Whether this part is too new to know whether its own tokens will be asked for.
+    /// Returns whether this part started too recently to tell whether its own tokens will be needed.
     pub(crate) fn is_new(&self, now: Duration) -> bool {
         now.saturating_sub(self.started_at) < self.time_to_refill(2.0)
     }
 
-    /// Time in which all other parts have to be asked in turn, so that none of them stays full while this one is short.
+    /// Returns the time within which all other parts should be asked in turn, so that none of them stays full while
+    /// this one needs tokens.
     pub(crate) fn time_to_ask_all(&self) -> Duration {
         self.time_to_refill(self.allowance.depth) / 2
     }
 
-    /// The number of parts.
+    /// Returns the number of parts into which the quota is divided.
     pub(crate) fn parts(&self) -> f64 {
         self.allowance.parts
     }
 
-    /// Promises the next token that is not promised yet to a caller that is refused; returns the time until it is there.
-    /// Without this all who are refused would come back for the same token.
+    /// Promises the next token that is not promised yet to a refused caller, and returns the time until it is
+    /// available. Without this, all refused callers would come back for the same token.
     pub(crate) fn promise_token(&mut self, now: Duration) -> Duration {
         self.refill(now);
         let missing = (1.0 - self.tokens).max(0.0);
         let first = now.max(self.refilled_at) + self.time_to_refill(missing);
-        let next = self.last_promise_at + self.time_to_refill(1.0);
-        let promised = if self.last_promise_at > now {
+        let next = self.promised_until + self.time_to_refill(1.0);
+        let promised = if self.promised_until > now {
             first.max(next)
         } else {
             first
@@ -137,11 +144,11 @@
         if promised > latest {
             return MAX_WAIT;
         }
-        self.last_promise_at = promised;
+        self.promised_until = promised;
         promised - now
     }
 
-    /// Time in which so many tokens come; twice the longest wait at the most.
+    /// Returns the time it takes to refill this many tokens, at most twice [`MAX_WAIT`].
     fn time_to_refill(&self, tokens: f64) -> Duration {
         let seconds = tokens / self.allowance.per_second;
         Duration::try_from_secs_f64(seconds)
@@ -149,7 +156,7 @@
             .min(MAX_WAIT * 2)
     }
 
-    /// Adds what refilled until now. The room of a loan refills from when the loan can no longer arrive.
+    /// Adds the tokens refilled until now. The room of a loan starts to refill when the loan can no longer arrive.
     fn refill(&mut self, now: Duration) {
         while let Some((until, _)) = self.lent.front().copied() {
             if until > now {
@@ -169,7 +176,7 @@
         self.refilled_at = self.refilled_at.max(time);
     }
 
-    /// Room of tokens that were lent and may still be on their way.
+    /// Returns the room of lent tokens that may not have arrived yet.
     fn blocked_room(&self) -> f64 {
         let lent: u32 = self.lent.iter().map(|(_, tokens)| tokens).sum();
         f64::from(lent)
--- a/crates/sablehaven-quota/src/demand.rs
+++ b/crates/sablehaven-quota/src/demand.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// A running count in which what happened one half-life ago counts half.
+/// An exponentially decaying count: an event of one half-life ago counts half.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DemandRate {
     half_life: Duration,
@@ -11,7 +11,7 @@
 }
 
 impl DemandRate {
-    /// Nothing has been asked for yet.
+    /// Creates an estimate without any demand.
     pub(crate) fn new(half_life: Duration, now: Duration) -> Self {
         Self {
             half_life,
@@ -20,13 +20,13 @@
         }
     }
 
-    /// Counts what is asked for now.
+    /// Adds demand at the time `now`.
     pub(crate) fn add(&mut self, now: Duration, amount: u32) {
         self.count = self.count_at(now) + f64::from(amount);
         self.counted_at = self.counted_at.max(now);
     }
 
-    /// The estimate, a second.
+    /// Returns the estimated demand per second.
     pub(crate) fn per_second(&self, now: Duration) -> f64 {
         self.count_at(now) * std::f64::consts::LN_2 / self.half_life.as_secs_f64()
     }
--- a/crates/sablehaven-quota/src/fair_share.rs
+++ b/crates/sablehaven-quota/src/fair_share.rs
@@ -1,58 +1,60 @@
-//! Who passes when there is room for a part of the requests only.
+//! Fair sharing of server capacity among tenants when only some of the requests can be admitted.
 //!
-//! The load is too little room at servers while tenants ask unequally. Each tenant passes up to one level of demand
-//! relative to its weight (max-min fairness); the level is where the part that the gateway can bear passes. Since that
-//! level is at least the bearable part of the mean load, a tenant at up to four times the mean load has at least a quarter
-//! of what the mean tenant has of its demand.
+//! A tenant's load is its demand divided by its weight. Under overload, each tenant is admitted up to one common level
+//! of load (max-min fairness). The level is chosen so that the gateway admits exactly the fraction of all requests that
+//! it can pass on. The level is at least that fraction of the mean load. A request of a tenant at up to four times the
+//! mean load is therefore admitted with at least a quarter of the probability of a tenant at the mean load.
 //!
-//! A tenant's weight is its quota. One without a quota weighs as much as the mean of those that have one.
+//! A tenant's weight is its quota. A tenant without a quota has the mean weight of the tenants that have one.
 
 use std::time::Duration;
 
 use crate::demand::DemandRate;
 
-/// Memory of what a tenant asks for: some seconds, so that a tenant keeps its place through a pause and a burst is seen
-/// soon.
+/// Half-life of a tenant's demand. A few seconds, so that a tenant keeps its standing through a pause, and a burst is
+/// noticed quickly.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Requests that a tenant's estimate starts from, at the mean load. Without them, one request of a small tenant looks
-/// like a burst.
+/// Number of requests at the mean load from which a tenant's estimate starts. Without them, a single request of a small
+/// tenant would look like a burst.
 const PRIOR_REQUESTS: f64 = 10.0;
-/// Standard deviations by which a tenant has to be above the level before it is refused for it. What passes beyond the
-/// room by this, gateways see, and refuse more; those that are surely above the level bear it.
+/// The number of standard deviations by which a tenant's load has to exceed the level before the tenant is refused
+/// requests. This admits somewhat more than the capacity; gateways notice that and shed more, at the cost of tenants
+/// that clearly exceed the level.
 const CONFIDENCE_DEVIATIONS: f64 = 2.5;
-/// The level is found anew after this time at the earliest, since that goes over all tenants.
+/// The minimum time between two computations of the level, since each one iterates over all tenants.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Demand below which a tenant is as good as gone: a single request, ten half-lives ago.
+/// Tenants with less demand than this are ignored: it is what remains of a single request after ten half-lives.
 const MIN_RATE_PER_SECOND: f64 = 0.000_3;
 
-/// What one tenant asks for lately, whether or not it passes.
+/// One tenant's recent demand, whether or not its requests were admitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecentDemand {
     rate: DemandRate,
 }
 
 impl RecentDemand {
-    /// Nothing yet.
+    /// Creates an estimate without any demand.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             rate: DemandRate::new(DEMAND_HALF_LIFE, now),
         }
     }
 
-    /// Counts tokens that are asked for.
+    /// Adds a demand for `wanted` tokens.
     pub(crate) fn add(&mut self, now: Duration, wanted: u32) {
         self.rate.add(now, wanted);
     }
 
-    /// Requests a second for each unit of weight, drawn towards the mean as far as little is known.
+    /// Returns the load in requests per second per unit of weight. The fewer requests are known, the closer the result
+    /// is to the mean load.
     fn load(&self, now: Duration, weight: f64, mean: f64) -> f64 {
         let weighted_seconds = weight * decay_seconds() + PRIOR_REQUESTS / mean;
         (self.decayed_count(now) + PRIOR_REQUESTS) / weighted_seconds
     }
 
-    /// The load less what chance may have added: a tenant at its usual is not refused because some of its requests came
-    /// close together.
+    /// Returns the load minus what may be random variation, so that a tenant at its usual load is not refused because
+    /// some of its requests came close together.
     fn load_lower_bound(&self, now: Duration, weight: f64, mean: f64) -> f64 {
         let count = self.decayed_count(now);
         let deviation = CONFIDENCE_DEVIATIONS * count.sqrt() / (count + PRIOR_REQUESTS);
@@ -64,20 +66,20 @@
     }
 }
 
-/// What a second's steady demand adds up to in a count that decays.
+/// Returns the decayed count that a steady demand of one request per second converges to.
 fn decay_seconds() -> f64 {
     DEMAND_HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2
 }
 
-/// The loads of all tenants as of some time ago, from which the level follows.
+/// The loads of all tenants at the last refresh, from which the level is computed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairShare {
     refreshed_at: Option<Duration>,
     mean_quota: f64,
     mean_load: f64,
-    /// In ascending order of the loads, with the sums of demand up to there and of weight beyond.
+    /// Sorted by ascending load, with the sums of the demand below each step and of the weight from it on.
     steps: Vec<LoadStep>,
-    /// The demand of all tenants within their quotas, in requests a second.
+    /// The demand of all tenants, each up to its quota, in requests per second.
     demand: f64,
 }
 
@@ -90,13 +92,13 @@
 }
 
 impl FairShare {
-    /// Whether the loads are to be taken anew.
+    /// Returns whether the loads need a refresh.
     pub(crate) fn is_stale(&self, now: Duration) -> bool {
         let refreshed_at = self.refreshed_at;
         refreshed_at.is_none_or(|refreshed_at| now.saturating_sub(refreshed_at) >= REFRESH_INTERVAL)
     }
 
-    /// Takes the loads of all tenants: what each asked for, and its quota in requests a second.
+    /// Recomputes the loads of all tenants from their demand and their quotas, in requests per second.
     pub(crate) fn refresh<'a>(
         &mut self,
         now: Duration,
@@ -120,8 +122,8 @@
         self.compute_sums();
     }
 
-    /// The chance, 0 to 1, with which a request of a tenant passes while the part `shed` of all requests has to be refused,
-    /// 0 to 1 too. `quota` is the tenant's, in requests a second.
+    /// Returns the probability, from 0 to 1, with which a tenant's request is admitted while the fraction `shed`, from
+    /// 0 to 1, of all requests has to be refused. `quota` is the tenant's quota in requests per second.
     pub(crate) fn admission_probability(
         &self,
         now: Duration,
@@ -160,7 +162,7 @@
         let weight = quota.unwrap_or(self.mean_quota);
         let load = recent.load(now, weight, self.mean_load);
         LoadStep {
-            // What is asked beyond the quota has no claim to room.
+            // Demand above the quota gets no share of the capacity.
             load: if quota.is_some() { load.min(1.0) } else { load },
             weight,
             demand_below: 0.0,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The level at which all but `shed` of the demand passes.
+    /// Returns the level of load at which the fraction `1 - shed` of the demand is admitted.
     fn level(&self, shed: f64) -> f64 {
         let admitted = self.demand * (1.0 - shed);
         let is_below =
--- a/crates/sablehaven-quota/src/lib.rs
+++ b/crates/sablehaven-quota/src/lib.rs
@@ -1,9 +1,11 @@
-//! Tenants' quotas over many gateways, as pure decisions: the caller passes the time in and carries the messages.
+//! Enforces tenants' request quotas across many gateways. This crate only makes decisions: the caller supplies the time
+//! and transports the messages.
 //!
-//! Each control replica holds one of so many equal parts of every tenant's token bucket ([`QuotaPart`]), whether or not
-//! it leads. A gateway asks the nearest one for a token before it sends a request to servers, and keeps a few more for
-//! tenants that it serves often ([`TokenCache`]). A replica whose part is used up asks others for a loan. Nothing here is
-//! durable: a replica starts with an empty part, so that no token is granted again after a restart.
+//! Every tenant's token bucket is divided into equal parts. Each control replica holds one part ([`QuotaPart`]),
+//! whether or not it is the leader. A gateway requests a token from the nearest replica before it sends a request to
+//! servers, and caches a few more tokens for tenants with frequent requests ([`TokenCache`]). A replica whose part has
+//! run out requests a loan from other replicas. Nothing here is durable: a replica starts with an empty part, so that
+//! no token is granted again after a restart.
 
 mod allowance;
 mod bucket;
--- a/crates/sablehaven-quota/src/loan.rs
+++ b/crates/sablehaven-quota/src/loan.rs
@@ -1,8 +1,8 @@
-//! When a part of a tenant's quota asks another one for tokens, and what it lends.
+//! Decides when a part of a tenant's quota requests tokens from other parts, and how many it lends.
 //!
-//! Demand is rarely spread as the parts are. A part asks ahead, before it is empty, and lends what its own demand does
-//! not need. It lends only from above the level at which it would ask itself, so that two parts never pass the same
-//! tokens back and forth.
+//! Demand is rarely distributed as evenly as the parts. A part requests tokens ahead of time, before it is empty, and
+//! lends the tokens that its own demand does not need. It only lends tokens above the level below which it would
+//! request tokens itself, so that two parts never pass the same tokens back and forth.
 
 use std::time::Duration;
 
@@ -11,51 +11,54 @@
     demand::DemandRate,
 };
 
-/// Memory of demand for loans: short, since a part has to follow demand that moves.
+/// Half-life of the demand that decides on loan requests: short, since a part has to follow shifting demand.
 const DEMAND_HALF_LIFE: Duration = Duration::from_millis(500);
-/// A part asks when it holds less than its demand over this time, a few round trips between distant replicas.
+/// A part requests tokens when it holds fewer than its demand during this time, which is a few round trips between
+/// distant replicas.
 const LOW_WATERMARK_TIME: Duration = Duration::from_millis(150);
-/// The same for rare demand, whose requests come one by one.
+/// Like [`LOW_WATERMARK_TIME`], for rare demand, whose requests come one at a time.
 const RARE_LOW_WATERMARK_TIME: Duration = Duration::from_millis(1_000);
-/// A part asks for what its demand will need in this time.
+/// A part requests the tokens that its demand will need during this time.
 const REQUEST_AHEAD: Duration = Duration::from_millis(250);
-/// A lender keeps what its demand needs beyond its own refill in this time, on top of the level at which it asks itself.
+/// On top of its low watermark, a lender keeps the tokens that its demand needs beyond its own refill during this time.
 const LENDER_RESERVE_TIME: Duration = Duration::from_millis(500);
-/// Memory of rare demand, for asking: it has to follow demand that moves, too.
+/// Half-life of rare demand, for loan requests; it has to follow shifting demand, too.
 const RARE_DEMAND_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Rare demand, in requests a second, that the estimate after a single request does not reach.
+/// Minimum rate of rare demand for which loans are requested ahead, in requests per second. The estimate after a single
+/// request stays below it.
 const MIN_RARE_RATE_PER_SECOND: f64 = 0.45;
-/// Memory of demand for lending: a lender keeps a token for demand that it has not seen for some seconds.
+/// Half-life of demand for lending, so that a lender still keeps a token for demand that it has not seen for a few
+/// seconds.
 const LENDER_DEMAND_HALF_LIFE: Duration = Duration::from_secs(5);
-/// Requests expected until the next token comes, below which a lender keeps nothing for itself.
+/// If fewer requests than this are expected until the next token is refilled, a lender keeps no token for itself.
 const NEGLIGIBLE_REQUESTS: f64 = 0.1;
-/// A loan is expected after this time; room that demand will have made by then is counted on.
+/// The expected time until a loan arrives. A part counts on the room that its demand will have freed by then.
 const EXPECTED_ROUND_TRIP: Duration = Duration::from_millis(30);
-/// The most open requests of a tenant. Parts of small quotas have a token or two to lend, which come too slowly where
-/// one part is asked after the other.
+/// The maximum number of open loan requests of a tenant. There are several at a time because parts of small quotas have
+/// only one or two tokens to lend, and asking one part after the other takes too long.
 const MAX_OPEN_REQUESTS: usize = 4;
-/// Time before the next request when a loan was empty or did not come; doubled each time.
+/// The first delay before the next request after a loan was empty or did not arrive; doubled each time.
 const MIN_BACKOFF: Duration = Duration::from_millis(5);
-/// The longest time before the next request.
+/// The longest delay before the next request.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// Requests in a row that brought nothing, after which no caller is kept waiting for a loan.
+/// After this many loan requests in a row without any tokens, callers are no longer kept waiting for a loan.
 const MAX_CONSECUTIVE_EMPTY: u32 = 10;
-/// Time for which requests that brought nothing count.
-const EMPTY_MEMORY: Duration = Duration::from_secs(1);
-/// A part without a request for this long has no need of loans.
+/// After this time without another empty loan, the previous ones no longer count.
+const EMPTY_LOAN_EXPIRY: Duration = Duration::from_secs(1);
+/// A part that received no request for this long needs no loans.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Low bits of a number that count requests for loans; the others begin as a random salt.
+/// The number of low bits of a request number that are a counter. The other bits start as a random salt.
 const COUNTER_BITS: u32 = 11;
 
-/// What is to be asked of another part.
+/// A loan request to send to another part.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutgoingLoanRequest {
     pub(crate) number: u64,
     pub(crate) wanted: u32,
 }
 
-/// An open request for a loan.
+/// A loan request that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct OpenLoanRequest {
     number: u64,
@@ -63,27 +66,27 @@
     asked_at: Duration,
 }
 
-/// One tenant's loans at one part.
+/// One part's loan requests and demand for one tenant.
 #[derive(Clone, Debug)]
 pub(crate) struct LoanState {
     demand: DemandRate,
     rare_demand: DemandRate,
     lender_demand: DemandRate,
     last_request: Duration,
-    /// Whether a request was refused since a token was there.
+    /// Whether the last request found no token.
     is_exhausted: bool,
     open: Vec<OpenLoanRequest>,
     backoff: Duration,
     next_request_at: Duration,
-    /// Requests in a row that brought nothing, and the last of them.
+    /// The number of loan requests in a row that brought no tokens, and the time of the last one.
     consecutive_empty: u32,
     last_empty_at: Duration,
-    /// Of the next request; a salt at first.
-    next_number: u64,
+    /// The number of the last loan request; a random salt at first, or 0 before the first request for tokens.
+    last_number: u64,
 }
 
 impl LoanState {
-    /// No demand yet.
+    /// Creates the state of a part without demand.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             demand: DemandRate::new(DEMAND_HALF_LIFE, now),
@@ -96,15 +99,16 @@
             next_request_at: Duration::ZERO,
             consecutive_empty: 0,
             last_empty_at: Duration::ZERO,
-            next_number: 0,
+            last_number: 0,
         }
     }
 
-    /// Counts a request for tokens. The first `draw`, uniform from 0 to 1, decides where this replica's numbers begin, so
-    /// that a loan to the same replica before its restart answers none of its requests.
+    /// Records a request for tokens. The first `draw`, a uniformly distributed random number from 0 to 1, determines
+    /// where this replica's request numbers start. A loan sent to this replica before a restart therefore answers none
+    /// of its requests after the restart.
     pub(crate) fn record_request(&mut self, now: Duration, wanted: u32, draw: f64) {
-        if self.next_number == 0 {
-            self.next_number = draw.to_bits() << COUNTER_BITS;
+        if self.last_number == 0 {
+            self.last_number = draw.to_bits() << COUNTER_BITS;
         }
         self.demand.add(now, wanted);
         self.rare_demand.add(now, wanted);
@@ -112,35 +116,35 @@
         self.last_request = now;
     }
 
-    /// Notes whether a request was refused for want of tokens.
+    /// Records whether a request was refused because no token was available.
     pub(crate) fn note_refused(&mut self, is_refused: bool) {
         self.is_exhausted = is_refused;
     }
 
-    /// Whether the part will be used up soon while requests come, more of them than its own tokens.
+    /// Returns whether the part is out of tokens or soon will be, while requests keep coming faster than it refills.
     pub(crate) fn is_short(&self, now: Duration, bucket: &mut TokenBucket) -> bool {
         let is_recent = now.saturating_sub(self.last_request) < IDLE_TIMEOUT;
         let needs_tokens = self.is_exhausted || self.exceeds_refill(now, bucket);
         is_recent && needs_tokens && bucket.tokens(now) < self.low_watermark(now)
     }
 
-    /// Tokens under which a part asks where its demand is above its refill.
+    /// Returns the number of tokens below which a part requests a loan if its demand exceeds its refill.
     fn low_watermark(&self, now: Duration) -> f64 {
         let frequent = self.demand.per_second(now) * LOW_WATERMARK_TIME.as_secs_f64();
         let rare = self.rare_demand.per_second(now) * RARE_LOW_WATERMARK_TIME.as_secs_f64();
         frequent.max(rare).max(1.0)
     }
 
-    /// Whether more is asked for than this part refills.
+    /// Returns whether the demand exceeds this part's refill rate.
     pub(crate) fn exceeds_refill(&self, now: Duration, bucket: &TokenBucket) -> bool {
-        let frequent = self.demand.per_second(now);
-        let is_frequent = frequent * LOW_WATERMARK_TIME.as_secs_f64() >= 1.0;
-        let rare = self.rare_demand.per_second(now);
-        rare > bucket.per_second().max(MIN_RARE_RATE_PER_SECOND)
-            || is_frequent && frequent > bucket.per_second()
+        let rate = self.demand.per_second(now);
+        let is_frequent = rate * LOW_WATERMARK_TIME.as_secs_f64() >= 1.0;
+        let rare_rate = self.rare_demand.per_second(now);
+        rare_rate > bucket.per_second().max(MIN_RARE_RATE_PER_SECOND)
+            || is_frequent && rate > bucket.per_second()
     }
 
-    /// Opens a request if it is time for one; returns what to ask for.
+    /// Opens a loan request if one is due, and returns what to send.
     pub(crate) fn open_request(
         &mut self,
         now: Duration,
@@ -155,8 +159,8 @@
         if wanted == 0 {
             return None;
         }
-        self.next_number = self.next_number.wrapping_add(1);
-        let number = self.next_number;
+        self.last_number = self.last_number.wrapping_add(1);
+        let number = self.last_number;
         self.open.push(OpenLoanRequest {
             number,
             wanted,
@@ -165,14 +169,15 @@
         Some(OutgoingLoanRequest { number, wanted })
     }
 
-    /// What the part lacks beyond what it has asked for, spread over several others.
+    /// Returns the number of tokens to request from one other part: the tokens that this part needs beyond those it has
+    /// already requested, spread over several other parts.
     fn tokens_per_request(&self, now: Duration, bucket: &mut TokenBucket) -> u32 {
         let per_second = self.demand.per_second(now);
-        let frequent = per_second * REQUEST_AHEAD.as_secs_f64();
+        let upcoming = per_second * REQUEST_AHEAD.as_secs_f64();
         let outstanding = self.outstanding();
-        let needed = frequent.max(self.low_watermark(now)) - bucket.tokens(now);
-        let expected_room = (per_second - bucket.per_second()) * EXPECTED_ROUND_TRIP.as_secs_f64();
-        let room = bucket.room(now) + expected_room.max(0.0).floor();
+        let needed = upcoming.max(self.low_watermark(now)) - bucket.tokens(now);
+        let freed_room = (per_second - bucket.per_second()) * EXPECTED_ROUND_TRIP.as_secs_f64();
+        let room = bucket.room(now) + freed_room.max(0.0).floor();
         let missing = needed.max(1.0).min(room) - outstanding;
         let remaining_requests = (MAX_OPEN_REQUESTS - self.open.len()) as f64;
         let min_tokens = if missing >= 1.0 { 1.0 } else { 0.0 };
@@ -182,12 +187,12 @@
             .max(min_tokens) as u32
     }
 
-    /// Tokens that open requests may bring.
+    /// Returns the number of tokens that the open requests may bring.
     fn outstanding(&self) -> f64 {
         self.open.iter().map(|open| f64::from(open.wanted)).sum()
     }
 
-    /// Takes a loan if it answers an open request and is not late.
+    /// Adds the tokens of a loan if it answers an open request and is not late.
     pub(crate) fn receive_loan(
         &mut self,
         now: Duration,
@@ -210,28 +215,29 @@
         self.consecutive_empty = 0;
     }
 
-    /// Whether others may have tokens to lend: not all of those that were asked lately had none.
+    /// Returns whether other parts may have tokens to lend, which is false only if the last [`MAX_CONSECUTIVE_EMPTY`]
+    /// requests brought none and the last of them is recent.
     pub(crate) fn may_receive_loan(&self, now: Duration) -> bool {
-        let is_long_ago = now.saturating_sub(self.last_empty_at) > EMPTY_MEMORY;
+        let is_long_ago = now.saturating_sub(self.last_empty_at) > EMPTY_LOAN_EXPIRY;
         self.consecutive_empty < MAX_CONSECUTIVE_EMPTY || is_long_ago
     }
 
-    /// Takes tokens out of the part for another one, as far as its own demand can spare them.
+    /// Takes tokens for another part, as far as this part's own demand does not need them.
     pub(crate) fn lend(&self, now: Duration, bucket: &mut TokenBucket, wanted: u32) -> u32 {
         let expected_requests = self.lender_demand.per_second(now) / bucket.per_second();
         if expected_requests < NEGLIGIBLE_REQUESTS && !bucket.is_new(now) {
             return bucket.lend(now, wanted, 0.0);
         }
-        let missing = self.demand.per_second(now) - bucket.per_second();
-        let missing = missing.max(0.0) * LENDER_RESERVE_TIME.as_secs_f64();
+        let deficit = self.demand.per_second(now) - bucket.per_second();
+        let deficit = deficit.max(0.0) * LENDER_RESERVE_TIME.as_secs_f64();
         let reserve = match self.exceeds_refill(now, bucket) {
-            true => self.low_watermark(now) + missing,
+            true => self.low_watermark(now) + deficit,
             false => 1.0,
         };
         bucket.lend(now, wanted, reserve)
     }
 
-    /// Drops open requests whose loans would be refused by now.
+    /// Drops open requests whose loans would be too late by now.
     fn drop_expired(&mut self, now: Duration, bucket: &TokenBucket) {
         let before = self.open.len();
         let is_expired = |open: &OpenLoanRequest| now.saturating_sub(open.asked_at) > LOAN_LIFETIME;
@@ -241,7 +247,7 @@
         }
     }
 
-    /// Notes a request that brought nothing, and puts off the next one.
+    /// Records a request that brought no tokens, and delays the next one.
     fn back_off(&mut self, now: Duration, bucket: &TokenBucket) {
         self.consecutive_empty = self.consecutive_empty.saturating_add(1);
         self.last_empty_at = now;
--- a/crates/sablehaven-quota/src/part.rs
+++ b/crates/sablehaven-quota/src/part.rs
@@ -11,41 +11,42 @@
 
 use crate::{fair_share::FairShare, tenant_part::TenantPart};
 
-/// The most requests for loans in one call: a bound for the messages of a moment in which all tenants are short.
+/// The maximum number of loan requests that one call returns. It bounds the number of messages when all tenants run out
+/// of tokens at the same time.
 const MAX_LOAN_REQUESTS: usize = 64;
-/// The longest time for which a request is held while a loan may come: a few round trips between replicas, far below
-/// what callers wait.
+/// The longest time a request is held while it waits for a loan: a few round trips between replicas, and far less than
+/// callers are willing to wait.
 const MAX_HOLD: Duration = Duration::from_millis(200);
 
-/// One control replica's part of all tenants' quotas. Times are any steady time of the replica.
+/// One control replica's part of all tenants' quotas. All times come from one monotonic clock of the replica.
 #[derive(Clone, Debug)]
 pub struct QuotaPart {
     tolerance: QuotaTolerance,
-    /// The number of equal parts, of which this is one; `None` while this replica may not spend any.
+    /// The number of equal parts into which each quota is divided; `None` while this replica may not spend tokens.
     part_count: Option<u32>,
     tenants: HashMap<TenantName, TenantPart>,
-    /// Tenants whose part is short, in the order in which loans are asked for.
+    /// Tenants that need a loan, in the order in which loans are requested.
     short_tenants: VecDeque<TenantName>,
     fair_share: FairShare,
 }
 
-/// What a tenant has had of this replica since its start.
+/// A tenant's usage at this replica since the replica started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantUsage {
-    /// The tenant.
+    /// The tenant's name.
     pub tenant: TenantName,
-    /// Its quota over all replicas.
+    /// The tenant's quota over all replicas.
     pub quota: Option<RequestQuota>,
-    /// Tokens that were granted.
+    /// The number of tokens granted.
     pub granted: u64,
-    /// Requests that were refused for want of tokens.
+    /// The number of requests refused because no token was available.
     pub refused: u64,
-    /// Tokens that are there now.
+    /// The number of tokens available now.
     pub tokens: f64,
 }
 
 impl QuotaPart {
-    /// A part of nothing yet: no tenant is known, and this replica may not spend.
+    /// Creates a part without tenants, from which this replica may not spend yet.
     pub fn new(tolerance: QuotaTolerance) -> Self {
         Self {
             tolerance,
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Takes the tenants of a version of the configuration. A lower limit binds at once.
+    /// Replaces the tenants and quotas with those of a new configuration version. A lower limit takes effect
+    /// immediately.
     pub fn set_tenants<'a>(
         &mut self,
         now: Duration,
@@ -74,7 +76,8 @@
             .retain(|name| self.tenants.contains_key(name));
     }
 
-    /// Takes the number of equal parts, or that this replica has none. What it held before is gone then.
+    /// Sets the number of equal parts; `None` if this replica has no part. The tokens it held are discarded in that
+    /// case.
     pub fn set_part_count(&mut self, now: Duration, part_count: Option<u32>) {
         if self.part_count == part_count {
             return;
@@ -85,16 +88,18 @@
         }
     }
 
-    /// Decides on a request that waits for a token. `draw` is uniform, 0 to 1. No token is taken for a request that is
-    /// refused.
+    /// Decides whether a request that needs a token may proceed. `draw` is a uniformly distributed random number from 0
+    /// to 1. A refused request takes no token.
     pub fn take(&mut self, now: Duration, request: &TokenRequest, draw: f64) -> TokenVerdict {
         self.record_request(now, request, draw);
         self.decide(now, request, draw)
     }
 
-    /// As [`QuotaPart::take`], but `None` where the request is to be held, since other replicas may lend tokens within one
-    /// round trip. The caller then asks again a few milliseconds later with the time `held` so far, 0 at first. None is
-    /// held for longer than its gateway allows or than 200 ms, and none while the others had nothing to lend lately.
+    /// Like [`QuotaPart::take`], but returns `None` if the request should be held because other replicas may lend
+    /// tokens within one round trip. The caller then calls this again every few milliseconds, and passes the time for
+    /// which the request has been `held` so far, which is 0 in the first call. A request is held no longer than its
+    /// gateway allows, and no longer than 200 ms. Requests are not held if the other replicas recently had no tokens to
+    /// lend.
     pub fn take_or_hold(
         &mut self,
         now: Duration,
@@ -124,7 +129,7 @@
 
     fn decide(&mut self, now: Duration, request: &TokenRequest, draw: f64) -> TokenVerdict {
         let Some(part) = self.tenants.get_mut(&request.tenant) else {
-            // The gateway has a newer configuration than this replica, or an older one.
+            // The gateway's configuration is newer or older than this replica's.
             return TokenVerdict::NoPart;
         };
         let applies_fair_share = request.shed_permille > 0 && part.has_token(now);
@@ -163,9 +168,10 @@
         }
     }
 
-    /// What is to be asked of other replicas: tokens of the tenants whose part is used up, or soon will be, while requests
-    /// come. Each request goes to one other replica. A tenant's numbers are consecutive, so that the number modulo the
-    /// count of other replicas takes each in turn. To be called every few milliseconds.
+    /// Returns the loan requests to send to other replicas, for tenants whose part has run out or will soon, while
+    /// requests keep coming. Each loan request goes to one other replica. The numbers of one tenant's loan requests are
+    /// consecutive, so that the number modulo the count of other replicas selects each of them in turn. Call this every
+    /// few milliseconds.
     pub fn loan_requests(&mut self, now: Duration) -> Vec<LoanRequest> {
         let mut requests = Vec::new();
         for _ in 0..self.short_tenants.len() {
@@ -193,8 +199,8 @@
         requests
     }
 
-    /// Lends what this part can spare. A loan of no tokens tells the other one to ask elsewhere; `None` while this replica
-    /// has no part.
+    /// Lends the tokens that this part can spare. A loan of 0 tokens tells the borrower to ask another replica. Returns
+    /// `None` while this replica has no part, or does not know the tenant.
     pub fn lend(&mut self, now: Duration, request: &LoanRequest) -> Option<TokenLoan> {
         let part = self.tenants.get_mut(&request.tenant)?;
         let tokens = part.lend(now, request.wanted)?;
@@ -205,14 +211,14 @@
         })
     }
 
-    /// Takes a loan, unless it comes too late or twice.
+    /// Adds the tokens of a loan, unless the loan is late or a duplicate.
     pub fn receive_loan(&mut self, now: Duration, loan: &TokenLoan) {
         if let Some(part) = self.tenants.get_mut(&loan.tenant) {
             part.receive_loan(now, loan.number, loan.tokens);
         }
     }
 
-    /// What each tenant has had of this replica.
+    /// Returns each tenant's usage at this replica.
     pub fn usage(&mut self, now: Duration) -> Vec<TenantUsage> {
         let tenants = self.tenants.iter_mut();
         tenants
--- a/crates/sablehaven-quota/src/tenant_part.rs
+++ b/crates/sablehaven-quota/src/tenant_part.rs
@@ -1,4 +1,4 @@
-//! One tenant's quota at one replica.
+//! One replica's part of one tenant's quota.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     loan::{LoanState, OutgoingLoanRequest},
 };
 
-/// One tenant's quota at one replica.
+/// One replica's part of one tenant's quota.
 #[derive(Clone, Debug)]
 pub(crate) struct TenantPart {
     pub(crate) quota: Option<RequestQuota>,
@@ -20,12 +20,12 @@
     pub(crate) demand: RecentDemand,
     bucket: Option<TokenBucket>,
     loan: LoanState,
-    /// Whether the tenant stands in the queue of those that need a loan.
+    /// Whether the tenant is in the queue of tenants that need a loan.
     pub(crate) is_queued: bool,
 }
 
 impl TenantPart {
-    /// A tenant without a quota yet.
+    /// Creates the part of a tenant whose quota is not set yet.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             quota: None,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes the number of parts, and the quota as it is now.
+    /// Adapts the bucket to the number of parts and to the current quota.
     pub(crate) fn resize(
         &mut self,
         now: Duration,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Counts a request for tokens.
+    /// Records a request for tokens.
     pub(crate) fn record_request(&mut self, now: Duration, wanted: u32, draw: f64) {
         self.demand.add(now, wanted);
         if self.bucket.is_some() {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Whether no token is there and others may lend some soon; the need for a loan is noted.
+    /// Returns whether the part is out of tokens and another one may lend some soon. Also records that a loan is needed
+    /// if the part is out of tokens.
     pub(crate) fn should_wait_for_loan(&mut self, now: Duration) -> bool {
         let is_exhausted = self.bucket.is_some() && !self.has_token(now);
         if is_exhausted {
@@ -74,8 +75,9 @@
         is_exhausted && self.loan.may_receive_loan(now)
     }
 
-    /// Decides on a request that waits for a token. While the tenant asks for more than it may, the next token is for a
-    /// request that can still be answered in time, and not for one whose caller was refused before.
+    /// Decides whether a request that needs a token may proceed. While the tenant's demand exceeds the refill rate, the
+    /// next token is kept for a request that can still be answered in time; a request whose caller was refused before
+    /// does not get it.
     pub(crate) fn take(&mut self, now: Duration, wanted: u32, is_resend: bool) -> TokenVerdict {
         if self.quota.is_none() {
             return TokenVerdict::Granted(wanted);
@@ -100,42 +102,42 @@
         TokenVerdict::Granted(granted)
     }
 
-    /// Whether this part needs a loan now or soon.
+    /// Returns whether this part needs a loan now or soon.
     pub(crate) fn is_short(&mut self, now: Duration) -> bool {
         let bucket = self.bucket.as_mut();
         bucket.is_some_and(|bucket| self.loan.is_short(now, bucket))
     }
 
-    /// Opens a request for a loan if it is time for one; returns what to ask for.
+    /// Opens a loan request if one is due, and returns it.
     pub(crate) fn open_loan_request(&mut self, now: Duration) -> Option<OutgoingLoanRequest> {
         self.loan.open_request(now, self.bucket.as_mut()?)
     }
 
-    /// Takes tokens out for another part; `None` while this replica has none.
+    /// Lends tokens to another part; returns `None` while this replica has no part.
     pub(crate) fn lend(&mut self, now: Duration, wanted: u32) -> Option<u32> {
         let bucket = self.bucket.as_mut()?;
         Some(self.loan.lend(now, bucket, wanted))
     }
 
-    /// Takes a loan if it answers the open request and is not late.
+    /// Adds the tokens of a loan if it answers an open loan request and is not late.
     pub(crate) fn receive_loan(&mut self, now: Duration, number: u64, tokens: u32) {
         if let Some(bucket) = &mut self.bucket {
             self.loan.receive_loan(now, bucket, number, tokens);
         }
     }
 
-    /// Whether a request would get a token.
+    /// Returns whether a request would get a token.
     pub(crate) fn has_token(&mut self, now: Duration) -> bool {
         let bucket = self.bucket.as_mut();
         self.quota.is_none() || bucket.is_some_and(|bucket| bucket.has_token(now))
     }
 
-    /// The quota's rate, in requests a second.
+    /// Returns the quota's rate in requests per second.
     pub(crate) fn quota_per_second(&self) -> Option<f64> {
         self.quota.map(|quota| quota.per_second)
     }
 
-    /// The tokens that are there.
+    /// Returns the number of available tokens.
     pub(crate) fn tokens(&mut self, now: Duration) -> f64 {
         let bucket = self.bucket.as_mut();
         bucket.map_or(0.0, |bucket| bucket.tokens(now))
--- a/crates/sablehaven-quota/src/token_cache.rs
+++ b/crates/sablehaven-quota/src/token_cache.rs
@@ -1,4 +1,4 @@
-//! The tokens that a gateway holds.
+//! A gateway's cache of tokens.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,12 +9,13 @@
 
 use crate::{allowance::token_lifetime, demand::DemandRate};
 
-/// Memory of a tenant's demand at a gateway.
+/// Half-life of a tenant's demand at a gateway.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(1);
-/// A tenant without a request for this long is forgotten; its rate is about nothing by then.
+/// A tenant without a request for this long is removed; the estimate of its demand is close to zero by then.
 const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The tokens that a gateway holds. Times are any steady time of the gateway that counts suspension too.
+/// A gateway's cache of tokens. All times come from one monotonic clock of the gateway that also advances while the
+/// machine is suspended.
 #[derive(Debug)]
 pub struct TokenCache {
     token_lifetime: Duration,
@@ -26,9 +27,10 @@
 struct TenantTokens {
     demand: DemandRate,
     last_request: Duration,
-    /// Ordered by the time of asking.
+    /// Sorted by the time at which the tokens were requested.
     available: VecDeque<TokenBatch>,
-    /// Asked for beyond the token of the request that waits, and not answered yet.
+    /// Tokens that were requested ahead, beyond the token for the waiting request, and have not been granted or refused
+    /// yet.
     pending: VecDeque<TokenBatch>,
 }
 
@@ -39,7 +41,7 @@
 }
 
 impl TokenCache {
-    /// An empty stock.
+    /// Creates an empty cache.
     pub fn new(tolerance: &QuotaTolerance) -> Self {
         Self {
             token_lifetime: token_lifetime(tolerance),
@@ -48,12 +50,12 @@
         }
     }
 
-    /// Spends a token that is there.
+    /// Spends a cached token; returns whether there was one.
     pub fn spend(&mut self, now: Duration, tenant: &TenantName) -> bool {
         self.spend_with_request_time(now, tenant).is_some()
     }
 
-    /// Spends a token that is there; returns when it was asked for, for [`TokenCache::return_token`].
+    /// Spends a cached token, and returns when it was requested, as [`TokenCache::return_token`] needs it.
     pub fn spend_with_request_time(
         &mut self,
         now: Duration,
@@ -69,8 +71,8 @@
         Some(asked_at)
     }
 
-    /// How many tokens to ask for, that of the request that waits included: what the tenant will need here within the
-    /// tokens' life.
+    /// Returns how many tokens to request, including the one for the waiting request: as many as the tenant is expected
+    /// to need at this gateway within the lifetime of a token.
     pub fn tokens_to_request(&mut self, now: Duration, tenant: &TenantName) -> u32 {
         if self.token_lifetime.is_zero() {
             return 1;
@@ -94,7 +96,8 @@
         tokens
     }
 
-    /// Takes tokens beyond that of the request that waited; `asked_at` is when they were asked for.
+    /// Adds granted tokens beyond the one for the request that waited; `asked_at` is the time at which they were
+    /// requested.
     pub fn add(&mut self, asked_at: Duration, tenant: &TenantName, tokens: u32) {
         if tokens == 0 || self.token_lifetime.is_zero() {
             return;
@@ -106,7 +109,8 @@
         tenant_tokens.insert(TokenBatch { asked_at, tokens });
     }
 
-    /// Takes back a token whose request reached no server; `asked_at` is when the token was asked for.
+    /// Returns a token to the cache because its request did not reach a server; `asked_at` is the time at which the
+    /// token was requested.
     pub fn return_token(&mut self, now: Duration, asked_at: Duration, tenant: &TenantName) {
         if now.saturating_sub(asked_at) >= self.token_lifetime {
             return;
@@ -118,7 +122,7 @@
         self.tenant_mut(now, tenant).insert(returned);
     }
 
-    /// The number of tenants that the stock knows of.
+    /// Returns the number of tenants in the cache.
     pub fn tenants(&self) -> usize {
         self.tenants.len()
     }
