--- a/crates/sablehaven-quota/examples/quota_model/buckets.rs
+++ b/crates/sablehaven-quota/examples/quota_model/buckets.rs
@@ -1,4 +1,5 @@
-//! Ways with plain buckets at gateways: a fixed part for each, and a few gateways that serve a tenant.
+//! Quota schemes with plain token buckets: a fixed part for each gateway, and a few designated gateways for each
+//! tenant.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,12 +8,13 @@
     random::Random,
 };
 
-/// A request that is passed on to the gateway that serves its tenant, and its answer: headers and a small body.
+/// Size of a request that is forwarded to a designated gateway of its tenant, and of the answer: headers and a small
+/// body.
 const FORWARDED_MESSAGE_BYTES: u64 = 600;
-/// Gateways that serve a tenant.
+/// The number of designated gateways of a tenant.
 const GATEWAYS_PER_TENANT: usize = 2;
 
-/// A part of a bucket, full at first.
+/// One part of a tenant's token bucket, full at first.
 pub struct Bucket {
     per_second: f64,
     depth: f64,
@@ -21,7 +23,7 @@
 }
 
 impl Bucket {
-    /// One of so many parts, where tokens are good for `life`.
+    /// Creates one of `parts` equal parts, whose tokens may be spent for `token_lifetime` after they are taken.
     pub fn part(fleet: &Fleet, tenant: usize, parts: usize, token_lifetime: Duration) -> Self {
         let quota = fleet.quotas[tenant];
         let span = (fleet.tolerance.window() + token_lifetime).as_secs_f64();
@@ -36,8 +38,8 @@
     }
 
     pub fn take(&mut self, now: Duration, wanted: u32) -> u32 {
-        let since = now.saturating_sub(self.refilled_at).as_secs_f64();
-        self.tokens = (self.tokens + since * self.per_second).min(self.depth);
+        let elapsed_seconds = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed_seconds * self.per_second).min(self.depth);
         self.refilled_at = now;
         let taken = wanted.min(self.tokens.max(0.0) as u32);
         self.tokens -= f64::from(taken);
@@ -45,7 +47,7 @@
     }
 }
 
-/// Each gateway has a fixed part.
+/// Each gateway has a fixed part of every quota.
 pub struct FixedParts {
     parts: HashMap<(usize, usize), Bucket>,
 }
@@ -59,10 +61,10 @@
 }
 
 impl QuotaScheme for FixedParts {
-    fn admit(&mut self, fleet: &Fleet, request: Request, _lottery: &mut Random) -> Option<bool> {
+    fn admit(&mut self, fleet: &Fleet, request: Request, _random: &mut Random) -> Option<bool> {
         let full = Bucket::part(fleet, request.tenant, fleet.gateways, Duration::ZERO);
         if full.depth < 1.0 {
-            // It never holds a token.
+            // A bucket this shallow never holds a whole token.
             return Some(false);
         }
         let part = self
@@ -77,7 +79,7 @@
     }
 }
 
-/// A few gateways serve a tenant; the others pass its requests on.
+/// A few designated gateways serve each tenant; the others forward its requests to them.
 pub struct DesignatedGateways {
     parts: Vec<[Bucket; GATEWAYS_PER_TENANT]>,
     messages: MessageCounts,
@@ -96,7 +98,7 @@
 
 impl QuotaScheme for DesignatedGateways {
     fn admit(&mut self, _fleet: &Fleet, request: Request, random: &mut Random) -> Option<bool> {
-        // Two messages, each counted where it is sent and where it arrives.
+        // The request and the answer are each counted at the sending and at the receiving gateway.
         self.messages.at_gateways += 4;
         self.messages.bytes += 2 * FORWARDED_MESSAGE_BYTES;
         let gateway = random.below(GATEWAYS_PER_TENANT as u64) as usize;
--- a/crates/sablehaven-quota/examples/quota_model/equal_parts.rs
+++ b/crates/sablehaven-quota/examples/quota_model/equal_parts.rs
@@ -1,4 +1,4 @@
-//! Equal parts in the control replicas with loans: the code of this crate.
+//! Equal parts at the control replicas, with loans between them: the scheme that this crate implements.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,24 +11,29 @@
     random::Random,
 };
 
-/// One way between replicas.
+/// Network latency between replicas, in one direction.
 const ONE_WAY_LATENCY: Duration = Duration::from_millis(12);
 
+/// Messages between replicas, addressed by index.
 enum Message {
+    /// The sender, the receiver and the request.
     RequestLoan(usize, usize, LoanRequest),
+    /// The receiver and the loan.
     Loan(usize, TokenLoan),
 }
 
-/// A request that a replica holds.
+/// A request that is held by a replica.
 struct HeldRequest {
     request: Request,
     token_request: TokenRequest,
     draw: f64,
 }
 
+/// A control replica per zone with one part of each quota, and a token cache at each gateway.
 pub struct EqualParts {
     parts: Vec<QuotaPart>,
     caches: Vec<TokenCache>,
+    /// Sent messages with their times of arrival.
     in_flight: VecDeque<(Duration, Message)>,
     held: Vec<HeldRequest>,
     messages: MessageCounts,
@@ -64,7 +69,7 @@
         self.in_flight.push_back((now + ONE_WAY_LATENCY, message));
     }
 
-    /// What becomes of a request that waits at its replica.
+    /// Decides on a request at the replica of its zone; `None` if it is held.
     fn decide(&mut self, now: Duration, held: &HeldRequest) -> Option<bool> {
         let request = held.request;
         let part = &mut self.parts[Fleet::zone_of(request.gateway)];
@@ -97,10 +102,10 @@
     fn request_loans(&mut self, now: Duration) {
         for from in 0..ZONES {
             for request in self.parts[from].loan_requests(now) {
-                let step = 1 + request.number as usize % (ZONES - 1);
+                let offset = 1 + request.number as usize % (ZONES - 1);
                 self.send(
                     now,
-                    Message::RequestLoan(from, (from + step) % ZONES, request),
+                    Message::RequestLoan(from, (from + offset) % ZONES, request),
                 );
             }
         }
--- a/crates/sablehaven-quota/examples/quota_model/leases.rs
+++ b/crates/sablehaven-quota/examples/quota_model/leases.rs
@@ -1,4 +1,4 @@
-//! The leader holds the whole bucket; gateways lease tokens from it ahead, by demand.
+//! The leader has the whole bucket; gateways lease tokens from it ahead of time, according to their demand.
 
 use std::time::Duration;
 
@@ -12,15 +12,16 @@
     random::Random,
 };
 
-/// Time for which a lease is good.
+/// The time for which leased tokens may be spent.
 const LEASE_LIFETIME: Duration = Duration::from_millis(400);
-/// With it, the stock's tokens are good for the life of a lease.
+/// With this tolerance, the lifetime of tokens in the cache is that of a lease.
 const LEASE_TOLERANCE: QuotaTolerance = QuotaTolerance {
     window_ms: 5_000,
     excess_permille: 1_000,
     slack: 0,
 };
 
+/// The leader's token buckets and the gateways' caches of leased tokens.
 pub struct LeaderLeases {
     buckets: Vec<Bucket>,
     caches: Vec<TokenCache>,
@@ -41,7 +42,7 @@
 }
 
 impl QuotaScheme for LeaderLeases {
-    fn admit(&mut self, fleet: &Fleet, request: Request, _lottery: &mut Random) -> Option<bool> {
+    fn admit(&mut self, fleet: &Fleet, request: Request, _random: &mut Random) -> Option<bool> {
         let name = &fleet.names[request.tenant];
         let cache = &mut self.caches[request.gateway];
         if cache.spend(request.now, name) {
--- a/crates/sablehaven-quota/examples/quota_model/main.rs
+++ b/crates/sablehaven-quota/examples/quota_model/main.rs
@@ -1,5 +1,6 @@
-//! Weighs ways to hold tenants' quotas over many gateways, without a network: what is refused inside a quota, the fullest window, and the
-//! messages. Every run is determined by its seed; times are the model's.
+//! Compares schemes that enforce tenants' quotas across many gateways, without a network. It reports the requests
+//! refused within a quota, the fullest window, and the messages. Every run is determined by its seed; times are
+//! simulated.
 
 mod buckets;
 mod demand;
@@ -26,11 +27,14 @@
             .default_value(default)
     };
     Command::new("quota_model")
-        .about("Weighs ways to hold tenants' quotas over many gateways")
+        .about("Compares schemes that enforce tenants' quotas across many gateways")
         .arg(number("gateways", "62"))
         .arg(number("tenants", "75"))
-        .arg(number("per-gateway", "2").help("Requests a second of each gateway"))
-        .arg(number("seconds", "10").help("Measured time, after 8 s in which parts fill"))
+        .arg(number("per-gateway", "2").help("Requests per second at each gateway"))
+        .arg(
+            number("seconds", "10")
+                .help("Measured time in seconds, after a warm-up of 8 s in which parts fill"),
+        )
         .arg(number("seed", "1"))
 }
 
@@ -42,7 +46,7 @@
     let seconds = number("seconds");
     let seed = number("seed");
     println!(
-        "| way | refused inside the quota | held for a loan | fullest window, of its bound | messages a gateway and s | bytes a gateway and s | between replicas, messages a s |"
+        "| scheme | refused within the quota | held for a loan | fullest window / its bound | messages per gateway and s | bytes per gateway and s | messages between replicas per s |"
     );
     println!("|---|---|---|---|---|---|---|");
     run(
@@ -53,21 +57,21 @@
         seed,
     );
     run(
-        "leader's leases",
+        "leases from the leader",
         &fleet,
         LeaderLeases::new(&fleet),
         seconds,
         seed,
     );
     run(
-        "few gateways",
+        "designated gateways",
         &fleet,
         DesignatedGateways::new(&fleet),
         seconds,
         seed,
     );
     run(
-        "equal parts, loans",
+        "equal parts with loans",
         &fleet,
         EqualParts::new(&fleet),
         seconds,
--- a/crates/sablehaven-quota/examples/quota_model/measure.rs
+++ b/crates/sablehaven-quota/examples/quota_model/measure.rs
@@ -1,4 +1,4 @@
-//! Plays a way and prints what it brings.
+//! Runs a quota scheme and prints its results.
 
 use std::time::Duration;
 
@@ -10,25 +10,28 @@
 };
 
 const STEP: Duration = Duration::from_millis(4);
-/// Time in which parts fill that start empty.
+/// The time in which parts that start empty fill up; requests before its end are not measured.
 const WARM_UP: Duration = Duration::from_secs(8);
-/// Windows are looked at by the counts of slots of this length.
+/// Windows are made of slots of this length.
 const SLOT: Duration = Duration::from_millis(100);
-/// IPv4 and TCP headers of a message that shares its packet with no other.
+/// IPv4 and TCP headers of a message that shares its packet with no other message.
 const HEADER_BYTES: u64 = 40;
-/// What the messages for tokens encode to beside the tenant's name.
+/// Encoded size of a token request, without the tenant's name.
 const REQUEST_BYTES: u64 = 20;
+/// Encoded size of the reply.
 const REPLY_BYTES: u64 = 16;
 
-/// Bytes of a request for tokens and its reply.
+/// Returns the bytes of a token request and its reply on the network.
 pub fn token_bytes(tenant: &TenantName) -> u64 {
     2 * HEADER_BYTES + REQUEST_BYTES + tenant.as_str().len() as u64 + REPLY_BYTES
 }
 
-/// Requests that passed, by tenant, in the slots of the last window.
+/// The admitted requests of each tenant in the slots of the last window.
 struct Windows {
     slots: Vec<Vec<u32>>,
-    cumulative_rates: Vec<u32>,
+    /// Each tenant's sum over all slots.
+    window_sums: Vec<u32>,
+    /// The highest ratio of a window's requests to its bound so far.
     fullest: f64,
 }
 
@@ -37,7 +40,7 @@
         let slots = fleet.tolerance.window().as_millis() / SLOT.as_millis();
         Self {
             slots: vec![vec![0; fleet.names.len()]; slots as usize],
-            cumulative_rates: vec![0; fleet.names.len()],
+            window_sums: vec![0; fleet.names.len()],
             fullest: 0.0,
         }
     }
@@ -45,27 +48,28 @@
     fn count(&mut self, now: Duration, tenant: usize) {
         let index = self.index(now);
         self.slots[index][tenant] += 1;
-        self.cumulative_rates[tenant] += 1;
+        self.window_sums[tenant] += 1;
     }
 
     fn index(&self, now: Duration) -> usize {
         (now.as_millis() / SLOT.as_millis()) as usize % self.slots.len()
     }
 
-    /// Ends the slot before this time: looks at the window that it ends, and forgets the oldest slot.
+    /// Ends the slot before `now`: compares the window that ends with it with its bound, and clears the oldest slot.
     fn rotate(&mut self, fleet: &Fleet, now: Duration) {
-        for (tenant, sum) in self.cumulative_rates.iter().enumerate() {
+        for (tenant, sum) in self.window_sums.iter().enumerate() {
             let bound = fleet.tolerance.bound(fleet.quotas[tenant]);
             self.fullest = self.fullest.max(f64::from(*sum) / bound);
         }
         let index = self.index(now);
         for (tenant, count) in self.slots[index].iter_mut().enumerate() {
-            self.cumulative_rates[tenant] -= *count;
+            self.window_sums[tenant] -= *count;
             *count = 0;
         }
     }
 }
 
+/// Runs a scheme with the demand of a fleet, and prints a row of the table.
 pub fn run(name: &str, fleet: &Fleet, mut scheme: impl QuotaScheme, seconds: u64, seed: u64) {
     let mut random = Random(seed);
     let mut counts = RequestCounts::new(fleet);
@@ -95,22 +99,22 @@
     }
     let sent = scheme.messages();
     let rate = |count: u64| count as f64 / seconds as f64;
-    let by_gateway = |count: u64| rate(count) / fleet.gateways as f64;
+    let per_gateway = |count: u64| rate(count) / fleet.gateways as f64;
     println!(
         "| {name} | {:.3} % | {:.1} % | {:.3} | {:.2} | {:.0} | {:.0} |",
         counts.percent(counts.refused),
         counts.percent(counts.held),
         counts.windows.fullest,
-        by_gateway(sent.at_gateways - before.at_gateways),
-        by_gateway(sent.bytes - before.bytes),
+        per_gateway(sent.at_gateways - before.at_gateways),
+        per_gateway(sent.bytes - before.bytes),
         rate(sent.between_replicas - before.between_replicas),
     );
 }
 
-/// What became of requests, those of the hot tenant left out but for the windows.
+/// The outcomes of requests. Requests of the hot tenant count only in the windows.
 struct RequestCounts {
     windows: Windows,
-    asked: u64,
+    requests: u64,
     refused: u64,
     held: u64,
 }
@@ -119,7 +123,7 @@
     fn new(fleet: &Fleet) -> Self {
         Self {
             windows: Windows::new(fleet),
-            asked: 0,
+            requests: 0,
             refused: 0,
             held: 0,
         }
@@ -130,13 +134,13 @@
             self.windows.count(now, request.tenant);
         }
         if now > WARM_UP && !Fleet::is_hot(request.tenant) {
-            self.asked += 1;
+            self.requests += 1;
             self.refused += u64::from(!is_admitted);
             self.held += u64::from(now > request.now);
         }
     }
 
     fn percent(&self, count: u64) -> f64 {
-        100.0 * count as f64 / self.asked as f64
+        100.0 * count as f64 / self.requests as f64
     }
 }
--- a/crates/sablehaven-quota/tests/even_demand.rs
+++ b/crates/sablehaven-quota/tests/even_demand.rs
@@ -1,4 +1,4 @@
-//! What is inside a quota is not refused: with even demand nothing, with all demand at one replica next to nothing.
+//! Demand within a quota is not refused: never if it is even, and hardly ever if all of it comes to one replica.
 
 mod support;
 
@@ -13,9 +13,9 @@
     excess_permille: 100,
     slack: 20,
 };
-/// Parts are empty at first; the first token of each comes within a window.
+/// Parts are empty at first; each of them has its first token within one window.
 const EVEN_WARM_UP: Duration = Duration::from_secs(6);
-/// Parts lend their last token after the time for two.
+/// A part lends its last token only after the time in which it refills two tokens.
 const SINGLE_REPLICA_WARM_UP: Duration = Duration::from_secs(12);
 
 fn run(
@@ -47,25 +47,25 @@
     #![proptest_config(Config::with_cases(60))]
 
     #[test]
-    fn even_demand_inside_the_quota_is_never_refused(
+    fn even_demand_within_the_quota_is_never_refused(
         per_second in prop_oneof![0.5..5.0f64, 5.0..1_000.0f64],
         replicas in 3..=9usize,
         seed: u64,
     ) {
         let quota = RequestQuota { per_second, burst: 0.0 };
         let served = run(quota, replicas, 0.6, false, seed);
-        prop_assert_eq!(served.refused, 0, "of {}", served.asked);
+        prop_assert_eq!(served.refused, 0, "of {}", served.requests);
     }
 
     #[test]
-    fn nine_tenths_of_a_quota_are_served_at_one_replica(
+    fn one_replica_serves_nine_tenths_of_a_quota(
         per_second in prop_oneof![0.5..5.0f64, 5.0..1_000.0f64],
         replicas in 6..=9usize,
         seed: u64,
     ) {
         let quota = RequestQuota { per_second, burst: per_second / 2.0 };
         let served = run(quota, replicas, 1.0, true, seed);
-        let share = 1.0 - served.refused as f64 / served.asked as f64;
+        let share = 1.0 - served.refused as f64 / served.requests as f64;
         prop_assert!(share >= 0.9, "{share}");
     }
 }
--- a/crates/sablehaven-quota/tests/fair_room.rs
+++ b/crates/sablehaven-quota/tests/fair_room.rs
@@ -1,4 +1,4 @@
-//! Who passes when servers can bear a part of the requests only.
+//! Tests which requests are admitted when servers can handle only some of them.
 
 use std::time::Duration;
 
@@ -7,13 +7,15 @@
 
 const TENANTS: usize = 75;
 const TOTAL_PER_SECOND: f64 = 120.0;
-/// What a tenant may ask for, beyond its usual.
+/// Each tenant's quota, as a multiple of its base rate.
 const QUOTA_FACTOR: f64 = 1.6;
+/// The hot tenant's demand, as a multiple of its base rate.
 const HOT_FACTOR: f64 = 9.0;
 const WARM_UP: Duration = Duration::from_secs(10);
 const SECONDS: f64 = 60.0;
 const STEP: Duration = Duration::from_millis(5);
 
+/// A seeded random number generator.
 struct Random(u64);
 
 impl Random {
@@ -27,9 +29,10 @@
     }
 }
 
+/// The outcomes of requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
-    asked: f64,
+    requests: f64,
     granted: f64,
     over_fair_share: f64,
     over_quota: f64,
@@ -37,7 +40,7 @@
 
 impl Served {
     fn count(&mut self, verdict: TokenVerdict) {
-        self.asked += 1.0;
+        self.requests += 1.0;
         match verdict {
             TokenVerdict::Granted(_) => self.granted += 1.0,
             TokenVerdict::OverFairShare => self.over_fair_share += 1.0,
@@ -46,22 +49,23 @@
         }
     }
 
+    /// Returns the fraction of requests that were refused as above the fair share.
     fn refused_fraction(&self) -> f64 {
-        self.over_fair_share / self.asked
+        self.over_fair_share / self.requests
     }
 }
 
-/// Usual rates, as 1 / k^1.2.
+/// Returns the tenants' base rates, which decrease with their rank as `1 / rank^1.2`.
 fn zipf_rates() -> Vec<f64> {
-    let sizes: Vec<_> = (1..=TENANTS).map(|rank| (rank as f64).powf(-1.2)).collect();
-    let sum: f64 = sizes.iter().sum();
-    sizes
+    let weights: Vec<_> = (1..=TENANTS).map(|rank| (rank as f64).powf(-1.2)).collect();
+    let sum: f64 = weights.iter().sum();
+    weights
         .iter()
-        .map(|size| size / sum * TOTAL_PER_SECOND)
+        .map(|weight| weight / sum * TOTAL_PER_SECOND)
         .collect()
 }
 
-/// What became of each tenant.
+/// Runs the demand and returns the outcomes per tenant.
 fn run(rates: &[f64], base_rates: &[f64], capacity_per_second: f64, seed: u64) -> Vec<Served> {
     let mut served = vec![Served::default(); rates.len()];
     for outcome in outcomes(rates, base_rates, capacity_per_second, seed) {
@@ -76,7 +80,7 @@
     verdict: TokenVerdict,
 }
 
-/// Asks at random times while a gateway adapts what it refuses to the room.
+/// Sends requests at random times while a gateway adapts the fraction it sheds to the capacity.
 fn outcomes(
     rates: &[f64],
     base_rates: &[f64],
@@ -113,7 +117,8 @@
     let end = start + WARM_UP + Duration::from_secs_f64(SECONDS);
     while now < end {
         now += STEP;
-        // What is over the room for the last second makes the gateway refuse more, and the reverse.
+        // The shed fraction grows while the rate of the last second is above the capacity, and shrinks while it is
+        // below.
         decayed_granted *= 1.0 - STEP.as_secs_f64();
         let excess = decayed_granted / capacity_per_second - 1.0;
         shed = (shed + excess * 0.2 * STEP.as_secs_f64()).clamp(0.0, 0.9);
@@ -146,16 +151,17 @@
 
 fn sum(served: &[Served]) -> Served {
     served.iter().fold(Served::default(), |sum, tenant| Served {
-        asked: sum.asked + tenant.asked,
+        requests: sum.requests + tenant.requests,
         granted: sum.granted + tenant.granted,
         over_fair_share: sum.over_fair_share + tenant.over_fair_share,
         over_quota: sum.over_quota + tenant.over_quota,
     })
 }
 
-/// Twice the usual fitted before half of the room went.
+/// Guards against a hot tenant that takes capacity from the others after half of the capacity was lost. The capacity
+/// was twice the usual demand before, and equals it now, so that one tenant's excess alone causes an overload.
 #[test]
-fn tenants_at_their_usual_lose_nothing_beside_one_above_its_share() {
+fn tenants_at_their_base_rate_are_not_refused_because_of_a_hot_tenant() {
     let base_rates = zipf_rates();
     for (hot, seed) in [(0, 1), (0, 2), (3, 3), (10, 4)] {
         let mut rates = base_rates.clone();
@@ -179,7 +185,7 @@
 }
 
 #[test]
-fn all_at_their_usual_lose_alike() {
+fn tenants_at_their_base_rates_are_refused_equally() {
     let base_rates = zipf_rates();
     let served = run(&base_rates, &base_rates, TOTAL_PER_SECOND / 2.0, 5);
     let all = sum(&served);
@@ -195,9 +201,10 @@
     }
 }
 
-/// In any five seconds; tenants with too few requests in these to tell are looked at together, by size.
+/// Checked for every five seconds. Tenants with too few requests in that time to be assessed one by one are assessed in
+/// groups of similar size.
 #[test]
-fn no_tenant_starves() {
+fn every_tenant_gets_a_quarter_of_the_mean_admitted_share() {
     let base_rates = zipf_rates();
     let mut rates = base_rates.clone();
     rates[0] *= HOT_FACTOR;
@@ -206,7 +213,7 @@
         let interval = outcome.at.as_secs() as usize / 5;
         intervals[interval][outcome.rank].count(outcome.verdict);
     }
-    let share = |tenants: &[Served]| sum(tenants).granted / sum(tenants).asked;
+    let share = |tenants: &[Served]| sum(tenants).granted / sum(tenants).requests;
     for interval in &intervals[..intervals.len() - 1] {
         let mean_share = share(&interval[1..]);
         for group in [1..2, 2..3, 3..5, 5..9, 9..20, 20..40, 40..75] {
@@ -219,9 +226,9 @@
     }
 }
 
-/// Two gateways ask the same replica, one that is not pressed and one that refuses three in five.
+/// Two gateways ask the same replica: one that sheds nothing, and one that sheds three in five requests.
 #[test]
-fn a_gateway_with_room_refuses_none_beside_one_without() {
+fn a_gateway_that_sheds_nothing_is_not_affected_by_one_that_does() {
     let names: Vec<_> = (0..10)
         .map(|rank| TenantName(format!("tenant-{rank}")))
         .collect();
@@ -237,9 +244,9 @@
     part.set_part_count(Duration::ZERO, Some(1));
     part.set_tenants(Duration::ZERO, names.iter().map(|name| (name, Some(quota))));
     let mut random = Random(9);
-    let mut refused_fraction = [0.0; 2];
-    let asked = 10_000;
-    for index in 0..2 * asked {
+    let mut refused = [0.0; 2];
+    let requests = 10_000;
+    for index in 0..2 * requests {
         let request = TokenRequest {
             number: 0,
             tenant: names[index / 2 % names.len()].clone(),
@@ -250,9 +257,9 @@
         };
         let now = Duration::from_secs(60) + Duration::from_millis(2 * index as u64);
         let verdict = part.take(now, &request, random.uniform());
-        refused_fraction[index % 2] += f64::from(u8::from(verdict == TokenVerdict::OverFairShare));
+        refused[index % 2] += f64::from(u8::from(verdict == TokenVerdict::OverFairShare));
     }
-    let refused_fraction = refused_fraction.map(|refused_fraction| refused_fraction / asked as f64);
+    let refused_fraction = refused.map(|count| count / requests as f64);
     assert_eq!(refused_fraction[0], 0.0);
     assert!(
         (0.4..0.7).contains(&refused_fraction[1]),
@@ -261,7 +268,7 @@
 }
 
 #[test]
-fn no_token_is_taken_for_what_is_refused() {
+fn a_refused_request_takes_no_token() {
     let tenant = TenantName::from("tenant");
     let quota = RequestQuota {
         per_second: 10.0,
--- a/crates/sablehaven-quota/tests/held_requests.rs
+++ b/crates/sablehaven-quota/tests/held_requests.rs
@@ -1,4 +1,4 @@
-//! A request that finds no token is held while another replica may lend one, and no longer.
+//! A request that finds no token is held only while another replica may lend one.
 
 use std::time::Duration;
 
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn a_request_that_is_held_passes_with_a_loan() {
+fn a_held_request_is_granted_a_lent_token() {
     let mut borrower = exhausted_part();
     let mut lender = new_part();
     let loan_request = borrower
         .loan_requests(START + ms(1))
         .pop()
-        .expect("a request for a loan");
+        .expect("a loan request");
     let loan = lender.lend(START + ms(15), &loan_request).expect("a part");
     borrower.receive_loan(START + ms(30), &loan);
     let verdict = borrower.take_or_hold(START + ms(30), &request(), 0.5, ms(30));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn none_is_held_for_long() {
+fn a_request_is_refused_after_the_maximum_hold() {
     let mut borrower = exhausted_part();
     let verdict = borrower.take_or_hold(START + MAX_HOLD, &request(), 0.5, MAX_HOLD);
     assert!(
@@ -84,18 +84,18 @@
 }
 
 #[test]
-fn none_is_held_when_the_others_have_nothing() {
+fn a_request_is_not_held_when_other_parts_have_no_tokens() {
     let mut borrower = exhausted_part();
     let mut now = START;
     for _ in 0..100 {
         now += ms(5);
         for loan_request in borrower.loan_requests(now) {
-            let nothing = TokenLoan {
+            let empty_loan = TokenLoan {
                 number: loan_request.number,
                 tenant: tenant(),
                 tokens: 0,
             };
-            borrower.receive_loan(now, &nothing);
+            borrower.receive_loan(now, &empty_loan);
         }
         let _ = borrower.take(now, &request(), 0.5);
     }
@@ -111,12 +111,12 @@
 }
 
 #[test]
-fn a_loan_that_comes_late_or_twice_is_dropped() {
+fn a_late_or_duplicate_loan_is_dropped() {
     let mut borrower = exhausted_part();
     let loan_request = borrower
         .loan_requests(START + ms(1))
         .pop()
-        .expect("a request for a loan");
+        .expect("a loan request");
     let loan = TokenLoan {
         number: loan_request.number,
         tenant: tenant(),
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_request_waits_no_longer_than_its_gateway_lets_it() {
+fn a_request_is_held_no_longer_than_its_gateway_allows() {
     let mut part = exhausted_part();
     let impatient = TokenRequest {
         patience_ms: 12,
@@ -169,12 +169,12 @@
     assert!(matches!(take(12), Some(TokenVerdict::OverQuota { .. })));
 }
 
-/// Seven times what the part refills is asked for, half of it by callers that were refused before.
+/// The demand is about seven times the part's refill rate, and half of it comes from callers that were refused before.
 #[test]
-fn while_too_much_is_asked_for_tokens_go_to_first_requests() {
+fn under_excess_demand_tokens_go_to_first_requests() {
     let mut part = part_with_rate(45.0);
     while let TokenVerdict::Granted(_) = part.take(START, &request(), 0.5) {}
-    let (mut new, mut resent) = (0, 0);
+    let (mut first_granted, mut resent_granted) = (0, 0);
     for step in 0..2_000_u64 {
         let now = START + ms(step * 20);
         let is_resend = step % 2 == 1;
@@ -184,15 +184,19 @@
             ..request()
         };
         if part.take(now, &request, 0.5) == TokenVerdict::Granted(1) {
-            *(if is_resend { &mut resent } else { &mut new }) += 1;
+            *(if is_resend {
+                &mut resent_granted
+            } else {
+                &mut first_granted
+            }) += 1;
         }
     }
-    assert!(new > 100, "{new}");
-    assert_eq!(resent, 0, "beside {new} new ones");
+    assert!(first_granted > 100, "{first_granted}");
+    assert_eq!(resent_granted, 0, "beside {first_granted} first requests");
 }
 
 #[test]
-fn where_there_is_room_a_caller_that_was_refused_passes() {
+fn a_resent_request_is_granted_a_spare_token() {
     let mut part = new_part();
     let request = TokenRequest {
         is_resend: true,
--- a/crates/sablehaven-quota/tests/refusal_wait.rs
+++ b/crates/sablehaven-quota/tests/refusal_wait.rs
@@ -1,4 +1,4 @@
-//! Who is refused for want of tokens is told when one will be there for it.
+//! A refused caller is told when a token will be available for it.
 
 use std::time::Duration;
 
@@ -13,13 +13,14 @@
 const START: Duration = Duration::from_secs(60);
 const MAX_WAIT_MS: u32 = 30_000;
 
+/// A caller of a single replica.
 struct Caller {
     part: QuotaPart,
     tenant: TenantName,
 }
 
 impl Caller {
-    /// A replica whose part of the tenant is used up at the start.
+    /// Creates a caller of a replica whose part of the tenant's quota is empty at [`START`].
     fn with_empty_part(per_second: f64) -> Self {
         let tenant = TenantName::from("tenant");
         let quota = RequestQuota {
@@ -48,10 +49,11 @@
         self.part.take(now, &request, 0.5)
     }
 
-    fn refused_wait_ms(&mut self, now: Duration) -> u32 {
+    /// Sends a request that has to be refused, and returns the wait that it is told.
+    fn expect_refusal(&mut self, now: Duration) -> u32 {
         match self.ask(now) {
             TokenVerdict::OverQuota { retry_after_ms } => retry_after_ms,
-            verdict => panic!("{verdict:?} of an empty part"),
+            verdict => panic!("an empty part answered {verdict:?}"),
         }
     }
 }
@@ -61,24 +63,24 @@
 }
 
 #[test]
-fn each_who_is_refused_finds_a_token_at_the_time_told() {
+fn each_refused_caller_finds_a_token_at_the_time_it_was_told() {
     for per_second in [0.5, 7.3, 200.0] {
         let mut caller = Caller::with_empty_part(per_second);
-        let waits_ms: Vec<_> = (0..5).map(|_| caller.refused_wait_ms(START)).collect();
+        let waits_ms: Vec<_> = (0..5).map(|_| caller.expect_refusal(START)).collect();
         for wait_ms in waits_ms {
             assert_eq!(
                 caller.ask(time_after(wait_ms)),
                 TokenVerdict::Granted(1),
-                "{wait_ms} at {per_second}"
+                "no token after {wait_ms} ms at {per_second} tokens per second"
             );
         }
     }
 }
 
 #[test]
-fn those_refused_before_stand_before() {
+fn callers_refused_earlier_wait_less() {
     let mut caller = Caller::with_empty_part(7.3);
-    let waits_ms: Vec<_> = (0..5).map(|_| caller.refused_wait_ms(START)).collect();
+    let waits_ms: Vec<_> = (0..5).map(|_| caller.expect_refusal(START)).collect();
     assert!(
         waits_ms.is_sorted_by(|earlier, later| earlier < later),
         "{waits_ms:?}"
@@ -86,21 +88,21 @@
 }
 
 #[test]
-fn those_whose_time_has_come_stand_before_nobody() {
+fn callers_whose_wait_has_ended_do_not_delay_others() {
     let mut caller = Caller::with_empty_part(7.3);
     let last_wait_ms = (0..5)
-        .map(|_| caller.refused_wait_ms(START))
+        .map(|_| caller.expect_refusal(START))
         .last()
-        .expect("five");
+        .expect("five refusals");
     let later = time_after(last_wait_ms);
     while caller.ask(later) == TokenVerdict::Granted(1) {}
     let token_interval_ms = 1_000.0 * 4.0 / 7.3;
-    assert!(f64::from(caller.refused_wait_ms(later)) <= 2.0 * token_interval_ms);
+    assert!(f64::from(caller.expect_refusal(later)) <= 2.0 * token_interval_ms);
 }
 
 #[test]
-fn a_wait_stays_of_use() {
+fn the_wait_has_an_upper_limit() {
     let mut caller = Caller::with_empty_part(0.5);
-    let max_wait_ms = (0..10_000).map(|_| caller.refused_wait_ms(START)).max();
+    let max_wait_ms = (0..10_000).map(|_| caller.expect_refusal(START)).max();
     assert_eq!(max_wait_ms, Some(MAX_WAIT_MS));
 }
--- a/crates/sablehaven-quota/tests/support/faults.rs
+++ b/crates/sablehaven-quota/tests/support/faults.rs
@@ -1,4 +1,4 @@
-//! What befalls replicas and gateways.
+//! Faults and changes that a test plan applies to replicas and gateways.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     world::{DisabledSafeguard, Gateway, Message, Replica, World},
 };
 
-/// Time until all replicas have applied a change.
+/// The time within which all replicas apply a change.
 const MAX_APPLY_DELAY_MS: u64 = 400;
 
 impl World {
@@ -47,6 +47,7 @@
         }
     }
 
+    /// Sets a new quota, which each replica applies after a random delay.
     fn set_quota(&mut self, quota: RequestQuota) {
         self.quota = quota;
         for replica in &mut self.replicas {
@@ -55,6 +56,7 @@
         }
     }
 
+    /// Applies quotas that are due at replicas, and the replies received by gateways that are no longer suspended.
     pub fn apply_due_updates(&mut self) {
         for index in 0..self.replicas.len() {
             let Some((at, quota)) = self.replicas[index].next_quota else {
@@ -83,6 +85,7 @@
         }
     }
 
+    /// Records the interval for which a replica's current quota was in force.
     pub fn close_quota_interval(&mut self, index: usize) {
         let replica = &mut self.replicas[index];
         self.quotas.push(QuotaInterval {
@@ -102,7 +105,8 @@
         self.replicas[index] = self.new_replica(created_at);
     }
 
-    /// The replica goes on for a while without knowing that another one has its place. The one that went on before ends.
+    /// Replaces a replica, while the old one keeps running for a while without knowing it. The old replica of an
+    /// earlier replacement is stopped.
     fn replace(&mut self, index: usize) {
         if let Some(stale) = self.replicas.iter().position(|replica| replica.is_stale) {
             self.close_quota_interval(stale);
@@ -120,6 +124,7 @@
         self.replicas.push(stale);
     }
 
+    /// Creates a replica whose part refills from `created_at` on.
     pub fn new_replica(&mut self, created_at: Duration) -> Replica {
         let mut part = QuotaPart::new(self.tolerance);
         part.set_part_count(created_at, Some(self.parts));
--- a/crates/sablehaven-quota/tests/support/mod.rs
+++ b/crates/sablehaven-quota/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas, gateways and messages as fakes, all in one thread with a made-up time.
+//! A single-threaded simulation of replicas, gateways and the messages between them, with simulated time.
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 pub mod faults;
--- a/crates/sablehaven-quota/tests/support/random.rs
+++ b/crates/sablehaven-quota/tests/support/random.rs
@@ -1,16 +1,20 @@
-//! Draws that a seed determines.
+//! A seeded random number generator (SplitMix64).
 
+/// A generator with its seed as the initial state.
 pub struct Random(pub u64);
 
 impl Random {
+    /// Returns a uniformly distributed number in `[0, 1)`.
     pub fn uniform(&mut self) -> f64 {
         (self.bits() >> 11) as f64 / (1u64 << 53) as f64
     }
 
+    /// Returns a uniformly distributed integer below `end`.
     pub fn below(&mut self, end: u64) -> u64 {
         (self.uniform() * end as f64) as u64
     }
 
+    /// Returns true with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.uniform() < probability
     }
--- a/crates/sablehaven-quota/tests/support/steady.rs
+++ b/crates/sablehaven-quota/tests/support/steady.rs
@@ -1,4 +1,4 @@
-//! Steady demand of one tenant, every request for one token, and loans that always come.
+//! Steady demand of one tenant, in which every request takes one token and no loan is lost.
 
 use std::time::Duration;
 
@@ -11,30 +11,35 @@
 
 const STEP: Duration = Duration::from_millis(1);
 
+/// The parameters of a run.
 pub struct SteadyDemand {
     pub tolerance: QuotaTolerance,
     pub quota: RequestQuota,
     pub replicas: usize,
-    /// Part of the quota that is asked for.
+    /// The demand as a fraction of the quota.
     pub load: f64,
-    /// All of it at one replica, or evenly spread.
+    /// Whether all requests go to one replica instead of being spread evenly.
     pub at_one_replica: bool,
-    /// Between replicas.
+    /// Round trip time between replicas.
     pub round_trip: Duration,
     pub warm_up: Duration,
     pub seconds: u64,
     pub seed: u64,
 }
 
+/// The outcomes after the warm-up. Loan requests are also counted during the warm-up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SteadyServed {
-    pub asked: u64,
+    pub requests: u64,
     pub refused: u64,
     pub loan_requests: u64,
 }
 
+/// Messages between replicas, addressed by index.
 enum Message {
+    /// The sender, the receiver and the request.
     RequestLoan(usize, usize, LoanRequest),
+    /// The receiver and the loan.
     Loan(usize, TokenLoan),
 }
 
@@ -64,7 +69,7 @@
                 };
                 let is_refused = Self::is_refused(&mut parts[index], now, &tenant, &mut random);
                 if now >= start + self.warm_up {
-                    served.asked += 1;
+                    served.requests += 1;
                     served.refused += u64::from(is_refused);
                 }
             }
@@ -86,8 +91,8 @@
                     served.loan_requests += 1;
                     let offset = 1 + request.number as usize % (self.replicas - 1);
                     let to = (from + offset) % self.replicas;
-                    let ask = Message::RequestLoan(from, to, request);
-                    messages.push((now + self.round_trip / 2, ask));
+                    let message = Message::RequestLoan(from, to, request);
+                    messages.push((now + self.round_trip / 2, message));
                 }
             }
         }
--- a/crates/sablehaven-quota/tests/support/windows.rs
+++ b/crates/sablehaven-quota/tests/support/windows.rs
@@ -1,4 +1,4 @@
-//! The check: no window holds more than its bound.
+//! Checks that no window contains more requests than its bound allows.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     pub arrived: Duration,
 }
 
-/// A quota was in force at some replica for a time.
+/// The time for which a quota was in force at some replica.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaInterval {
     pub quota: RequestQuota,
@@ -19,6 +19,7 @@
     pub until: Duration,
 }
 
+/// The number of requests in a window and their bound.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorstWindow {
     pub requests: usize,
@@ -26,12 +27,14 @@
 }
 
 impl WorstWindow {
+    /// Returns by how many requests the window exceeds its bound.
     pub fn excess(&self) -> f64 {
         self.requests as f64 - self.bound
     }
 }
 
-/// The window that is furthest over its bound. A former quota counts in windows that begin up to one window after its end.
+/// Returns the window that exceeds its bound by the most. A previous quota still counts for windows that begin up to
+/// one window length after it ended.
 pub fn worst_window(
     tolerance: &QuotaTolerance,
     served: &[Served],
@@ -41,11 +44,11 @@
         bound: f64::INFINITY,
         ..WorstWindow::default()
     };
-    let mut by_sending = served.to_vec();
-    by_sending.sort_by_key(|served| served.sent);
-    for (index, first) in by_sending.iter().enumerate() {
+    let mut by_send_time = served.to_vec();
+    by_send_time.sort_by_key(|served| served.sent);
+    for (index, first) in by_send_time.iter().enumerate() {
         let end = first.sent + tolerance.window();
-        let candidates = by_sending[index..].iter();
+        let candidates = by_send_time[index..].iter();
         let candidates = candidates.take_while(|served| served.sent <= end);
         let requests = candidates.filter(|served| served.arrived <= end).count();
         let window = WorstWindow {
@@ -59,13 +62,14 @@
     worst
 }
 
+/// Returns the highest bound of the quotas that count for the window that begins at `start`.
 fn bound_at(tolerance: &QuotaTolerance, start: Duration, quotas: &[QuotaInterval]) -> f64 {
     let window = tolerance.window();
-    let counts =
+    let is_relevant =
         |quota: &&QuotaInterval| quota.from <= start + window && quota.until + window >= start;
     let bounds = quotas
         .iter()
-        .filter(counts)
+        .filter(is_relevant)
         .map(|in_force| tolerance.bound(in_force.quota));
     bounds.fold(0.0, f64::max)
 }
--- a/crates/sablehaven-quota/tests/support/world.rs
+++ b/crates/sablehaven-quota/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Replicas, gateways and the messages between them.
+//! The simulated replicas, gateways and the messages between them.
 
 use std::time::Duration;
 
@@ -15,17 +15,23 @@
 };
 
 const STEP: Duration = Duration::from_millis(10);
-/// Time for which a message that is not late is on its way, at the most.
+/// The maximum latency of a message that is not delayed.
 const MAX_LATENCY_MS: u64 = 25;
+/// The maximum latency of a delayed message.
 const MAX_DELAYED_LATENCY_MS: u64 = 2_500;
 
-/// A protection that a broken variant goes without.
+/// A safeguard that is disabled to check that the tests detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DisabledSafeguard {
+    /// All safeguards are active.
     Nothing,
+    /// Cached tokens expire.
     TokenExpiry,
+    /// A restarted replica starts with an empty part.
     EmptyStart,
+    /// A lowered limit takes effect immediately.
     LowerLimit,
+    /// A lender gives up the tokens that it lends.
     LoanDeduction,
 }
 
@@ -33,17 +39,22 @@
     pub part: QuotaPart,
     pub quota: RequestQuota,
     pub in_force_since: Duration,
+    /// The next quota and when the replica applies it.
     pub next_quota: Option<(Duration, RequestQuota)>,
+    /// Whether the replica receives no messages.
     pub is_partitioned: bool,
+    /// Whether the replica was replaced and does not know it yet.
     pub is_stale: bool,
 }
 
 pub struct Gateway {
     pub cache: TokenCache,
     pub suspended_until: Duration,
-    /// Replies that came while it was suspended.
+    /// Replies that arrived while the gateway was suspended.
     pub inbox: Vec<(Duration, TokenVerdict)>,
+    /// Numbers of the token requests that were answered, to drop duplicate replies.
     pub answered: Vec<u64>,
+    /// Changes when the gateway is killed, so that replies to its predecessor are dropped.
     pub incarnation: u64,
 }
 
@@ -76,15 +87,19 @@
 
 pub struct World {
     pub now: Duration,
+    /// Requests that reached a server.
     pub served: Vec<Served>,
+    /// The intervals for which quotas were in force at replicas.
     pub quotas: Vec<QuotaInterval>,
     pub tolerance: QuotaTolerance,
+    /// The number of parts of the quota: one per member and a spare.
     pub parts: u32,
     pub tenant: TenantName,
     pub disabled_safeguard: DisabledSafeguard,
     pub random: Random,
     pub replicas: Vec<Replica>,
     pub gateways: Vec<Gateway>,
+    /// Messages in transit with their times of arrival.
     pub messages: Vec<(Duration, Message)>,
     pub next_number: u64,
     pub quota: RequestQuota,
@@ -118,27 +133,27 @@
         world
     }
 
-    /// Plays a phase after its event.
+    /// Applies a phase's event, then simulates the phase.
     pub fn run(&mut self, phase: &Phase) {
         self.apply_event(&phase.event);
         let end = self.now + ms(phase.length_ms);
         let target = self.random.below(1_000) as usize;
         while self.now < end {
-            self.offset(phase, target);
+            self.step(phase, target);
         }
         for replica in &mut self.replicas {
             replica.is_partitioned = false;
         }
     }
 
-    /// Ends the times of the quotas that are in force.
+    /// Ends the intervals of the quotas that are still in force.
     pub fn finish(&mut self) {
         for index in 0..self.replicas.len() {
             self.close_quota_interval(index);
         }
     }
 
-    fn offset(&mut self, phase: &Phase, target: usize) {
+    fn step(&mut self, phase: &Phase, target: usize) {
         self.now += STEP;
         self.apply_due_updates();
         self.deliver(phase);
@@ -164,12 +179,12 @@
         }
         let gateway = &mut self.gateways[index];
         let wanted = gateway.cache.tokens_to_request(cache_time, &self.tenant);
-        let hoarded = if phase.is_hoarding {
+        let hoarded_tokens = if phase.is_hoarding {
             self.random.below(12)
         } else {
             0
         };
-        let wanted = wanted.max(hoarded as u32);
+        let wanted = wanted.max(hoarded_tokens as u32);
         let replica = match phase.uses_one_replica {
             true => target % self.replicas.len(),
             false => self.random.below(self.replicas.len() as u64) as usize,
@@ -186,10 +201,10 @@
         self.send(phase, message);
     }
 
-    /// The time that the gateways' stocks are told.
+    /// Returns the time that is passed to the gateways' token caches.
     fn cache_time(&self) -> Duration {
         match self.disabled_safeguard {
-            // It stands still, as a clock does that does not count suspension.
+            // The time stands still, as a clock that does not advance during suspension would.
             DisabledSafeguard::TokenExpiry => Duration::ZERO,
             _ => self.now,
         }
@@ -211,16 +226,16 @@
     }
 
     fn send(&mut self, phase: &Phase, message: Message) {
-        if self.random.chance(phase.loss) {
+        if self.random.chance(phase.loss_probability) {
             return;
         }
-        let is_delayed = self.random.chance(phase.delayed);
-        let longest = if is_delayed {
+        let is_delayed = self.random.chance(phase.delay_probability);
+        let max_latency_ms = if is_delayed {
             MAX_DELAYED_LATENCY_MS
         } else {
             MAX_LATENCY_MS
         };
-        let arrival = self.now + ms(self.random.below(longest));
+        let arrival = self.now + ms(self.random.below(max_latency_ms));
         self.messages.push((arrival, message));
     }
 
@@ -231,7 +246,7 @@
             .partition(|(at, _)| *at <= now);
         self.messages = waiting;
         for (_, message) in due {
-            let is_duplicated = self.random.chance(phase.duplicated);
+            let is_duplicated = self.random.chance(phase.duplication_probability);
             let repeats = if is_duplicated { 2 } else { 1 };
             for _ in 0..repeats {
                 self.receive(phase, &message);
@@ -318,7 +333,7 @@
         let gateway = &mut self.gateways[index];
         gateway.cache.add(asked_at, &self.tenant, tokens - 1);
         if self.random.chance(0.1) {
-            // The request that waited reached no server.
+            // The waiting request did not reach a server.
             gateway.cache.return_token(self.now, asked_at, &self.tenant);
             return;
         }
--- a/crates/sablehaven-quota/tests/token_cache.rs
+++ b/crates/sablehaven-quota/tests/token_cache.rs
@@ -1,4 +1,4 @@
-//! What a gateway holds of tokens, asks for and forgets.
+//! Tests which tokens a gateway caches, requests and discards.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
     excess_permille: 100,
     slack: 20,
 };
-/// Longer than a token of this tolerance is good, and than half of it.
+/// Longer than the lifetime of a token with this tolerance (40 ms), and than the longest lifetime with any tolerance
+/// (500 ms).
 const AFTER_EXPIRY: Duration = Duration::from_millis(501);
 const START: Duration = Duration::from_secs(100);
 
@@ -22,7 +23,7 @@
     Duration::from_millis(millis)
 }
 
-/// Asks for a token at a steady rate; returns what is wanted at last.
+/// Requests tokens at a steady rate for three seconds; returns the number of tokens that the last request asks for.
 fn tokens_requested_at_rate(cache: &mut TokenCache, per_second: u64) -> u32 {
     let requests = (0..3 * per_second).map(|index| START + ms(index * 1_000 / per_second));
     requests
@@ -32,26 +33,26 @@
 }
 
 #[test]
-fn a_rare_tenant_is_asked_for_one_token() {
+fn one_token_is_requested_for_a_rare_tenant() {
     let mut cache = TokenCache::new(&TOLERANCE);
     assert_eq!(cache.tokens_to_request(START, &tenant()), 1);
     assert_eq!(tokens_requested_at_rate(&mut cache, 5), 1);
 }
 
 #[test]
-fn what_is_asked_ahead_follows_the_rate() {
-    // After a pause in which all that was asked for has expired.
-    let asked = |per_second: u64| {
+fn tokens_requested_ahead_follow_the_rate() {
+    // Pauses until all requested tokens have expired.
+    let requested_ahead = |per_second: u64| {
         let mut cache = TokenCache::new(&TOLERANCE);
         tokens_requested_at_rate(&mut cache, per_second);
         cache.tokens_to_request(START + ms(3_100), &tenant())
     };
-    assert!(asked(100) > 1);
-    assert!(asked(1_000) > 5 * asked(100));
+    assert!(requested_ahead(100) > 1);
+    assert!(requested_ahead(1_000) > 5 * requested_ahead(100));
 }
 
 #[test]
-fn what_is_on_its_way_is_not_asked_for_twice() {
+fn pending_tokens_are_not_requested_again() {
     let mut cache = TokenCache::new(&TOLERANCE);
     tokens_requested_at_rate(&mut cache, 1_000);
     let now = START + ms(4_000);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn what_is_held_is_spent_once() {
+fn a_cached_token_is_spent_once() {
     let mut cache = TokenCache::new(&TOLERANCE);
     cache.add(START, &tenant(), 2);
     let spent = (0..5)
@@ -72,14 +73,14 @@
 }
 
 #[test]
-fn a_token_expires_from_when_it_was_asked_for() {
+fn a_token_lifetime_starts_when_it_was_requested() {
     let mut cache = TokenCache::new(&TOLERANCE);
     cache.add(START, &tenant(), 1);
     assert!(!cache.spend(START + AFTER_EXPIRY, &tenant()));
 }
 
 #[test]
-fn without_excess_nothing_is_held() {
+fn without_tolerated_excess_no_token_is_cached() {
     let tolerance = QuotaTolerance {
         excess_permille: 0,
         ..TOLERANCE
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_token_that_is_put_back_is_spent_again_within_its_life() {
+fn a_returned_token_can_be_spent_within_its_lifetime() {
     let mut cache = TokenCache::new(&TOLERANCE);
     cache.add(START, &tenant(), 1);
     let asked_at = cache
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn tenants_that_are_not_asked_for_are_forgotten() {
+fn idle_tenants_are_removed() {
     let mut cache = TokenCache::new(&TOLERANCE);
     for index in 0..10_000 {
         cache.tokens_to_request(START, &TenantName(format!("tenant-{index}")));
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn tokens_of_many_replies_do_not_pile_up() {
+fn tokens_of_many_replies_do_not_accumulate() {
     let mut cache = TokenCache::new(&TOLERANCE);
     for index in 0..100_000u64 {
         let now = START + ms(index);
--- a/crates/sablehaven-quota/tests/window_bound.rs
+++ b/crates/sablehaven-quota/tests/window_bound.rs
@@ -1,4 +1,4 @@
-//! Whatever happens to replicas, gateways and messages, no window holds more requests than its bound.
+//! No window contains more requests than its bound, whatever faults replicas, gateways and messages suffer.
 
 mod support;
 
@@ -15,7 +15,7 @@
 
 /// Far below one request.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// Plans in which a broken variant has to show.
+/// The number of plans in which the absence of a safeguard has to be detected.
 const PLAN_COUNT: u32 = 400;
 
 fn run(plan: &Plan, disabled_safeguard: DisabledSafeguard) -> WorstWindow {
@@ -27,7 +27,7 @@
     worst_window(&plan.tolerance, &world.served, &world.quotas)
 }
 
-/// Plans of a fixed seed in which the window is over its bound.
+/// Returns the number of plans, from a fixed seed, in which a window exceeds its bound.
 fn plans_over_bound(disabled_safeguard: DisabledSafeguard) -> usize {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
@@ -42,33 +42,33 @@
     #![proptest_config(Config::with_cases(400))]
 
     #[test]
-    fn no_window_goes_over_its_bound(plan in plan()) {
+    fn no_window_exceeds_its_bound(plan in plan()) {
         let worst = run(&plan, DisabledSafeguard::Nothing);
         prop_assert!(worst.excess() <= ROUNDING_TOLERANCE, "{worst:?}");
     }
 }
 
 #[test]
-fn tokens_that_are_good_for_ever_show() {
+fn tokens_that_never_expire_are_detected() {
     assert!(plans_over_bound(DisabledSafeguard::TokenExpiry) > 0);
 }
 
 #[test]
-fn a_replica_that_starts_full_shows() {
+fn a_replica_that_starts_full_is_detected() {
     assert!(plans_over_bound(DisabledSafeguard::EmptyStart) > 0);
 }
 
 #[test]
-fn a_lower_limit_that_does_not_bind_shows() {
+fn a_lowered_limit_that_is_ignored_is_detected() {
     assert!(plans_over_bound(DisabledSafeguard::LowerLimit) > 0);
 }
 
 #[test]
-fn a_lender_that_keeps_what_it_lends_shows() {
+fn a_lender_that_keeps_lent_tokens_is_detected() {
     assert!(plans_over_bound(DisabledSafeguard::LoanDeduction) > 0);
 }
 
 #[test]
-fn the_same_plans_stay_under_their_bound_when_nothing_is_broken() {
+fn the_same_plans_stay_within_their_bound_with_all_safeguards() {
     assert_eq!(plans_over_bound(DisabledSafeguard::Nothing), 0);
 }
