--- a/crates/sablehaven-quota/src/allowance.rs
+++ b/crates/sablehaven-quota/src/allowance.rs
@@ -70,9 +70,10 @@
     ///
     /// The bound leaves room above the quota's rate, which is used in this order:
     ///
-    /// 1. The depth covers the burst, one token per part, and the minimum depths above.
-    /// 2. The rate is raised so that all parts but one refill at the rate of the whole quota, since one part is a
-    ///    spare, and so that each part has its first token within one window after its start.
+    /// 1. The depth covers the burst, one token per part, and the minimum depths given by [`MIN_DEPTH_DEMAND_TIME`] and
+    ///    [`MIN_DEPTH_FRACTION`].
+    /// 2. The rate is raised so that all parts but one, which is a spare, together refill at the rate of the whole
+    ///    quota, and so that each part has its first token within one window after its start.
     /// 3. The rest of the room increases the depth.
     pub(crate) fn new(tolerance: &QuotaTolerance, quota: RequestQuota, parts: u32) -> Self {
         let parts = f64::from(parts.max(1));
--- a/crates/sablehaven-quota/src/fair_share.rs
+++ b/crates/sablehaven-quota/src/fair_share.rs
@@ -61,6 +61,7 @@
         self.load(now, weight, mean) * (1.0 - deviation)
     }
 
+    /// Returns the decayed count of the requested tokens.
     fn decayed_count(&self, now: Duration) -> f64 {
         self.rate.per_second(now) * decay_seconds()
     }
@@ -77,17 +78,20 @@
     refreshed_at: Option<Duration>,
     mean_quota: f64,
     mean_load: f64,
-    /// Sorted by ascending load, with the sums of the demand below each step and of the weight from it on.
+    /// Sorted by ascending load.
     steps: Vec<LoadStep>,
     /// The demand of all tenants, each up to its quota, in requests per second.
     demand: f64,
 }
 
+/// One tenant's load, with the sums from which the level is computed.
 #[derive(Clone, Copy, Debug)]
 struct LoadStep {
     load: f64,
     weight: f64,
+    /// The demand of all tenants with a lower load.
     demand_below: f64,
+    /// The weight of this tenant and of all tenants with a higher load.
     weight_from: f64,
 }
 
@@ -139,6 +143,7 @@
         (self.level(shed) / load).min(1.0)
     }
 
+    /// Returns the mean load of all tenants, weighted by their weights. Demand above a quota is not counted.
     fn mean_load_of<'a>(
         &self,
         now: Duration,
@@ -170,6 +175,7 @@
         }
     }
 
+    /// Sorts the steps by load and computes their sums.
     fn compute_sums(&mut self) {
         self.steps
             .sort_unstable_by(|left, right| left.load.total_cmp(&right.load));
--- a/crates/sablehaven-quota/src/loan.rs
+++ b/crates/sablehaven-quota/src/loan.rs
@@ -1,8 +1,8 @@
 //! Decides when a part of a tenant's quota requests tokens from other parts, and how many it lends.
 //!
 //! Demand is rarely distributed as evenly as the parts. A part requests tokens ahead of time, before it is empty, and
-//! lends the tokens that its own demand does not need. It only lends tokens above the level below which it would
-//! request tokens itself, so that two parts never pass the same tokens back and forth.
+//! lends the tokens that its own demand does not need. It lends only what it holds above its low watermark, below which
+//! it would request tokens itself, so that two parts never pass the same tokens back and forth.
 
 use std::time::Duration;
 
@@ -121,7 +121,8 @@
         self.is_exhausted = is_refused;
     }
 
-    /// Returns whether the part is out of tokens or soon will be, while requests keep coming faster than it refills.
+    /// Returns whether the part is out of tokens or soon will be, while requests keep coming that need more than its
+    /// own tokens.
     pub(crate) fn is_short(&self, now: Duration, bucket: &mut TokenBucket) -> bool {
         let is_recent = now.saturating_sub(self.last_request) < IDLE_TIMEOUT;
         let needs_tokens = self.is_exhausted || self.exceeds_refill(now, bucket);
--- a/crates/sablehaven-quota/src/token_cache.rs
+++ b/crates/sablehaven-quota/src/token_cache.rs
@@ -23,6 +23,7 @@
     last_cleanup: Duration,
 }
 
+/// One tenant's cached tokens and demand.
 #[derive(Debug)]
 struct TenantTokens {
     demand: DemandRate,
@@ -34,6 +35,7 @@
     pending: VecDeque<TokenBatch>,
 }
 
+/// Tokens that were requested at the same time.
 #[derive(Clone, Copy, Debug)]
 struct TokenBatch {
     asked_at: Duration,
