--- a/crates/sablehaven-quota/src/fair_share.rs
+++ b/crates/sablehaven-quota/src/fair_share.rs
@@ -11,8 +11,8 @@
 
 use crate::demand::DemandRate;
 
-/// Half-life of a tenant's demand. A few seconds, so that a tenant keeps its standing through a pause, and a burst is
-/// noticed quickly.
+/// Half-life of a tenant's demand: a few seconds, so that the estimate outlasts a short pause, and a burst is noticed
+/// quickly.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(2);
 /// Number of requests at the mean load from which a tenant's estimate starts. Without them, a single request of a small
 /// tenant would look like a burst.
--- a/crates/sablehaven-quota/tests/support/plan.rs
+++ b/crates/sablehaven-quota/tests/support/plan.rs
@@ -115,8 +115,8 @@
     )
 }
 
-/// Phases that aim to exceed the bound: a pause in which parts fill, a burst, an event, a second burst with another
-/// event, and finally all held tokens are spent.
+/// Phases that aim to exceed the bound: a pause in which parts fill, an event with a burst of requests, another pause
+/// if gateways hoard tokens, another event with a burst, and finally all cached tokens are spent.
 fn stress_phases() -> impl Strategy<Value = Vec<Phase>> {
     let burst_phase = |event: Event, length_ms: u64, is_hoarding: bool| Phase {
         length_ms,
--- a/crates/sablehaven-quota/tests/support/world.rs
+++ b/crates/sablehaven-quota/tests/support/world.rs
@@ -20,7 +20,7 @@
 /// The maximum latency of a delayed message.
 const MAX_DELAYED_LATENCY_MS: u64 = 2_500;
 
-/// A safeguard that is disabled to check that the tests detect its absence.
+/// The safeguard that is disabled, to check that the tests detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DisabledSafeguard {
     /// All safeguards are active.
@@ -204,7 +204,7 @@
     /// Returns the time that is passed to the gateways' token caches.
     fn cache_time(&self) -> Duration {
         match self.disabled_safeguard {
-            // The time stands still, as a clock that does not advance during suspension would.
+            // The time stands still, like a clock that does not advance during suspension.
             DisabledSafeguard::TokenExpiry => Duration::ZERO,
             _ => self.now,
         }
