--- a/crates/sablehaven-gateway/src/quotas/client.rs
+++ b/crates/sablehaven-gateway/src/quotas/client.rs
@@ -71,7 +71,7 @@
 }
 
 struct ClientState {
-    stock: TokenCache,
+    cache: TokenCache,
     replicas: TokenReplicas,
     pending: BTreeMap<TokenRequestNumber, PendingRequest>,
     last_number: TokenRequestNumber,
@@ -99,7 +99,7 @@
     /// Creates a client that holds no tokens.
     pub(crate) fn new(clock: Clock, tolerance: &QuotaTolerance) -> Self {
         let state = ClientState {
-            stock: TokenCache::new(tolerance),
+            cache: TokenCache::new(tolerance),
             replicas: TokenReplicas::default(),
             pending: BTreeMap::new(),
             last_number: 0,
@@ -110,15 +110,15 @@
         }
     }
 
-    /// Spends a token from the stock. Returns `false` if there is none.
+    /// Spends a token from the cache. Returns `false` if there is none.
     pub(crate) fn spend(&self, tenant: &TenantName) -> bool {
         let now = self.clock.now();
-        self.state.borrow_mut().stock.spend(now, tenant)
+        self.state.borrow_mut().cache.spend(now, tenant)
     }
 
     /// Requests a token from one replica after the other. If all replicas have recently replied that they hold
     /// no part of the quotas, only the first is asked again. If the future is dropped, tokens that are granted
-    /// later go into the stock.
+    /// later go into the cache.
     pub(crate) async fn acquire<Requester: TokenRequester>(
         &self,
         requester: &Requester,
@@ -169,7 +169,7 @@
     }
 
     /// Handles replies of a replica. Tokens that are granted beyond those for waiting requests go into the
-    /// stock.
+    /// cache.
     pub(crate) fn handle_replies(&self, replica: SocketAddr, replies: &[TokenReply]) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
@@ -218,7 +218,7 @@
         let wanted = if has_pending || options.shed_permille > 0 {
             1
         } else {
-            state.stock.tokens_to_request(now, tenant)
+            state.cache.tokens_to_request(now, tenant)
         };
         state.last_number += 1;
         let number = state.last_number;
@@ -264,7 +264,7 @@
                 };
                 let is_received = pending.decision_sender.send(decision).is_ok();
                 let surplus = tokens.saturating_sub(u32::from(is_received));
-                self.stock.add(requested_at, &pending.tenant, surplus);
+                self.cache.add(requested_at, &pending.tenant, surplus);
             }
             verdict => {
                 if verdict == TokenVerdict::NoPart {
@@ -288,7 +288,7 @@
     TimedOut,
 }
 
-/// A request that waits for a token. When it is dropped, tokens that have arrived for it go into the stock.
+/// A request that waits for a token. When it is dropped, tokens that have arrived for it go into the cache.
 struct WaitingRequest<'a, Clock: AgeClock> {
     client: &'a TokenClient<Clock>,
     tenant: &'a TenantName,
@@ -340,7 +340,7 @@
         let mut state = self.client.state.borrow_mut();
         while let Ok(decision) = self.decisions.try_recv() {
             if let TokenVerdict::Granted(tokens) = decision.verdict {
-                state.stock.add(decision.requested_at, self.tenant, tokens);
+                state.cache.add(decision.requested_at, self.tenant, tokens);
             }
         }
     }
--- a/crates/sablehaven-quota/src/loan.rs
+++ b/crates/sablehaven-quota/src/loan.rs
@@ -63,7 +63,7 @@
 struct OpenLoanRequest {
     number: u64,
     wanted: u32,
-    asked_at: Duration,
+    requested_at: Duration,
 }
 
 /// One part's loan requests and demand for one tenant.
@@ -165,7 +165,7 @@
         self.open.push(OpenLoanRequest {
             number,
             wanted,
-            asked_at: now,
+            requested_at: now,
         });
         Some(OutgoingLoanRequest { number, wanted })
     }
@@ -241,7 +241,8 @@
     /// Drops open requests whose loans would be too late by now.
     fn drop_expired(&mut self, now: Duration, bucket: &TokenBucket) {
         let before = self.open.len();
-        let is_expired = |open: &OpenLoanRequest| now.saturating_sub(open.asked_at) > LOAN_LIFETIME;
+        let is_expired =
+            |open: &OpenLoanRequest| now.saturating_sub(open.requested_at) > LOAN_LIFETIME;
         self.open.retain(|open| !is_expired(open));
         if self.open.len() < before {
             self.back_off(now, bucket);
--- a/crates/sablehaven-quota/src/token_cache.rs
+++ b/crates/sablehaven-quota/src/token_cache.rs
@@ -38,7 +38,7 @@
 /// Tokens that were requested at the same time.
 #[derive(Clone, Copy, Debug)]
 struct TokenBatch {
-    asked_at: Duration,
+    requested_at: Duration,
     tokens: u32,
 }
 
@@ -68,9 +68,9 @@
         tenant_tokens.drop_expired(now, token_lifetime);
         let oldest = tenant_tokens.available.front_mut()?;
         oldest.tokens -= 1;
-        let asked_at = oldest.asked_at;
+        let requested_at = oldest.requested_at;
         tenant_tokens.record_request(now);
-        Some(asked_at)
+        Some(requested_at)
     }
 
     /// Returns how many tokens to request, including the one for the waiting request: as many as the tenant is expected
@@ -91,34 +91,37 @@
         let tokens = missing.max(1.0) as u32;
         if tokens > 1 {
             tenant_tokens.pending.push_back(TokenBatch {
-                asked_at: now,
+                requested_at: now,
                 tokens: tokens - 1,
             });
         }
         tokens
     }
 
-    /// Adds granted tokens beyond the one for the request that waited; `asked_at` is the time at which they were
-    /// requested.
-    pub fn add(&mut self, asked_at: Duration, tenant: &TenantName, tokens: u32) {
+    /// Adds granted tokens beyond the one for the request that waited. `requested_at` is the time that was passed to
+    /// [`TokenCache::tokens_to_request`] for them.
+    pub fn add(&mut self, requested_at: Duration, tenant: &TenantName, tokens: u32) {
         if tokens == 0 || self.token_lifetime.is_zero() {
             return;
         }
-        let tenant_tokens = self.tenant_mut(asked_at, tenant);
+        let tenant_tokens = self.tenant_mut(requested_at, tenant);
         tenant_tokens
             .pending
-            .retain(|batch| batch.asked_at != asked_at);
-        tenant_tokens.insert(TokenBatch { asked_at, tokens });
+            .retain(|batch| batch.requested_at != requested_at);
+        tenant_tokens.insert(TokenBatch {
+            requested_at,
+            tokens,
+        });
     }
 
-    /// Returns a token to the cache because its request did not reach a server; `asked_at` is the time at which the
-    /// token was requested.
-    pub fn return_token(&mut self, now: Duration, asked_at: Duration, tenant: &TenantName) {
-        if now.saturating_sub(asked_at) >= self.token_lifetime {
+    /// Puts a token back into the cache because its request did not reach a server. `requested_at` is the time that was
+    /// passed to [`TokenCache::tokens_to_request`] for the token; [`TokenCache::spend_with_request_time`] returns it.
+    pub fn return_token(&mut self, now: Duration, requested_at: Duration, tenant: &TenantName) {
+        if now.saturating_sub(requested_at) >= self.token_lifetime {
             return;
         }
         let returned = TokenBatch {
-            asked_at,
+            requested_at,
             tokens: 1,
         };
         self.tenant_mut(now, tenant).insert(returned);
@@ -161,14 +164,14 @@
     }
 
     fn insert(&mut self, batch: TokenBatch) {
-        let is_before = |other: &TokenBatch| other.asked_at <= batch.asked_at;
+        let is_before = |other: &TokenBatch| other.requested_at <= batch.requested_at;
         let position = self.available.partition_point(is_before);
         self.available.insert(position, batch);
     }
 
     fn drop_expired(&mut self, now: Duration, token_lifetime: Duration) {
         let is_valid = |batch: &TokenBatch| {
-            batch.tokens > 0 && now.saturating_sub(batch.asked_at) < token_lifetime
+            batch.tokens > 0 && now.saturating_sub(batch.requested_at) < token_lifetime
         };
         self.available.retain(is_valid);
         self.pending.retain(is_valid);
--- a/crates/sablehaven-quota/tests/support/faults.rs
+++ b/crates/sablehaven-quota/tests/support/faults.rs
@@ -78,8 +78,8 @@
         let now = self.now;
         for index in 0..self.gateways.len() {
             if self.gateways[index].suspended_until <= now {
-                for (asked_at, verdict) in std::mem::take(&mut self.gateways[index].inbox) {
-                    self.apply_reply(index, asked_at, verdict);
+                for (requested_at, verdict) in std::mem::take(&mut self.gateways[index].inbox) {
+                    self.apply_reply(index, requested_at, verdict);
                 }
             }
         }
--- a/crates/sablehaven-quota/tests/support/world.rs
+++ b/crates/sablehaven-quota/tests/support/world.rs
@@ -64,14 +64,14 @@
         incarnation: u64,
         replica: usize,
         number: u64,
-        asked_at: Duration,
+        requested_at: Duration,
         wanted: u32,
     },
     Reply {
         gateway: usize,
         incarnation: u64,
         number: u64,
-        asked_at: Duration,
+        requested_at: Duration,
         verdict: TokenVerdict,
     },
     RequestLoan {
@@ -195,7 +195,7 @@
             incarnation: self.gateways[index].incarnation,
             replica,
             number: self.next_number,
-            asked_at: now,
+            requested_at: now,
             wanted,
         };
         self.send(phase, message);
@@ -262,7 +262,7 @@
                 incarnation,
                 replica,
                 number,
-                asked_at,
+                requested_at,
                 wanted,
             } => {
                 let draw = self.random.uniform();
@@ -283,7 +283,7 @@
                     gateway: *gateway,
                     incarnation: *incarnation,
                     number: *number,
-                    asked_at: *asked_at,
+                    requested_at: *requested_at,
                     verdict,
                 };
                 self.send(phase, reply);
@@ -292,10 +292,10 @@
                 gateway,
                 incarnation,
                 number,
-                asked_at,
+                requested_at,
                 verdict,
             } => {
-                self.receive_reply((*gateway, *incarnation), *number, *asked_at, *verdict);
+                self.receive_reply((*gateway, *incarnation), *number, *requested_at, *verdict);
             }
             Message::RequestLoan { from, to, request } => self.lend(phase, *from, *to, request),
             Message::Loan { to, loan } => {
@@ -311,7 +311,7 @@
         &mut self,
         (index, incarnation): (usize, u64),
         number: u64,
-        asked_at: Duration,
+        requested_at: Duration,
         verdict: TokenVerdict,
     ) {
         let gateway = &mut self.gateways[index];
@@ -320,25 +320,27 @@
         }
         gateway.answered.push(number);
         if gateway.suspended_until > self.now {
-            gateway.inbox.push((asked_at, verdict));
+            gateway.inbox.push((requested_at, verdict));
         } else {
-            self.apply_reply(index, asked_at, verdict);
+            self.apply_reply(index, requested_at, verdict);
         }
     }
 
-    pub fn apply_reply(&mut self, index: usize, asked_at: Duration, verdict: TokenVerdict) {
+    pub fn apply_reply(&mut self, index: usize, requested_at: Duration, verdict: TokenVerdict) {
         let TokenVerdict::Granted(tokens) = verdict else {
             return;
         };
         let gateway = &mut self.gateways[index];
-        gateway.cache.add(asked_at, &self.tenant, tokens - 1);
+        gateway.cache.add(requested_at, &self.tenant, tokens - 1);
         if self.random.chance(0.1) {
             // The waiting request did not reach a server.
-            gateway.cache.return_token(self.now, asked_at, &self.tenant);
+            gateway
+                .cache
+                .return_token(self.now, requested_at, &self.tenant);
             return;
         }
         self.served.push(Served {
-            sent: asked_at,
+            sent: requested_at,
             arrived: self.now,
         });
     }
--- a/crates/sablehaven-quota/tests/token_cache.rs
+++ b/crates/sablehaven-quota/tests/token_cache.rs
@@ -96,13 +96,13 @@
 fn a_returned_token_can_be_spent_within_its_lifetime() {
     let mut cache = TokenCache::new(&TOLERANCE);
     cache.add(START, &tenant(), 1);
-    let asked_at = cache
+    let requested_at = cache
         .spend_with_request_time(START + ms(5), &tenant())
         .expect("a token");
-    assert_eq!(asked_at, START);
-    cache.return_token(START + ms(10), asked_at, &tenant());
+    assert_eq!(requested_at, START);
+    cache.return_token(START + ms(10), requested_at, &tenant());
     assert!(cache.spend(START + ms(11), &tenant()));
-    cache.return_token(START + ms(12), asked_at, &tenant());
+    cache.return_token(START + ms(12), requested_at, &tenant());
     assert!(!cache.spend(START + AFTER_EXPIRY, &tenant()));
 }
 
