--- a/crates/sablehaven-control/src/configuration/change.rs
+++ b/crates/sablehaven-control/src/configuration/change.rs
@@ -10,7 +10,7 @@
 use super::ConfigurationDifference;
 
 /// The configuration after a change, one version on, or every reason why there is none.
-pub(super) fn changed(
+pub(super) fn apply(
     current: &Configuration,
     change: &ConfigurationChange,
 ) -> Result<Configuration, Vec<String>> {
@@ -29,7 +29,7 @@
         ConfigurationChange::RemoveService { service } => remove_service(current, service)?,
     };
     next.version = current.version + 1;
-    let reasons = reused_snapshots(current, &next);
+    let reasons = reused_snapshot_ids(current, &next);
     if reasons.is_empty() {
         Ok(next)
     } else {
@@ -53,7 +53,7 @@
     snapshot: &IndexSnapshot,
 ) -> Result<Configuration, Vec<String>> {
     let mut next = current.clone();
-    known_service(&mut next, service)?.snapshot = snapshot.clone();
+    service_mut(&mut next, service)?.snapshot = snapshot.clone();
     Ok(next)
 }
 
@@ -63,7 +63,7 @@
     routing: &RoutingSettings,
 ) -> Result<Configuration, Vec<String>> {
     let mut next = current.clone();
-    known_service(&mut next, service)?.routing = routing.clone();
+    service_mut(&mut next, service)?.routing = routing.clone();
     Ok(next)
 }
 
@@ -72,12 +72,12 @@
     service: &ServiceName,
 ) -> Result<Configuration, Vec<String>> {
     let mut next = current.clone();
-    known_service(&mut next, service)?;
+    service_mut(&mut next, service)?;
     next.services.remove(service);
     Ok(next)
 }
 
-fn known_service<'a>(
+fn service_mut<'a>(
     configuration: &'a mut Configuration,
     service: &ServiceName,
 ) -> Result<&'a mut ServiceConfiguration, Vec<String>> {
@@ -86,7 +86,7 @@
 }
 
 /// A snapshot's id pins one partition map: two maps under one id would let a query mix them.
-fn reused_snapshots(current: &Configuration, next: &Configuration) -> Vec<String> {
+fn reused_snapshot_ids(current: &Configuration, next: &Configuration) -> Vec<String> {
     let mut reasons = Vec::new();
     for (service, after) in &next.services {
         let Some(before) = current.services.get(service) else {
--- a/crates/sablehaven-control/src/configuration/mod.rs
+++ b/crates/sablehaven-control/src/configuration/mod.rs
@@ -11,7 +11,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use self::outcomes::OutcomeMemory;
+use self::outcomes::OutcomeCache;
 
 /// Winning commands that the history keeps.
 pub const HISTORY_LIMIT: usize = 256;
@@ -21,7 +21,7 @@
 pub struct ConfigurationState {
     current: Configuration,
     history: VecDeque<CommandRecord>,
-    outcomes: OutcomeMemory,
+    outcomes: OutcomeCache,
 }
 
 /// What a command changed, for the updates that relays get.
@@ -45,7 +45,7 @@
     }
 
     /// The first outcome of a command, if it is still remembered.
-    pub fn remembered(&self, command: &ApplyCommand) -> Option<ApplyOutcome> {
+    pub fn recorded_outcome(&self, command: &ApplyCommand) -> Option<ApplyOutcome> {
         self.outcomes.get(&command.command_id).cloned()
     }
 
@@ -53,7 +53,7 @@
     ///
     /// Used before a command is proposed, so that an invalid one never enters the log.
     pub fn preview(&self, change: &ConfigurationChange) -> Result<Configuration, Vec<String>> {
-        change::changed(&self.current, change)
+        change::apply(&self.current, change)
     }
 
     /// Applies a committed command; the same on every replica.
@@ -66,12 +66,12 @@
             return (first.clone(), ConfigurationDifference::default());
         }
         let command_id = command.command_id.clone();
-        let (outcome, difference) = self.apply_new(command, proposed_at_ms);
-        self.outcomes.remember(command_id, outcome.clone());
+        let (outcome, difference) = self.apply_first(command, proposed_at_ms);
+        self.outcomes.insert(command_id, outcome.clone());
         (outcome, difference)
     }
 
-    fn apply_new(
+    fn apply_first(
         &mut self,
         command: ApplyCommand,
         proposed_at_ms: u64,
@@ -80,7 +80,7 @@
             let outcome = self.conflict(&command);
             return (outcome, ConfigurationDifference::default());
         }
-        match change::changed(&self.current, &command.change) {
+        match change::apply(&self.current, &command.change) {
             Ok(next) => self.accept(next, command, proposed_at_ms),
             Err(reasons) => {
                 let outcome = ApplyOutcome::Invalid { reasons };
@@ -92,7 +92,7 @@
     /// A command whose outcome is forgotten, but which the history still names as the winner, was
     /// accepted: its resend is not told that it lost against itself.
     fn conflict(&self, command: &ApplyCommand) -> ApplyOutcome {
-        let winner = self.winner_over(command.expected_version);
+        let winner = self.accepted_from_version(command.expected_version);
         match winner {
             Some(record) if record.command_id == command.command_id => ApplyOutcome::Accepted {
                 version: record.version,
@@ -104,9 +104,11 @@
         }
     }
 
-    fn winner_over(&self, expected_version: u64) -> Option<&CommandRecord> {
-        let won = expected_version.checked_add(1)?;
-        self.history.iter().find(|record| record.version == won)
+    fn accepted_from_version(&self, expected_version: u64) -> Option<&CommandRecord> {
+        let accepted_version = expected_version.checked_add(1)?;
+        self.history
+            .iter()
+            .find(|record| record.version == accepted_version)
     }
 
     fn accept(
--- a/crates/sablehaven-control/src/configuration/outcomes.rs
+++ b/crates/sablehaven-control/src/configuration/outcomes.rs
@@ -6,24 +6,24 @@
 use serde::{Deserialize, Serialize};
 
 /// Outcomes that are remembered for resends; the oldest is forgotten first.
-const OUTCOME_LIMIT: usize = 1_024;
+const MAX_OUTCOMES: usize = 1_024;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct OutcomeMemory {
+pub(super) struct OutcomeCache {
     outcomes: BTreeMap<CommandId, ApplyOutcome>,
     order: VecDeque<CommandId>,
 }
 
-impl OutcomeMemory {
+impl OutcomeCache {
     pub(super) fn get(&self, command: &CommandId) -> Option<&ApplyOutcome> {
         self.outcomes.get(command)
     }
 
     /// Remembers the outcome of a command that is not remembered yet.
-    pub(super) fn remember(&mut self, command: CommandId, outcome: ApplyOutcome) {
+    pub(super) fn insert(&mut self, command: CommandId, outcome: ApplyOutcome) {
         self.outcomes.insert(command.clone(), outcome);
         self.order.push_back(command);
-        while self.order.len() > OUTCOME_LIMIT {
+        while self.order.len() > MAX_OUTCOMES {
             if let Some(oldest) = self.order.pop_front() {
                 self.outcomes.remove(&oldest);
             }
--- a/crates/sablehaven-control/src/driver/group.rs
+++ b/crates/sablehaven-control/src/driver/group.rs
@@ -10,7 +10,7 @@
 
 use super::{
     input::{LedgerReplies, ProposeError, SharedResponder},
-    machine::Machine,
+    machine::StateMachine,
     pending::{LedgerCall, PendingProposals, Responder, refuse_calls},
     status::GroupState,
 };
@@ -23,17 +23,17 @@
 };
 
 /// Ledger calls that one group may have open; more are refused at once.
-const OPEN_CALL_LIMIT: usize = 16_384;
+const MAX_OPEN_LEDGER_CALLS: usize = 16_384;
 
 /// Longest command that begins a change of the members, in bytes: it names a few replicas and addresses. Longer ones are
 /// not decoded a second time to look.
-const LONGEST_CHANGE_BYTES: usize = 1_024;
+const MAX_CHANGE_COMMAND_BYTES: usize = 1_024;
 
 /// One consensus group of this replica.
 pub(crate) struct Group {
     pub(crate) number: u32,
     pub(crate) replica: Replica,
-    pub(crate) machine: Machine,
+    pub(crate) machine: StateMachine,
     /// The last entry that the state machine has applied.
     pub(crate) applied: u64,
     /// The members at that entry.
@@ -46,7 +46,7 @@
     pub(crate) is_leader: bool,
     pub(crate) last_transfer: Option<Instant>,
     /// The last entry of the log that may begin a change of the members.
-    last_change: u64,
+    last_change_index: u64,
 }
 
 /// When the next snapshot of a group is due.
@@ -55,11 +55,11 @@
     /// The last entry in the latest snapshot.
     pub(crate) index: u64,
     /// Command bytes applied since.
-    pub(crate) bytes: u64,
+    pub(crate) command_bytes: u64,
     /// Whether one is being written.
     pub(crate) is_running: bool,
     /// Whether the storage asks for one, to free old segments.
-    pub(crate) is_wanted: bool,
+    pub(crate) is_requested: bool,
     /// When one could last not be written.
     pub(crate) failed_at: Option<Instant>,
 }
@@ -69,7 +69,7 @@
     pub(crate) fn new(
         number: u32,
         replica: Replica,
-        mut machine: Machine,
+        mut machine: StateMachine,
         stored: &RestoredGroup,
     ) -> Result<Self, CodecError> {
         if let Some(data) = &stored.snapshot_data {
@@ -91,7 +91,7 @@
             queued_calls: Vec::new(),
             is_leader: false,
             last_transfer: None,
-            last_change: stored
+            last_change_index: stored
                 .restored
                 .entries
                 .last()
@@ -118,7 +118,7 @@
     }
 
     /// Proposes one of the driver's own commands; lost ones are proposed again by whoever leads.
-    pub(crate) fn propose_unattended(&mut self, command: &SharedCommand) {
+    pub(crate) fn propose_internal(&mut self, command: &SharedCommand) {
         let encoded = match codec::encode("encode shared command", command) {
             Ok(encoded) => encoded,
             Err(error) => {
@@ -134,7 +134,7 @@
     /// Queues a ledger call for the next batch, or refuses it at once when too many are open.
     pub(crate) fn queue_call(&mut self, call: u64, request: LedgerRequest, replies: LedgerReplies) {
         let call = LedgerCall { call, replies };
-        if self.pending.ledger_calls() + self.queued_calls.len() >= OPEN_CALL_LIMIT {
+        if self.pending.ledger_calls() + self.queued_calls.len() >= MAX_OPEN_LEDGER_CALLS {
             refuse_calls(vec![call]);
             return;
         }
@@ -162,7 +162,7 @@
     }
 
     /// Proposes the queued calls as one entry.
-    pub(crate) fn propose_calls(&mut self, limits: &LedgerLimits) {
+    pub(crate) fn propose_queued_calls(&mut self, limits: &LedgerLimits) {
         if self.queued_calls.is_empty() {
             return;
         }
@@ -203,7 +203,7 @@
         self.applied = snapshot.metadata.index;
         self.applied_membership = snapshot.metadata.membership.clone();
         self.snapshots.index = snapshot.metadata.index;
-        self.snapshots.bytes = 0;
+        self.snapshots.command_bytes = 0;
         self.pending.fail_all();
         Ok(())
     }
@@ -217,7 +217,7 @@
             EntryPayload::Empty => {}
             EntryPayload::Membership(membership) => self.applied_membership = membership,
             EntryPayload::Command(command) => {
-                self.snapshots.bytes += command.len() as u64;
+                self.snapshots.command_bytes += command.len() as u64;
                 let outcome = self.machine.apply(entry.index, &command)?;
                 self.applied = entry.index;
                 if let Some(responder) = self.pending.take(position) {
@@ -247,7 +247,7 @@
         self.replica.compacted(metadata);
         self.snapshots.index = self.snapshots.index.max(metadata.index);
         self.snapshots.is_running = false;
-        self.snapshots.is_wanted = false;
+        self.snapshots.is_requested = false;
     }
 
     /// Whether the replica holds nothing: no members, no log, no vote.
@@ -257,33 +257,33 @@
     }
 
     /// Notes which entries that come into the log may begin a change of the members.
-    pub(crate) fn note_changes(&mut self, entries: &[Entry]) {
+    pub(crate) fn track_membership_changes(&mut self, entries: &[Entry]) {
         let mut latest = entries.iter().rev();
-        if let Some(last) = latest.find(|entry| may_begin_change(entry)) {
-            self.last_change = last.index;
+        if let Some(last) = latest.find(|entry| may_begin_membership_change(entry)) {
+            self.last_change_index = last.index;
         }
     }
 
     pub(crate) fn state(&self) -> GroupState {
         GroupState {
-            has_unapplied_change: self.last_change > self.applied,
+            has_unapplied_change: self.last_change_index > self.applied,
             group: self.number,
             replica: self.replica.status(),
             applied: self.applied,
         }
     }
 
-    pub(crate) fn leads(&self) -> bool {
+    pub(crate) fn has_leader_role(&self) -> bool {
         self.replica.status().role == Role::Leader
     }
 }
 
 /// Whether an entry begins a change of the members, or cannot be read.
-fn may_begin_change(entry: &Entry) -> bool {
+fn may_begin_membership_change(entry: &Entry) -> bool {
     let EntryPayload::Command(command) = &entry.payload else {
         return false;
     };
-    if command.len() > LONGEST_CHANGE_BYTES {
+    if command.len() > MAX_CHANGE_COMMAND_BYTES {
         return false;
     }
     let begins = |command: &SharedCommand| {
--- a/crates/sablehaven-control/src/driver/input.rs
+++ b/crates/sablehaven-control/src/driver/input.rs
@@ -13,7 +13,7 @@
 };
 
 /// Inputs that may wait for the driver; askers wait when there are more.
-const INPUT_QUEUE: usize = 1_024;
+const INPUT_QUEUE_CAPACITY: usize = 1_024;
 
 /// Why a command has no outcome.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
@@ -33,7 +33,7 @@
 
 /// Why leadership was not handed over.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub enum HandOverError {
+pub enum LeadershipTransferError {
     /// transfer of leadership: there is no group {group}
     NoGroup {
         /// The group that was named.
@@ -47,9 +47,9 @@
 
 /// A proof that this replica led.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct LeaderProof {
+pub(crate) struct LeadershipProof {
     /// A moment at or before which the proof was asked for: it holds for that moment.
-    pub(crate) at: Instant,
+    pub(crate) asked_at: Instant,
     /// The revision in force.
     pub(crate) revision: u64,
     /// The version of the configuration in force.
@@ -60,7 +60,7 @@
 pub(crate) type LedgerReplies = mpsc::UnboundedSender<Vec<(u64, LedgerReply)>>;
 
 pub(crate) type SharedResponder = oneshot::Sender<Result<SharedOutcome, ProposeError>>;
-pub(crate) type ProofResponder = oneshot::Sender<Option<LeaderProof>>;
+pub(crate) type ProofResponder = oneshot::Sender<Option<LeadershipProof>>;
 
 /// What the driver is asked.
 pub(crate) enum Input {
@@ -78,13 +78,13 @@
         calls: Vec<(u64, LedgerRequest)>,
         replies: LedgerReplies,
     },
-    Proof(ProofResponder),
+    ProveLeadership(ProofResponder),
     /// A new deployment with these first voters.
     Form(BTreeSet<ReplicaId>),
     Transfer {
         group: u32,
         to: ReplicaId,
-        respond: oneshot::Sender<Result<(), HandOverError>>,
+        respond: oneshot::Sender<Result<(), LeadershipTransferError>>,
     },
     Status(oneshot::Sender<DriverStatus>),
     SnapshotPrepared {
@@ -93,7 +93,7 @@
         result: Result<PreparedSnapshot, StorageError>,
     },
     /// Hand over leadership of every group, then answer.
-    HandOverAll(oneshot::Sender<()>),
+    StepDown(oneshot::Sender<()>),
 }
 
 /// Asks the driver; cheap to clone.
@@ -103,7 +103,7 @@
 }
 
 pub(crate) fn channel() -> (DriverHandle, mpsc::Receiver<Input>) {
-    let (inputs, receiver) = mpsc::channel(INPUT_QUEUE);
+    let (inputs, receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     (DriverHandle { inputs }, receiver)
 }
 
@@ -126,22 +126,28 @@
     }
 
     /// Has a quorum confirm that this replica leads group 0; `None` when it does not.
-    pub(crate) async fn prove_leadership(&self) -> Option<LeaderProof> {
+    pub(crate) async fn prove_leadership(&self) -> Option<LeadershipProof> {
         let (respond, response) = oneshot::channel();
-        if !self.send(Input::Proof(respond)).await {
+        if !self.send(Input::ProveLeadership(respond)).await {
             return None;
         }
         response.await.ok().flatten()
     }
 
     /// Asks a group's leadership to be handed over.
-    pub(crate) async fn transfer(&self, group: u32, to: ReplicaId) -> Result<(), HandOverError> {
+    pub(crate) async fn transfer_leadership(
+        &self,
+        group: u32,
+        to: ReplicaId,
+    ) -> Result<(), LeadershipTransferError> {
         let (respond, response) = oneshot::channel();
         let input = Input::Transfer { group, to, respond };
         if !self.send(input).await {
-            return Err(HandOverError::Stopped);
+            return Err(LeadershipTransferError::Stopped);
         }
-        response.await.unwrap_or(Err(HandOverError::Stopped))
+        response
+            .await
+            .unwrap_or(Err(LeadershipTransferError::Stopped))
     }
 
     /// The state of every group; `None` when the driver has ended.
@@ -154,9 +160,9 @@
     }
 
     /// Hands over the leadership of every group, as far as others can take it.
-    pub(crate) async fn hand_over_all(&self) {
+    pub(crate) async fn step_down(&self) {
         let (respond, response) = oneshot::channel();
-        if self.send(Input::HandOverAll(respond)).await {
+        if self.send(Input::StepDown(respond)).await {
             // An ended driver leads nothing.
             let _ = response.await;
         }
--- a/crates/sablehaven-control/src/driver/machine.rs
+++ b/crates/sablehaven-control/src/driver/machine.rs
@@ -11,39 +11,43 @@
 };
 
 /// The state of group 0, written by the driver alone and read by the servers.
-pub(crate) type SharedHandle = Arc<RwLock<SharedState>>;
+pub(crate) type SharedStateHandle = Arc<RwLock<SharedState>>;
 
 /// Reads the state of group 0.
 pub(crate) fn read<Output>(
-    state: &SharedHandle,
+    state: &SharedStateHandle,
     view: impl FnOnce(&SharedState) -> Output,
 ) -> Output {
     view(&state.read().unwrap_or_else(PoisonError::into_inner))
 }
 
 /// The state machine of one group.
-pub(crate) enum Machine {
-    Shared(SharedHandle),
+pub(crate) enum StateMachine {
+    Shared(SharedStateHandle),
     Ledger(Box<LedgerState>),
 }
 
 /// What became of one command.
-pub(crate) enum Applied {
+pub(crate) enum CommandOutcome {
     Shared(SharedOutcome),
     Ledger(Vec<LedgerReply>),
 }
 
-impl Machine {
-    pub(crate) fn apply(&mut self, index: u64, command: &[u8]) -> Result<Applied, CodecError> {
+impl StateMachine {
+    pub(crate) fn apply(
+        &mut self,
+        index: u64,
+        command: &[u8],
+    ) -> Result<CommandOutcome, CodecError> {
         match self {
             Self::Shared(state) => {
                 let command: SharedCommand = codec::decode("decode shared command", command)?;
                 let mut state = state.write().unwrap_or_else(PoisonError::into_inner);
-                Ok(Applied::Shared(state.apply(index, command)))
+                Ok(CommandOutcome::Shared(state.apply(index, command)))
             }
             Self::Ledger(state) => {
                 let command: LedgerCommand = codec::decode("decode ledger command", command)?;
-                Ok(Applied::Ledger(state.apply_command(&command)))
+                Ok(CommandOutcome::Ledger(state.apply_command(&command)))
             }
         }
     }
--- a/crates/sablehaven-control/src/driver/members.rs
+++ b/crates/sablehaven-control/src/driver/members.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::oneshot;
 
-use super::{group::Group, input::HandOverError, machine::read, run::Driver};
+use super::{group::Group, input::LeadershipTransferError, machine::read, run::Driver};
 use crate::{
     replicas::{ChangePhase, ReplicaChange, ReplicasCommand, ReplicasState, Target},
     shared::SharedCommand,
@@ -18,33 +18,33 @@
 const TRANSFER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Entries by which a learner may lag in a group when the next phase starts.
-const CAUGHT_UP_LAG: u64 = 64;
+const MAX_LEARNER_LAG_ENTRIES: u64 = 64;
 
 impl Driver {
     /// The leaders' duties at a tick.
-    pub(super) fn lead_members(&mut self, now: Instant) {
+    pub(super) fn drive_membership(&mut self, now: Instant) {
         let replicas = read(&self.state, |state| state.replicas().clone());
         if self.groups[0].is_leader {
-            self.lead_deployment(&replicas);
+            self.propose_replicas_command(&replicas);
         }
-        if replicas.replicas().is_empty() || self.is_handing_over {
+        if replicas.replicas().is_empty() || self.is_stepping_down {
             return;
         }
         let target = replicas.target();
         for group in self.groups.iter_mut().filter(|group| group.is_leader) {
-            approach_target(group, &target);
+            step_towards_target(group, &target);
         }
-        self.align_leaders(now);
+        self.colocate_leaders(now);
     }
 
     /// The duties of group 0's leader: record the first members and new addresses, and move a change
     /// on when its phase is done in every group.
-    fn lead_deployment(&mut self, replicas: &ReplicasState) {
+    fn propose_replicas_command(&mut self, replicas: &ReplicasState) {
         if !self.groups[0].pending.is_empty() {
             return;
         }
         let command = if replicas.replicas().is_empty() {
-            self.first_members()
+            self.formation_command()
         } else if let Some(change) = replicas.change() {
             self.is_phase_done(change, replicas)
                 .then_some(ReplicasCommand::Advance {
@@ -52,15 +52,15 @@
                     phase: change.phase,
                 })
         } else {
-            self.moved_replica(replicas)
+            self.announce_command(replicas)
         };
         if let Some(command) = command {
-            self.groups[0].propose_unattended(&SharedCommand::Replicas(command));
+            self.groups[0].propose_internal(&SharedCommand::Replicas(command));
         }
     }
 
     /// The addresses of the first voters, once all are known.
-    fn first_members(&self) -> Option<ReplicasCommand> {
+    fn formation_command(&self) -> Option<ReplicasCommand> {
         let voters = &self.groups[0].applied_membership.voters;
         let known = voters.iter().map(|voter| {
             let addresses = self.directory.addresses(*voter)?;
@@ -72,7 +72,7 @@
             .map(ReplicasCommand::Form)
     }
 
-    fn moved_replica(&self, replicas: &ReplicasState) -> Option<ReplicasCommand> {
+    fn announce_command(&self, replicas: &ReplicasState) -> Option<ReplicasCommand> {
         replicas.replicas().iter().find_map(|(replica, known)| {
             let addresses = self.directory.addresses(*replica)?;
             (addresses != *known).then_some(ReplicasCommand::Announce {
@@ -96,15 +96,18 @@
             ChangePhase::Removing => kind.removed().is_some_and(|removed| {
                 let mut groups = self.groups.iter();
                 let now = self.age_clock.now();
-                let is_out = groups.all(|group| !group.applied_membership.contains(removed));
+                let has_left = groups.all(|group| !group.applied_membership.contains(removed));
                 let term = self.groups[0].replica.term();
-                is_out && self.removal.is_over(now, term, change, replicas)
+                has_left
+                    && self
+                        .removal
+                        .is_removal_complete(now, term, change, replicas)
             }),
         }
     }
 
     /// Brings the leadership of the ledger groups to group 0's leader, which relays talk to.
-    fn align_leaders(&mut self, now: Instant) {
+    fn colocate_leaders(&mut self, now: Instant) {
         let Some(leader) = self.groups[0].replica.status().leader else {
             return;
         };
@@ -116,84 +119,89 @@
         }
     }
 
-    pub(super) fn transfer(&mut self, group: u32, to: ReplicaId) -> Result<(), HandOverError> {
+    pub(super) fn transfer_leadership(
+        &mut self,
+        group: u32,
+        to: ReplicaId,
+    ) -> Result<(), LeadershipTransferError> {
         let Some(group) = self.groups.get_mut(group as usize) else {
-            return Err(HandOverError::NoGroup { group });
+            return Err(LeadershipTransferError::NoGroup { group });
         };
         let result = group.replica.transfer_leadership(to);
-        result.map_err(HandOverError::Refused)
+        result.map_err(LeadershipTransferError::Refused)
     }
 
     /// Hands every group over for a planned stop; done when nobody waits and every group has another
     /// leader, or nobody could take it over.
-    pub(super) fn continue_hand_over(&mut self, now: Instant) {
-        let Some(hand_over) = &self.hand_over else {
+    pub(super) fn continue_step_down(&mut self, now: Instant) {
+        let Some(pending_step_down) = &self.pending_step_down else {
             return;
         };
         // A leader would have been elected by then, so there is no quorum that could elect one.
-        let patience = 2 * self.config.election_timeout();
-        let is_late = now.duration_since(hand_over.started_at) >= patience;
+        let election_grace = 2 * self.config.election_timeout();
+        let has_grace_elapsed = now.duration_since(pending_step_down.started_at) >= election_grace;
         for group in self.groups.iter_mut().filter(|group| group.is_leader) {
-            start_hand_over(group);
+            start_transfer(group);
         }
         let id = self.id;
         let mut groups = self.groups.iter();
         let is_done = groups.all(|group| {
             let status = group.replica.status();
             let has_other_leader = status.leader.is_some_and(|leader| leader != id);
-            let is_handed_over = if group.is_leader {
-                successor(&status).is_none()
+            let is_released = if group.is_leader {
+                transfer_target(&status).is_none()
             } else {
-                has_other_leader || is_late
+                has_other_leader || has_grace_elapsed
             };
-            is_handed_over && group.pending.is_empty()
+            is_released && group.pending.is_empty()
         });
-        if is_done && let Some(hand_over) = self.hand_over.take() {
-            // An asker that has given up waiting is not told.
-            let _ = hand_over.asker.send(());
+        if is_done && let Some(pending_step_down) = self.pending_step_down.take() {
+            // A responder that has given up waiting is not told.
+            let _ = pending_step_down.responder.send(());
         }
     }
 }
 
 /// A planned stop under way.
-pub(crate) struct HandOver {
-    pub(super) asker: oneshot::Sender<()>,
+pub(crate) struct PendingStepDown {
+    pub(super) responder: oneshot::Sender<()>,
     pub(super) started_at: Instant,
 }
 
 /// Takes the next step towards the target; a refused one is tried again at the next tick.
-fn approach_target(group: &mut Group, target: &Target) {
+fn step_towards_target(group: &mut Group, target: &Target) {
     let status = group.replica.status();
-    if let Some(change) = next_step(&status, target) {
+    if let Some(change) = next_membership_change(&status, target) {
         // Refused while an earlier change is not committed or a learner has not caught up.
         let _ = group.replica.change_membership(change);
     }
 }
 
 /// Additions come before removals, so that a change of every member keeps a quorum throughout.
-fn next_step(status: &Status, target: &Target) -> Option<MembershipChange> {
+fn next_membership_change(status: &Status, target: &Target) -> Option<MembershipChange> {
     let membership = &status.membership;
     let wanted = target.voters.union(&target.learners);
-    let missing = wanted.copied().find(|each| !membership.contains(*each));
+    let missing = wanted.copied().find(|id| !membership.contains(*id));
     if let Some(missing) = missing {
         return Some(MembershipChange::AddLearner(missing));
     }
     let learners = membership.learners.iter().copied();
-    let to_promote = learners.clone().find(|each| target.voters.contains(each));
+    let to_promote = learners.clone().find(|id| target.voters.contains(id));
     if let Some(learner) = to_promote {
         return Some(MembershipChange::Promote(learner));
     }
     let members = membership.voters.iter().copied().chain(learners);
-    let is_wanted =
-        |each: &ReplicaId| target.voters.contains(each) || target.learners.contains(each);
-    let surplus = members.into_iter().find(|each| !is_wanted(each));
+    let is_wanted = |id: &ReplicaId| target.voters.contains(id) || target.learners.contains(id);
+    let surplus = members.into_iter().find(|id| !is_wanted(id));
     surplus.map(MembershipChange::Remove)
 }
 
 fn has_caught_up(status: &Status, learner: ReplicaId) -> bool {
     let peer = status.peers.get(&learner);
     peer.is_some_and(|peer| {
-        peer.active && peer.match_index > 0 && peer.match_index + CAUGHT_UP_LAG >= status.commit
+        peer.active
+            && peer.match_index > 0
+            && peer.match_index + MAX_LEARNER_LAG_ENTRIES >= status.commit
     })
 }
 
@@ -210,7 +218,7 @@
 }
 
 /// The answering voter with the longest log.
-fn successor(status: &Status) -> Option<ReplicaId> {
+fn transfer_target(status: &Status) -> Option<ReplicaId> {
     let voters = &status.membership.voters;
     let peers = status.peers.iter();
     peers
@@ -219,12 +227,12 @@
         .map(|(peer, _)| *peer)
 }
 
-fn start_hand_over(group: &mut Group) {
+fn start_transfer(group: &mut Group) {
     let status = group.replica.status();
     if status.transfer.is_some() {
         return;
     }
-    if let Some(successor) = successor(&status) {
+    if let Some(successor) = transfer_target(&status) {
         // A refused transfer is tried again at the next tick.
         let _ = group.replica.transfer_leadership(successor);
     }
--- a/crates/sablehaven-control/src/driver/mod.rs
+++ b/crates/sablehaven-control/src/driver/mod.rs
@@ -17,11 +17,11 @@
 mod stored_addresses;
 mod writes;
 
-pub(crate) use input::{DriverHandle, Input, LeaderProof, LedgerReplies, channel};
-pub use input::{HandOverError, ProposeError};
-pub(crate) use machine::{SharedHandle, read};
+pub(crate) use input::{DriverHandle, Input, LeadershipProof, LedgerReplies, channel};
+pub use input::{LeadershipTransferError, ProposeError};
+pub(crate) use machine::{SharedStateHandle, read};
 #[cfg(test)]
-pub(crate) use removal::RemovalWatch;
+pub(crate) use removal::RemovalMonitor;
 pub(crate) use run::{Driver, DriverParts};
-pub(crate) use status::{DriverStatus, GroupState, Published};
+pub(crate) use status::{DriverStatus, GroupState, PublishedState};
 pub(crate) use stored_addresses::StoredAddresses;
--- a/crates/sablehaven-control/src/driver/pending.rs
+++ b/crates/sablehaven-control/src/driver/pending.rs
@@ -10,7 +10,7 @@
 
 use super::{
     input::{LedgerReplies, ProposeError, SharedResponder},
-    machine::Applied,
+    machine::CommandOutcome,
 };
 
 /// When a caller may come back after an unanswered ledger call, in milliseconds.
@@ -39,14 +39,14 @@
 #[derive(Default)]
 pub(crate) struct PendingProposals {
     proposals: VecDeque<Proposal>,
-    calls: usize,
+    open_calls: usize,
     /// When this replica stopped leading with proposals still open.
-    lost_at: Option<Instant>,
+    leadership_lost_at: Option<Instant>,
 }
 
 impl PendingProposals {
     pub(crate) fn push(&mut self, position: Position, responder: Responder) {
-        self.calls += responder.calls();
+        self.open_calls += responder.call_count();
         let proposal = Proposal {
             position,
             responder,
@@ -56,7 +56,7 @@
 
     /// Ledger calls that wait.
     pub(crate) fn ledger_calls(&self) -> usize {
-        self.calls
+        self.open_calls
     }
 
     /// Whether nobody waits.
@@ -72,7 +72,7 @@
                 return None;
             }
             let proposal = self.proposals.pop_front()?;
-            self.calls -= proposal.responder.calls();
+            self.open_calls -= proposal.responder.call_count();
             if proposal.position == applied {
                 return Some(proposal.responder);
             }
@@ -85,19 +85,19 @@
     /// still be committed by the next leader and answered in full, as at a planned stop.
     pub(crate) fn expire(&mut self, is_leader: bool, now: Instant, grace: Duration) {
         if is_leader || self.proposals.is_empty() {
-            self.lost_at = None;
+            self.leadership_lost_at = None;
             return;
         }
-        let lost_at = *self.lost_at.get_or_insert(now);
-        if now.duration_since(lost_at) >= grace {
+        let leadership_lost_at = *self.leadership_lost_at.get_or_insert(now);
+        if now.duration_since(leadership_lost_at) >= grace {
             self.fail_all();
         }
     }
 
     /// Fails everything: what becomes of it is not known here.
     pub(crate) fn fail_all(&mut self) {
-        self.calls = 0;
-        self.lost_at = None;
+        self.open_calls = 0;
+        self.leadership_lost_at = None;
         for proposal in self.proposals.drain(..) {
             proposal.responder.fail();
         }
@@ -105,7 +105,7 @@
 }
 
 impl Responder {
-    fn calls(&self) -> usize {
+    fn call_count(&self) -> usize {
         match self {
             Self::Ledger(calls) => calls.len(),
             Self::Shared(_) | Self::None => 0,
@@ -124,12 +124,12 @@
     }
 
     /// Answers with what became of the command.
-    pub(crate) fn answer(self, applied: Applied) {
+    pub(crate) fn answer(self, applied: CommandOutcome) {
         match (self, applied) {
-            (Self::Shared(respond), Applied::Shared(outcome)) => {
+            (Self::Shared(respond), CommandOutcome::Shared(outcome)) => {
                 let _ = respond.send(Ok(outcome));
             }
-            (Self::Ledger(calls), Applied::Ledger(replies)) => answer_calls(calls, replies),
+            (Self::Ledger(calls), CommandOutcome::Ledger(replies)) => answer_calls(calls, replies),
             (responder, _) => responder.fail(),
         }
     }
@@ -149,21 +149,21 @@
     let mut answered: Option<(LedgerReplies, Vec<(u64, LedgerReply)>)> = None;
     for (call, reply) in calls.into_iter().zip(replies) {
         match &mut answered {
-            Some((sink, batch)) if sink.same_channel(&call.replies) => {
+            Some((sender, batch)) if sender.same_channel(&call.replies) => {
                 batch.push((call.call, reply));
             }
             _ => {
-                send(answered.take());
+                send_replies(answered.take());
                 answered = Some((call.replies, vec![(call.call, reply)]));
             }
         }
     }
-    send(answered);
+    send_replies(answered);
 }
 
 /// A relay that has gone gets no answer; its agents ask again through another one.
-fn send(answered: Option<(LedgerReplies, Vec<(u64, LedgerReply)>)>) {
-    if let Some((sink, batch)) = answered {
-        let _ = sink.send(batch);
+fn send_replies(answered: Option<(LedgerReplies, Vec<(u64, LedgerReply)>)>) {
+    if let Some((sender, batch)) = answered {
+        let _ = sender.send(batch);
     }
 }
--- a/crates/sablehaven-control/src/driver/publish.rs
+++ b/crates/sablehaven-control/src/driver/publish.rs
@@ -23,8 +23,9 @@
                 Some(since) if is_leader => Some(since),
                 _ => is_leader.then(Instant::now),
             };
-            let is_news = published.leader != before.leader || published.term != before.term;
-            if is_news {
+            let has_leader_changed =
+                published.leader != before.leader || published.term != before.term;
+            if has_leader_changed {
                 log_leadership(&status);
             }
             *published != before
@@ -38,13 +39,13 @@
             (state.revision(), state.routes().version(), evacuation)
         });
         self.published.send_if_modified(|published| {
-            let is_new = published.revision != revision
+            let has_changed = published.revision != revision
                 || published.routes_version != routes_version
                 || published.evacuation_revision != evacuation;
             published.revision = revision;
             published.routes_version = routes_version;
             published.evacuation_revision = evacuation;
-            is_new
+            has_changed
         });
     }
 }
--- a/crates/sablehaven-control/src/driver/reads.rs
+++ b/crates/sablehaven-control/src/driver/reads.rs
@@ -4,13 +4,13 @@
 
 use sablehaven_consensus::{ReadReady, Replica};
 
-use super::input::{LeaderProof, ProofResponder};
+use super::input::{LeadershipProof, ProofResponder};
 
 /// Askers that share a round.
-struct Round {
+struct ReadIndexRound {
     /// Taken before the round starts: the proof holds for this moment.
-    at: Instant,
-    askers: Vec<ProofResponder>,
+    asked_at: Instant,
+    responders: Vec<ProofResponder>,
 }
 
 /// Proofs that are being made.
@@ -18,14 +18,14 @@
 pub(crate) struct ProofQueue {
     queued: Vec<ProofResponder>,
     last_token: u64,
-    rounds: BTreeMap<u64, Round>,
+    unconfirmed: BTreeMap<u64, ReadIndexRound>,
     /// Confirmed rounds that wait until the state machine has applied their index.
-    confirmed: Vec<(u64, Round)>,
+    confirmed: Vec<(u64, ReadIndexRound)>,
 }
 
 impl ProofQueue {
-    pub(crate) fn queue(&mut self, asker: ProofResponder) {
-        self.queued.push(asker);
+    pub(crate) fn queue(&mut self, responder: ProofResponder) {
+        self.queued.push(responder);
     }
 
     /// Starts one round for all who have asked since the last one.
@@ -33,42 +33,47 @@
         if self.queued.is_empty() {
             return;
         }
-        let round = Round {
-            at: Instant::now(),
-            askers: std::mem::take(&mut self.queued),
+        let round = ReadIndexRound {
+            asked_at: Instant::now(),
+            responders: std::mem::take(&mut self.queued),
         };
         self.last_token += 1;
         match replica.read_index(self.last_token) {
             Ok(()) => {
-                self.rounds.insert(self.last_token, round);
+                self.unconfirmed.insert(self.last_token, round);
             }
             Err(_) => round.refuse(),
         }
     }
 
     /// Takes the answers of a ready.
-    pub(crate) fn take(&mut self, reads: &[ReadReady], refused: &[u64]) {
+    pub(crate) fn take_read_results(&mut self, reads: &[ReadReady], refused: &[u64]) {
         for read in reads {
-            if let Some(round) = self.rounds.remove(&read.token) {
+            if let Some(round) = self.unconfirmed.remove(&read.token) {
                 self.confirmed.push((read.index, round));
             }
         }
         for token in refused {
-            if let Some(round) = self.rounds.remove(token) {
+            if let Some(round) = self.unconfirmed.remove(token) {
                 round.refuse();
             }
         }
     }
 
     /// Answers the confirmed rounds whose index is applied.
-    pub(crate) fn answer(&mut self, applied: u64, revision: u64, configuration_version: u64) {
+    pub(crate) fn answer_applied(
+        &mut self,
+        applied: u64,
+        revision: u64,
+        configuration_version: u64,
+    ) {
         for (index, round) in std::mem::take(&mut self.confirmed) {
             if index > applied {
                 self.confirmed.push((index, round));
                 continue;
             }
-            let proof = LeaderProof {
-                at: round.at,
+            let proof = LeadershipProof {
+                asked_at: round.asked_at,
                 revision,
                 configuration_version,
             };
@@ -81,17 +86,17 @@
     }
 }
 
-impl Round {
-    /// An asker that has gone is not told.
-    fn answer(self, proof: LeaderProof) {
-        for asker in self.askers {
-            let _ = asker.send(Some(proof));
+impl ReadIndexRound {
+    /// A responder that has gone is not told.
+    fn answer(self, proof: LeadershipProof) {
+        for responder in self.responders {
+            let _ = responder.send(Some(proof));
         }
     }
 
     fn refuse(self) {
-        for asker in self.askers {
-            let _ = asker.send(None);
+        for responder in self.responders {
+            let _ = responder.send(None);
         }
     }
 }
--- a/crates/sablehaven-control/src/driver/removal.rs
+++ b/crates/sablehaven-control/src/driver/removal.rs
@@ -12,15 +12,15 @@
 
 /// Watches over removals: the quotas have one part to spare for a member that is out and still spends its own, so the
 /// next change waits until that one's hold on it is over.
-pub(crate) struct RemovalWatch {
+pub(crate) struct RemovalMonitor {
     grants: Arc<Mutex<PartGrants>>,
     /// Time for which a member may hold its part without a word of a leader.
     patience: Duration,
-    known_out: Option<KnownRemoval>,
+    observed_removal: Option<ObservedRemoval>,
 }
 
 /// A member that is known to be out of every group.
-struct KnownRemoval {
+struct ObservedRemoval {
     /// The term of the leader that knows.
     term: u64,
     /// The number of the change that takes the member out.
@@ -29,18 +29,18 @@
     since: Duration,
 }
 
-impl RemovalWatch {
+impl RemovalMonitor {
     pub(crate) fn new(grants: Arc<Mutex<PartGrants>>, patience: Duration) -> Self {
         Self {
             grants,
             patience,
-            known_out: None,
+            observed_removal: None,
         }
     }
 
     /// Whether the member that a change takes out, and that is out of every group, no longer has its part. Asked at each
     /// tick of the leader of this term. `now` is a steady time that counts suspension.
-    pub(crate) fn is_over(
+    pub(crate) fn is_removal_complete(
         &mut self,
         now: Duration,
         term: u64,
@@ -50,35 +50,36 @@
         let Some(removed) = change.kind.removed() else {
             return true;
         };
-        if replaces_in_place(change.kind, replicas) {
+        if is_in_place_replacement(change.kind, replicas) {
             return true;
         }
         let grants = self.grants.lock().unwrap_or_else(PoisonError::into_inner);
         if !grants.may_be_held(now, term, removed, self.patience) {
             return true;
         }
-        let known = self.known_out.take();
-        let known = known.filter(|known| known.term == term && known.change == change.number);
-        let known = known.unwrap_or(KnownRemoval {
+        let observed = self.observed_removal.take();
+        let observed =
+            observed.filter(|observed| observed.term == term && observed.change == change.number);
+        let observed = observed.unwrap_or(ObservedRemoval {
             term,
             change: change.number,
             since: now,
         });
-        let waited = now.saturating_sub(known.since);
-        self.known_out = Some(known);
+        let waited = now.saturating_sub(observed.since);
+        self.observed_removal = Some(observed);
         waited >= self.patience
     }
 }
 
 /// Whether the replica that joins answers at the address of the one that goes: that one has ended, then.
-fn replaces_in_place(kind: ChangeKind, replicas: &ReplicasState) -> bool {
-    let internal = |replica| {
+fn is_in_place_replacement(kind: ChangeKind, replicas: &ReplicasState) -> bool {
+    let internal_address = |replica| {
         let addresses = replicas.replicas().get(&replica)?;
         Some(addresses.internal)
     };
-    let joining = kind.added().and_then(internal);
-    let going = kind.removed().and_then(internal);
-    joining.is_some() && joining == going
+    let joining = kind.added().and_then(internal_address);
+    let leaving = kind.removed().and_then(internal_address);
+    joining.is_some() && joining == leaving
 }
 
 #[cfg(test)]
--- a/crates/sablehaven-control/src/driver/removal/tests.rs
+++ b/crates/sablehaven-control/src/driver/removal/tests.rs
@@ -30,18 +30,23 @@
 }
 
 /// A watch of a leader that has led for long, and what it knows of grants.
-fn watch() -> (RemovalWatch, Arc<Mutex<PartGrants>>) {
+fn watch() -> (RemovalMonitor, Arc<Mutex<PartGrants>>) {
     let grants: Arc<Mutex<PartGrants>> = Arc::default();
     grants
         .lock()
         .expect("grants")
         .record_leadership(at(0), TERM);
-    (RemovalWatch::new(Arc::clone(&grants), PATIENCE), grants)
+    (RemovalMonitor::new(Arc::clone(&grants), PATIENCE), grants)
 }
 
-fn is_over(watch: &mut RemovalWatch, now: Duration, term: u64, replicas: &ReplicasState) -> bool {
+fn is_removal_complete(
+    watch: &mut RemovalMonitor,
+    now: Duration,
+    term: u64,
+    replicas: &ReplicasState,
+) -> bool {
     let change = replicas.change().expect("a change");
-    watch.is_over(now, term, change, replicas)
+    watch.is_removal_complete(now, term, change, replicas)
 }
 
 const REMOVED: ReplicaId = ReplicaId(3);
@@ -54,7 +59,7 @@
         .lock()
         .expect("grants")
         .record_probe(at(1_000), REMOVED);
-    assert!(is_over(&mut watch, at(9_000), TERM, &replicas));
+    assert!(is_removal_complete(&mut watch, at(9_000), TERM, &replicas));
 }
 
 #[test]
@@ -65,9 +70,14 @@
         .lock()
         .expect("grants")
         .record_probe(at(9_000), REMOVED);
-    assert!(!is_over(&mut watch, at(9_100), TERM, &replicas));
-    assert!(!is_over(&mut watch, at(11_999), TERM, &replicas));
-    assert!(is_over(&mut watch, at(12_000), TERM, &replicas));
+    assert!(!is_removal_complete(&mut watch, at(9_100), TERM, &replicas));
+    assert!(!is_removal_complete(
+        &mut watch,
+        at(11_999),
+        TERM,
+        &replicas
+    ));
+    assert!(is_removal_complete(&mut watch, at(12_000), TERM, &replicas));
 }
 
 #[test]
@@ -78,10 +88,25 @@
         .lock()
         .expect("grants")
         .record_probe(at(9_000), REMOVED);
-    assert!(!is_over(&mut watch, at(9_100), TERM, &replicas));
-    assert!(!is_over(&mut watch, at(12_000), TERM + 1, &replicas));
-    assert!(!is_over(&mut watch, at(14_999), TERM + 1, &replicas));
-    assert!(is_over(&mut watch, at(15_000), TERM + 1, &replicas));
+    assert!(!is_removal_complete(&mut watch, at(9_100), TERM, &replicas));
+    assert!(!is_removal_complete(
+        &mut watch,
+        at(12_000),
+        TERM + 1,
+        &replicas
+    ));
+    assert!(!is_removal_complete(
+        &mut watch,
+        at(14_999),
+        TERM + 1,
+        &replicas
+    ));
+    assert!(is_removal_complete(
+        &mut watch,
+        at(15_000),
+        TERM + 1,
+        &replicas
+    ));
 }
 
 #[test]
@@ -97,7 +122,12 @@
         .expect("grants")
         .record_probe(at(9_000), REMOVED);
     let in_place = with_change(kind, Some(addresses(30)));
-    assert!(is_over(&mut watch, at(9_100), TERM, &in_place));
+    assert!(is_removal_complete(&mut watch, at(9_100), TERM, &in_place));
     let elsewhere = with_change(kind, Some(addresses(40)));
-    assert!(!is_over(&mut watch, at(9_100), TERM, &elsewhere));
+    assert!(!is_removal_complete(
+        &mut watch,
+        at(9_100),
+        TERM,
+        &elsewhere
+    ));
 }
--- a/crates/sablehaven-control/src/driver/restore.rs
+++ b/crates/sablehaven-control/src/driver/restore.rs
@@ -7,7 +7,7 @@
 
 use super::{
     group::Group,
-    machine::{Machine, SharedHandle},
+    machine::{SharedStateHandle, StateMachine},
 };
 use crate::{Config, StartError, ledger::LedgerState};
 
@@ -15,7 +15,7 @@
 pub(super) fn restore_groups(
     config: &Config,
     id: ReplicaId,
-    state: &SharedHandle,
+    state: &SharedStateHandle,
     mut stored: BTreeMap<u32, RestoredGroup>,
 ) -> Result<Vec<Group>, StartError> {
     check_group_count(config, &stored)?;
@@ -23,8 +23,8 @@
     for number in 0..=config.ledger_groups {
         let stored = stored.remove(&number).unwrap_or_default();
         let machine = match number {
-            0 => Machine::Shared(Arc::clone(state)),
-            _ => Machine::Ledger(Box::<LedgerState>::default()),
+            0 => StateMachine::Shared(Arc::clone(state)),
+            _ => StateMachine::Ledger(Box::<LedgerState>::default()),
         };
         let replica = Replica::new(config.consensus(), id, stored.restored.clone());
         let group = Group::new(number, replica, machine, &stored);
--- a/crates/sablehaven-control/src/driver/run.rs
+++ b/crates/sablehaven-control/src/driver/run.rs
@@ -18,14 +18,14 @@
 use super::{
     group::Group,
     input::{DriverHandle, Input},
-    machine::{SharedHandle, read},
-    members::HandOver,
+    machine::{SharedStateHandle, read},
+    members::PendingStepDown,
     pending::{LedgerCall, refuse_calls},
     reads::ProofQueue,
-    removal::RemovalWatch,
+    removal::RemovalMonitor,
     restore::restore_groups,
-    status::{DriverStatus, Published},
-    storage_thread::{StorageDone, StorageJob, StorageStep, StorageThread},
+    status::{DriverStatus, PublishedState},
+    storage_thread::{CompletedJob, StorageCompletion, StorageJob, StorageThread},
     writes::{ReadyWrite, WriteQueue},
 };
 use crate::{
@@ -37,18 +37,18 @@
 };
 
 /// Inputs that are taken in before their effects are carried out together.
-const INPUT_BATCH: usize = 512;
+const MAX_INPUT_BATCH: usize = 512;
 
 /// What the driver is made of.
 pub(crate) struct DriverParts {
     pub(crate) config: Arc<Config>,
     pub(crate) opened: Opened,
-    pub(crate) state: SharedHandle,
+    pub(crate) state: SharedStateHandle,
     pub(crate) handle: DriverHandle,
     pub(crate) inputs: mpsc::Receiver<Input>,
     pub(crate) links: Arc<Links>,
     pub(crate) directory: Directory,
-    pub(crate) published: watch::Sender<Published>,
+    pub(crate) published: watch::Sender<PublishedState>,
     pub(crate) grants: Arc<Mutex<PartGrants>>,
     pub(crate) metrics: Metrics,
 }
@@ -58,23 +58,23 @@
     pub(super) config: Arc<Config>,
     pub(super) id: ReplicaId,
     pub(super) groups: Vec<Group>,
-    pub(super) state: SharedHandle,
+    pub(super) state: SharedStateHandle,
     pub(super) handle: DriverHandle,
     pub(super) directory: Directory,
     pub(super) snapshot_writer: SnapshotWriter,
     pub(super) proofs: ProofQueue,
-    pub(super) hand_over: Option<HandOver>,
+    pub(super) pending_step_down: Option<PendingStepDown>,
     /// Set for good by a planned stop: this replica gives leadership away.
-    pub(super) is_handing_over: bool,
-    pub(super) published: watch::Sender<Published>,
-    pub(super) removal: RemovalWatch,
+    pub(super) is_stepping_down: bool,
+    pub(super) published: watch::Sender<PublishedState>,
+    pub(super) removal: RemovalMonitor,
     pub(super) age_clock: SuspensionClock,
     pub(super) metrics: Metrics,
     inputs: mpsc::Receiver<Input>,
     links: Arc<Links>,
     writes: WriteQueue,
     storage: StorageThread,
-    finished: mpsc::UnboundedReceiver<StorageDone>,
+    storage_completions: mpsc::UnboundedReceiver<StorageCompletion>,
 }
 
 /// Why the driver cannot go on.
@@ -98,9 +98,9 @@
         let id = opened.identity.replica;
         let groups = restore_groups(&config, id, &state, opened.groups)?;
         let patience = Duration::from_millis(config.repair_patience_ms);
-        let removal = RemovalWatch::new(grants, patience);
+        let removal = RemovalMonitor::new(grants, patience);
         let snapshot_writer = opened.storage.snapshot_writer();
-        let (storage, finished) = StorageThread::start(opened.storage)
+        let (storage, storage_completions) = StorageThread::start(opened.storage)
             .map_err(|source| StartError::StorageThread { source })?;
         Ok(Self {
             config,
@@ -111,8 +111,8 @@
             directory,
             snapshot_writer,
             proofs: ProofQueue::default(),
-            hand_over: None,
-            is_handing_over: false,
+            pending_step_down: None,
+            is_stepping_down: false,
             published,
             removal,
             age_clock: SuspensionClock::default(),
@@ -121,7 +121,7 @@
             links,
             writes: WriteQueue::default(),
             storage,
-            finished,
+            storage_completions,
         })
     }
 
@@ -147,31 +147,31 @@
         loop {
             tokio::select! {
                 () = stop.cancelled() => return Ok(()),
-                Some(done) = self.finished.recv() => self.take_finished(done)?,
+                Some(done) = self.storage_completions.recv() => self.handle_storage_completion(done)?,
                 _ = ticker.tick() => self.tick()?,
-                Some(input) = self.inputs.recv() => self.take_inputs(input).await?,
+                Some(input) = self.inputs.recv() => self.handle_inputs(input).await?,
             }
             self.propose_queued();
             // Before any message says so: whoever is sent here as to the leader must find one.
             self.publish_leadership();
-            self.take_readies()?;
+            self.process_readies()?;
             self.start_write();
             self.publish_revision();
         }
     }
 
-    async fn take_inputs(&mut self, first: Input) -> Result<(), Failure> {
-        self.take_input(first).await?;
-        for _ in 1..INPUT_BATCH {
+    async fn handle_inputs(&mut self, first: Input) -> Result<(), Failure> {
+        self.handle_input(first).await?;
+        for _ in 1..MAX_INPUT_BATCH {
             match self.inputs.try_recv() {
-                Ok(input) => self.take_input(input).await?,
+                Ok(input) => self.handle_input(input).await?,
                 Err(_) => break,
             }
         }
         Ok(())
     }
 
-    async fn take_input(&mut self, input: Input) -> Result<(), Failure> {
+    async fn handle_input(&mut self, input: Input) -> Result<(), Failure> {
         match input {
             Input::Peer {
                 from,
@@ -198,10 +198,10 @@
                     self.groups[group as usize].queue_call(call, request, replies.clone());
                 }
             }
-            Input::Proof(asker) => self.proofs.queue(asker),
+            Input::ProveLeadership(responder) => self.proofs.queue(responder),
             Input::Form(voters) => self.form(voters).await?,
             Input::Transfer { group, to, respond } => {
-                let result = self.transfer(group, to);
+                let result = self.transfer_leadership(group, to);
                 let _ = respond.send(result);
             }
             Input::Status(respond) => {
@@ -212,11 +212,14 @@
                 group,
                 metadata,
                 result,
-            } => self.take_prepared_snapshot(group, metadata, result),
-            Input::HandOverAll(asker) => {
-                self.is_handing_over = true;
+            } => self.handle_prepared_snapshot(group, metadata, result),
+            Input::StepDown(responder) => {
+                self.is_stepping_down = true;
                 let started_at = Instant::now();
-                self.hand_over = Some(HandOver { asker, started_at });
+                self.pending_step_down = Some(PendingStepDown {
+                    responder,
+                    started_at,
+                });
             }
         }
         Ok(())
@@ -227,35 +230,35 @@
         let grace = self.config.election_timeout();
         for group in &mut self.groups {
             group.replica.tick();
-            group.is_leader = group.leads();
+            group.is_leader = group.has_leader_role();
             group.pending.expire(group.is_leader, now, grace);
         }
         for group in self.groups.iter_mut().filter(|group| group.is_leader) {
             group.open_ledger();
         }
         self.directory.applied(self.groups[0].applied);
-        self.lead_members(now);
-        self.continue_hand_over(now);
+        self.drive_membership(now);
+        self.continue_step_down(now);
         self.start_due_snapshots()
     }
 
     fn propose_queued(&mut self) {
         let limits = self.config.ledger;
         for group in &mut self.groups[1..] {
-            group.propose_calls(&limits);
+            group.propose_queued_calls(&limits);
         }
         self.proofs.start_round(&mut self.groups[0].replica);
     }
 
-    fn take_readies(&mut self) -> Result<(), Failure> {
-        for position in 0..self.groups.len() {
+    fn process_readies(&mut self) -> Result<(), Failure> {
+        for index in 0..self.groups.len() {
             loop {
-                let ready = self.groups[position].replica.take_ready();
+                let ready = self.groups[index].replica.take_ready();
                 if ready.is_empty() && !ready.needs_snapshot {
                     break;
                 }
-                self.carry_out(position, ready)?;
-                if !self.groups[position].replica.has_committed() {
+                self.process_ready(index, ready)?;
+                if !self.groups[index].replica.has_committed() {
                     break;
                 }
             }
@@ -266,23 +269,23 @@
                 let version = state.configuration().current().version;
                 (state.revision(), version)
             });
-            self.proofs.answer(applied, revision, version);
+            self.proofs.answer_applied(applied, revision, version);
         }
         Ok(())
     }
 
     /// Carries out a ready in the order that [`Ready`] asks for.
-    fn carry_out(&mut self, position: usize, mut ready: Ready) -> Result<(), Failure> {
+    fn process_ready(&mut self, index: usize, mut ready: Ready) -> Result<(), Failure> {
         if let Some(fault) = ready.fault {
-            return Err(format!("group {position}: {fault}"));
+            return Err(format!("group {index}: {fault}"));
         }
-        let number = self.groups[position].number;
+        let number = self.groups[index].number;
         for (to, message) in std::mem::take(&mut ready.messages_before_sync) {
             self.links.send(to, number, message);
         }
-        let group = &mut self.groups[position];
+        let group = &mut self.groups[index];
         if number == 0 {
-            group.note_changes(&ready.entries);
+            group.track_membership_changes(&ready.entries);
         }
         let applied_before = group.applied;
         let applied = group.apply(&mut ready);
@@ -290,7 +293,8 @@
         self.metrics
             .entries_applied
             .inc_by(group.applied.saturating_sub(applied_before));
-        self.proofs.take(&ready.reads, &ready.refused_reads);
+        self.proofs
+            .take_read_results(&ready.reads, &ready.refused_reads);
         if ready.needs_snapshot {
             let snapshot = group.take_snapshot().map_err(|error| error.to_string())?;
             if let Some(snapshot) = snapshot {
@@ -308,8 +312,8 @@
             if messages.is_empty() {
                 return;
             }
-            if let Some(due) = self.writes.push_messages(group, messages) {
-                self.send_all(group, due);
+            if let Some(unblocked) = self.writes.push_messages(group, messages) {
+                self.send_all(group, unblocked);
             }
             return;
         }
@@ -339,16 +343,16 @@
     }
 
     /// After a failed write or sync nothing more may be acknowledged: what the disk holds is unknown.
-    fn take_finished(&mut self, done: StorageDone) -> Result<(), Failure> {
+    fn handle_storage_completion(&mut self, done: StorageCompletion) -> Result<(), Failure> {
         self.metrics.storage(&done.counters);
-        for group in done.to_compact {
+        for group in done.groups_to_compact {
             if let Some(group) = self.groups.get_mut(group as usize) {
-                group.snapshots.is_wanted = true;
+                group.snapshots.is_requested = true;
             }
         }
         match done.result {
-            Ok(StorageStep::Written) => self.written(),
-            Ok(StorageStep::Compacted { group, metadata }) => {
+            Ok(CompletedJob::Written) => self.handle_written_batch(),
+            Ok(CompletedJob::Compacted { group, metadata }) => {
                 self.groups[group as usize].compacted(&metadata);
             }
             Err(error) => return Err(format!("store: {error}")),
@@ -358,12 +362,12 @@
 
     /// The order must hold: the replica first learns that its own copy is synced, then its
     /// acknowledgements go out.
-    fn written(&mut self) {
-        let after = self.writes.finished();
-        for (group, number) in after.numbers {
+    fn handle_written_batch(&mut self) {
+        let after_sync = self.writes.complete_in_flight();
+        for (group, number) in after_sync.ready_numbers {
             self.groups[group as usize].replica.persisted(number);
         }
-        for (group, messages) in after.messages {
+        for (group, messages) in after_sync.messages {
             self.send_all(group, messages);
         }
     }
@@ -383,7 +387,7 @@
         });
         self.storage.submit(StorageJob::Write(writes.collect()));
         // The replica may take part only once its first entry is synced.
-        match self.finished.recv().await {
+        match self.storage_completions.recv().await {
             Some(done) => done.result.map_err(|error| format!("store: {error}"))?,
             None => return Err("store: the storage thread ended".to_owned()),
         };
--- a/crates/sablehaven-control/src/driver/snapshots.rs
+++ b/crates/sablehaven-control/src/driver/snapshots.rs
@@ -14,15 +14,15 @@
 
 /// Pause after a snapshot that could not be written: a full disk does not become empty at once, and
 /// each try costs the encoding of the state.
-const RETRY_PAUSE: Duration = Duration::from_secs(10);
+const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 impl Driver {
     /// Starts the snapshots that are due. The state is encoded here, and written by another thread
     /// so that the log goes on meanwhile.
     pub(super) fn start_due_snapshots(&mut self) -> Result<(), Failure> {
-        for position in 0..self.groups.len() {
-            if self.is_snapshot_due(&self.groups[position]) {
-                self.start_snapshot(position)?;
+        for index in 0..self.groups.len() {
+            if self.is_snapshot_due(&self.groups[index]) {
+                self.start_snapshot(index)?;
             }
         }
         Ok(())
@@ -32,22 +32,22 @@
         let schedule = &group.snapshots;
         let entries = group.applied.saturating_sub(schedule.index);
         let is_due = entries >= self.config.snapshot_entries
-            || schedule.bytes >= self.config.snapshot_bytes
-            || schedule.is_wanted;
+            || schedule.command_bytes >= self.config.snapshot_bytes
+            || schedule.is_requested;
         let failed_at = schedule.failed_at;
-        let has_just_failed = failed_at.is_some_and(|at| at.elapsed() < RETRY_PAUSE);
-        is_due && entries > 0 && !schedule.is_running && !has_just_failed
+        let is_retry_delayed = failed_at.is_some_and(|at| at.elapsed() < SNAPSHOT_RETRY_DELAY);
+        is_due && entries > 0 && !schedule.is_running && !is_retry_delayed
     }
 
-    fn start_snapshot(&mut self, position: usize) -> Result<(), Failure> {
-        let group = &mut self.groups[position];
+    fn start_snapshot(&mut self, index: usize) -> Result<(), Failure> {
+        let group = &mut self.groups[index];
         let snapshot = group.take_snapshot();
         let snapshot = snapshot.map_err(|error| format!("take snapshot: {error}"))?;
         let Some(snapshot) = snapshot else {
             return Ok(());
         };
         group.snapshots.is_running = true;
-        group.snapshots.bytes = 0;
+        group.snapshots.command_bytes = 0;
         let number = group.number;
         let writer = self.snapshot_writer.clone();
         let handle = self.handle.clone();
@@ -71,7 +71,7 @@
     }
 
     /// A snapshot that could not be written leaves the log as it is; the next one is tried later.
-    pub(super) fn take_prepared_snapshot(
+    pub(super) fn handle_prepared_snapshot(
         &mut self,
         group: u32,
         metadata: SnapshotMetadata,
--- a/crates/sablehaven-control/src/driver/status.rs
+++ b/crates/sablehaven-control/src/driver/status.rs
@@ -6,7 +6,7 @@
 
 /// What the servers follow; published on each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Published {
+pub(crate) struct PublishedState {
     /// The leader of group 0, where known.
     pub(crate) leader: Option<ReplicaId>,
     /// Since when this replica leads group 0, if it does.
@@ -29,7 +29,7 @@
     pub(crate) failure: Option<String>,
 }
 
-impl Published {
+impl PublishedState {
     pub(crate) fn is_leader(&self) -> bool {
         self.leading_since.is_some()
     }
--- a/crates/sablehaven-control/src/driver/storage_thread.rs
+++ b/crates/sablehaven-control/src/driver/storage_thread.rs
@@ -19,15 +19,15 @@
 }
 
 /// A finished job.
-pub(crate) struct StorageDone {
-    pub(crate) result: Result<StorageStep, StorageError>,
+pub(crate) struct StorageCompletion {
+    pub(crate) result: Result<CompletedJob, StorageError>,
     pub(crate) counters: StorageCounters,
     /// Groups whose entries keep old segments.
-    pub(crate) to_compact: Vec<u32>,
+    pub(crate) groups_to_compact: Vec<u32>,
 }
 
 /// What has been done.
-pub(crate) enum StorageStep {
+pub(crate) enum CompletedJob {
     Written,
     Compacted {
         group: u32,
@@ -45,13 +45,13 @@
     /// Starts the thread; finished jobs go to the returned receiver.
     pub(crate) fn start(
         storage: Storage,
-    ) -> std::io::Result<(Self, mpsc::UnboundedReceiver<StorageDone>)> {
+    ) -> std::io::Result<(Self, mpsc::UnboundedReceiver<StorageCompletion>)> {
         let (jobs, queue) = std_mpsc::channel();
-        let (done, finished) = mpsc::unbounded_channel();
+        let (completions, receiver) = mpsc::unbounded_channel();
         let thread = std::thread::Builder::new()
             .name("storage".to_owned())
-            .spawn(move || run(storage, &queue, &done))?;
-        Ok((Self { jobs, thread }, finished))
+            .spawn(move || run(storage, &queue, &completions))?;
+        Ok((Self { jobs, thread }, receiver))
     }
 
     /// Queues a job. After the thread has ended the job is dropped, and so is its answer.
@@ -73,31 +73,31 @@
 fn run(
     mut storage: Storage,
     queue: &std_mpsc::Receiver<StorageJob>,
-    done: &mpsc::UnboundedSender<StorageDone>,
+    completions: &mpsc::UnboundedSender<StorageCompletion>,
 ) {
     while let Ok(job) = queue.recv() {
-        let result = perform(&mut storage, job);
-        let finished = StorageDone {
+        let result = run_job(&mut storage, job);
+        let completion = StorageCompletion {
             result,
             counters: storage.counters(),
-            to_compact: storage.groups_to_compact(),
+            groups_to_compact: storage.groups_to_compact(),
         };
-        if done.send(finished).is_err() {
+        if completions.send(completion).is_err() {
             return;
         }
     }
 }
 
-fn perform(storage: &mut Storage, job: StorageJob) -> Result<StorageStep, StorageError> {
+fn run_job(storage: &mut Storage, job: StorageJob) -> Result<CompletedJob, StorageError> {
     match job {
-        StorageJob::Write(batch) => storage.write(&batch).map(|()| StorageStep::Written),
+        StorageJob::Write(batch) => storage.write(&batch).map(|()| CompletedJob::Written),
         StorageJob::Compact {
             group,
             metadata,
             prepared,
         } => {
             storage.compact_to(prepared)?;
-            Ok(StorageStep::Compacted { group, metadata })
+            Ok(CompletedJob::Compacted { group, metadata })
         }
     }
 }
--- a/crates/sablehaven-control/src/driver/stored_addresses.rs
+++ b/crates/sablehaven-control/src/driver/stored_addresses.rs
@@ -29,13 +29,13 @@
                 && let Ok(SharedCommand::Replicas(command)) =
                     codec::decode("decode stored command", command)
             {
-                stored.take(command);
+                stored.add_command(command);
             }
         }
         stored
     }
 
-    fn take(&mut self, command: ReplicasCommand) {
+    fn add_command(&mut self, command: ReplicasCommand) {
         match command {
             ReplicasCommand::Form(replicas) => {
                 let addresses = replicas.into_iter();
--- a/crates/sablehaven-control/src/driver/writes.rs
+++ b/crates/sablehaven-control/src/driver/writes.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct AfterSync {
     /// The latest ready of each group that the batch holds.
-    pub(crate) numbers: BTreeMap<u32, u64>,
+    pub(crate) ready_numbers: BTreeMap<u32, u64>,
     /// Messages that waited for the sync, by group, in order.
     pub(crate) messages: Vec<(u32, GroupMessages)>,
 }
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 struct Batch {
     writes: BTreeMap<u32, GroupWrite>,
-    after: AfterSync,
+    after_sync: AfterSync,
 }
 
 /// Batches that wait, oldest first, and the one that is being written.
@@ -48,14 +48,14 @@
     /// Queues the writes of a ready with the messages that wait for them.
     pub(crate) fn push(&mut self, group: u32, write: ReadyWrite, messages: GroupMessages) {
         let fits = self.waiting.back().is_some_and(|batch| {
-            let known = batch.writes.get(&group);
-            known.is_none_or(|known| can_merge(known, &write))
+            let queued = batch.writes.get(&group);
+            queued.is_none_or(|queued| can_merge(queued, &write))
         });
         if !fits {
             self.waiting.push_back(Batch::default());
         }
         if let Some(batch) = self.waiting.back_mut() {
-            batch.add(group, write, messages);
+            batch.add_ready(group, write, messages);
         }
     }
 
@@ -69,12 +69,12 @@
         let latest = self.waiting.iter_mut().rev();
         let mut batches = latest.filter(|batch| batch.writes.contains_key(&group));
         if let Some(batch) = batches.next() {
-            batch.after.messages.push((group, messages));
+            batch.after_sync.messages.push((group, messages));
             return None;
         }
         match &mut self.in_flight {
-            Some(after) if after.numbers.contains_key(&group) => {
-                after.messages.push((group, messages));
+            Some(after_sync) if after_sync.ready_numbers.contains_key(&group) => {
+                after_sync.messages.push((group, messages));
                 None
             }
             _ => Some(messages),
@@ -87,12 +87,12 @@
             return None;
         }
         let batch = self.waiting.pop_front()?;
-        self.in_flight = Some(batch.after);
+        self.in_flight = Some(batch.after_sync);
         Some(batch.writes.into_values().collect())
     }
 
     /// The batch that was being written is synced.
-    pub(crate) fn finished(&mut self) -> AfterSync {
+    pub(crate) fn complete_in_flight(&mut self) -> AfterSync {
         self.in_flight.take().unwrap_or_default()
     }
 
@@ -103,28 +103,28 @@
 }
 
 /// A snapshot replaces the whole log, so it stays a write of its own.
-fn can_merge(known: &GroupWrite, write: &ReadyWrite) -> bool {
-    known.snapshot.is_none() && write.snapshot.is_none()
+fn can_merge(queued: &GroupWrite, write: &ReadyWrite) -> bool {
+    queued.snapshot.is_none() && write.snapshot.is_none()
 }
 
 impl Batch {
-    fn add(&mut self, group: u32, write: ReadyWrite, messages: GroupMessages) {
-        self.after.numbers.insert(group, write.number);
+    fn add_ready(&mut self, group: u32, write: ReadyWrite, messages: GroupMessages) {
+        self.after_sync.ready_numbers.insert(group, write.number);
         if !messages.is_empty() {
-            self.after.messages.push((group, messages));
+            self.after_sync.messages.push((group, messages));
         }
-        let known = self.writes.entry(group).or_insert_with(|| GroupWrite {
+        let queued = self.writes.entry(group).or_insert_with(|| GroupWrite {
             group,
             ..GroupWrite::default()
         });
-        known.hard_state = write.hard_state.or(known.hard_state);
-        known.snapshot = write.snapshot.or(known.snapshot.take());
-        append(&mut known.entries, write.entries);
+        queued.hard_state = write.hard_state.or(queued.hard_state);
+        queued.snapshot = write.snapshot.or(queued.snapshot.take());
+        replace_tail(&mut queued.entries, write.entries);
     }
 }
 
 /// Appends entries, which replace those from the first one's index on.
-fn append(entries: &mut Vec<Entry>, new: Vec<Entry>) {
+fn replace_tail(entries: &mut Vec<Entry>, new: Vec<Entry>) {
     let Some(first) = new.first() else {
         return;
     };
--- a/crates/sablehaven-control/src/driver/writes/tests.rs
+++ b/crates/sablehaven-control/src/driver/writes/tests.rs
@@ -38,14 +38,14 @@
     queue.push(2, ready(1, vec![entry(1, 1)]), message(3));
     queue.push(1, ready(3, vec![entry(3, 1)]), message(4));
     assert!(queue.start_next().is_none(), "one at a time");
-    let after = queue.finished();
-    assert_eq!(after.messages, [(1, message(1))]);
+    let after_sync = queue.complete_in_flight();
+    assert_eq!(after_sync.messages, [(1, message(1))]);
     let second = queue.start_next().expect("a batch");
     assert_eq!(second.len(), 2);
     assert_eq!(second[0].entries, [entry(2, 1), entry(3, 1)]);
-    let after = queue.finished();
-    assert_eq!(after.numbers[&1], 3);
-    assert_eq!(after.messages.len(), 3);
+    let after_sync = queue.complete_in_flight();
+    assert_eq!(after_sync.ready_numbers[&1], 3);
+    assert_eq!(after_sync.messages.len(), 3);
     assert!(queue.is_idle());
 }
 
@@ -86,7 +86,7 @@
     let mut batches = 0;
     while let Some(batch) = queue.start_next() {
         assert_eq!(batch.len(), 1);
-        queue.finished();
+        queue.complete_in_flight();
         batches += 1;
     }
     assert_eq!(batches, 3);
@@ -100,7 +100,7 @@
     queue.start_next();
     assert_eq!(queue.push_messages(1, message(2)), None);
     assert_eq!(queue.push_messages(2, message(3)), Some(message(3)));
-    assert_eq!(queue.finished().messages, [(1, message(2))]);
+    assert_eq!(queue.complete_in_flight().messages, [(1, message(2))]);
     assert_eq!(queue.push_messages(1, message(4)), Some(message(4)));
 }
 
@@ -135,11 +135,11 @@
             }
         };
         let mut sync = |queue: &mut WriteQueue, synced: &mut [u64; 3], waits: &[(u32, u64)]| {
-            let after = queue.finished();
-            for (group, number) in &after.numbers {
+            let after_sync = queue.complete_in_flight();
+            for (group, number) in &after_sync.ready_numbers {
                 synced[*group as usize] = *number;
             }
-            for (group, messages) in after.messages {
+            for (group, messages) in after_sync.messages {
                 check(group, messages, waits, synced);
             }
             queue.start_next();
--- a/crates/sablehaven-control/src/ledger/entry.rs
+++ b/crates/sablehaven-control/src/ledger/entry.rs
@@ -6,7 +6,7 @@
 /// Released claims that one key remembers. A claim older than these, delivered again by the
 /// network, would hold the key without anyone dispatching: a loss of service for one key, never a
 /// second dispatch.
-const RELEASED_LIMIT: usize = 4;
+const MAX_RELEASED_CLAIMS: usize = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct LedgerEntry {
@@ -80,15 +80,15 @@
         match &self.status {
             EntryStatus::Held(holder) if *holder == claim => {
                 self.status = EntryStatus::Released;
-                self.remember_released(claim);
+                self.record_released(claim);
                 LedgerReply::Recorded
             }
             _ => LedgerReply::NotHeld,
         }
     }
 
-    fn remember_released(&mut self, claim: ClaimId) {
-        if self.released.len() == RELEASED_LIMIT {
+    fn record_released(&mut self, claim: ClaimId) {
+        if self.released.len() == MAX_RELEASED_CLAIMS {
             self.released.remove(0);
         }
         self.released.push(claim);
--- a/crates/sablehaven-control/src/ledger/limits.rs
+++ b/crates/sablehaven-control/src/ledger/limits.rs
@@ -45,9 +45,15 @@
 
     /// The outcome as it is recorded: a reply body over the limits is left out, and a resend then
     /// learns only that the request was dispatched.
-    pub(super) fn recordable(&self, outcome: &RecordedOutcome, room: u64) -> RecordedOutcome {
+    pub(super) fn outcome_within_limits(
+        &self,
+        outcome: &RecordedOutcome,
+        remaining_body_bytes: u64,
+    ) -> RecordedOutcome {
         match outcome {
-            RecordedOutcome::Done { body } if body.len() as u64 > self.body_bytes.min(room) => {
+            RecordedOutcome::Done { body }
+                if body.len() as u64 > self.body_bytes.min(remaining_body_bytes) =>
+            {
                 RecordedOutcome::Unknown
             }
             outcome => outcome.clone(),
--- a/crates/sablehaven-control/src/ledger/mod.rs
+++ b/crates/sablehaven-control/src/ledger/mod.rs
@@ -19,7 +19,7 @@
 
 /// How long before the opening of a ledger a key may have been issued, in milliseconds: callers'
 /// clocks differ a little, and nobody replaces a lost deployment by a new one within this time.
-const OPENING_SLACK_MS: u64 = 1_000;
+const OPENING_CLOCK_SKEW_MS: u64 = 1_000;
 
 /// The group, counted from 1, that holds a key when keys are spread over `groups` groups.
 pub fn group_of_key(key: &LedgerKey, groups: u32) -> u32 {
@@ -93,7 +93,7 @@
         limits: &LedgerLimits,
         requests: &[LedgerRequest],
     ) -> Vec<LedgerReply> {
-        self.advance(proposed_at_ms, limits);
+        self.advance_horizon(proposed_at_ms, limits);
         requests
             .iter()
             .map(|request| self.apply_one(limits, request))
@@ -104,7 +104,7 @@
     ///
     /// The horizon must move before anything is forgotten: a forgotten key above the horizon could
     /// be claimed, and so dispatched, a second time.
-    fn advance(&mut self, proposed_at_ms: u64, limits: &LedgerLimits) {
+    fn advance_horizon(&mut self, proposed_at_ms: u64, limits: &LedgerLimits) {
         self.clock_ms = self.clock_ms.max(proposed_at_ms);
         let horizon_ms = self.clock_ms.saturating_sub(limits.retention_ms);
         self.horizon_ms = self.horizon_ms.max(horizon_ms);
@@ -112,8 +112,8 @@
             if oldest.key().issued_at_ms >= self.horizon_ms {
                 break;
             }
-            let forgotten = oldest.remove();
-            self.body_bytes -= forgotten.body_bytes();
+            let removed = oldest.remove();
+            self.body_bytes -= removed.body_bytes();
         }
     }
 
@@ -150,15 +150,15 @@
         if key.issued_at_ms > limit_ms {
             return ClaimAnswer::IssuedInFuture { limit_ms };
         }
-        let ordered = OrderedKey::from(key);
-        if let Some(entry) = self.entries.get_mut(&ordered) {
+        let ordered_key = OrderedKey::from(key);
+        if let Some(entry) = self.entries.get_mut(&ordered_key) {
             return entry.claim(claim, fingerprint);
         }
         if self.entries.len() as u64 >= limits.entries {
             return ClaimAnswer::Full;
         }
         self.entries
-            .insert(ordered, LedgerEntry::held(claim, fingerprint));
+            .insert(ordered_key, LedgerEntry::held(claim, fingerprint));
         ClaimAnswer::Granted
     }
 
@@ -169,13 +169,16 @@
         claim: ClaimId,
         outcome: &RecordedOutcome,
     ) -> LedgerReply {
-        let room = limits.total_body_bytes.saturating_sub(self.body_bytes);
+        let remaining_body_bytes = limits.total_body_bytes.saturating_sub(self.body_bytes);
         let Some(entry) = self.entries.get_mut(&OrderedKey::from(key)) else {
             return LedgerReply::NotHeld;
         };
-        let before = entry.body_bytes();
-        let reply = entry.settle(claim, limits.recordable(outcome, room));
-        self.body_bytes = self.body_bytes - before + entry.body_bytes();
+        let previous_bytes = entry.body_bytes();
+        let reply = entry.settle(
+            claim,
+            limits.outcome_within_limits(outcome, remaining_body_bytes),
+        );
+        self.body_bytes = self.body_bytes - previous_bytes + entry.body_bytes();
         reply
     }
 
@@ -247,7 +250,7 @@
             return;
         }
         self.is_open = true;
-        let horizon_ms = proposed_at_ms.saturating_sub(OPENING_SLACK_MS);
+        let horizon_ms = proposed_at_ms.saturating_sub(OPENING_CLOCK_SKEW_MS);
         self.horizon_ms = self.horizon_ms.max(horizon_ms);
     }
 
--- a/crates/sablehaven-control/src/operator/changes.rs
+++ b/crates/sablehaven-control/src/operator/changes.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     clock,
-    driver::{HandOverError, Input, ProposeError, read},
+    driver::{Input, LeadershipTransferError, ProposeError, read},
     peers::{Introduction, probe},
     replicas::{ChangeKind, ReplacementOrder, ReplicasCommand, ReplicasOutcome},
     server::Context,
@@ -27,10 +27,10 @@
     context: &Context,
     command: ApplyCommand,
 ) -> Result<ApplyOutcome, CallError> {
-    context.require_proof().await?;
+    context.require_leadership_proof().await?;
     let (first, current, next) = read(&context.state, |state| {
         let configuration = state.configuration();
-        let first = configuration.remembered(&command);
+        let first = configuration.recorded_outcome(&command);
         let is_current = command.expected_version == configuration.current().version;
         let next = is_current.then(|| configuration.preview(&command.change));
         (first, configuration.current().clone(), next)
@@ -59,7 +59,7 @@
     context: &Context,
     request: AddReplica,
 ) -> Result<ReplicasOutcome, CallError> {
-    context.require_proof().await?;
+    context.require_leadership_proof().await?;
     match newcomer(context, request.address).await? {
         Ok(newcomer) => {
             let replica = newcomer.replica;
@@ -73,7 +73,7 @@
     context: &Context,
     request: RemoveReplica,
 ) -> Result<ReplicasOutcome, CallError> {
-    context.require_proof().await?;
+    context.require_leadership_proof().await?;
     let kind = ChangeKind::Remove {
         replica: request.replica,
     };
@@ -84,7 +84,7 @@
     context: &Context,
     request: ReplaceReplica,
 ) -> Result<ReplicasOutcome, CallError> {
-    context.require_proof().await?;
+    context.require_leadership_proof().await?;
     let newcomer = match newcomer(context, request.address).await? {
         Ok(newcomer) => newcomer,
         Err(refused) => return Ok(refused),
@@ -152,11 +152,11 @@
     request: TransferLeadership,
 ) -> Result<TransferStarted, CallError> {
     let TransferLeadership { group, to } = request;
-    match context.driver.transfer(group, to).await {
+    match context.driver.transfer_leadership(group, to).await {
         Ok(()) => Ok(TransferStarted { group, to }),
-        Err(HandOverError::Refused(sablehaven_consensus::TransferError::NotLeader { .. })) => {
-            Err(CallError::NotLeader)
-        }
+        Err(LeadershipTransferError::Refused(sablehaven_consensus::TransferError::NotLeader {
+            ..
+        })) => Err(CallError::NotLeader),
         Err(error) => Err(CallError::Refused {
             reason: error.to_string(),
         }),
--- a/crates/sablehaven-control/src/operator/handlers.rs
+++ b/crates/sablehaven-control/src/operator/handlers.rs
@@ -194,7 +194,7 @@
 
     /// Without a known leader there is nowhere to go: the caller comes back.
     fn not_leader(&self, body: &mut OperatorError) -> StatusCode {
-        body.leader = self.context.leader_http();
+        body.leader = self.context.leader_http_address();
         if body.leader.is_some() {
             StatusCode::MISDIRECTED_REQUEST
         } else {
--- a/crates/sablehaven-control/src/operator/reads.rs
+++ b/crates/sablehaven-control/src/operator/reads.rs
@@ -25,7 +25,7 @@
 impl Confirmation {
     async fn obtain(self, context: &Context) -> Result<(), CallError> {
         match self {
-            Self::Required => context.require_proof().await,
+            Self::Required => context.require_leadership_proof().await,
             Self::Waived => Ok(()),
         }
     }
--- a/crates/sablehaven-control/src/peers/introduction.rs
+++ b/crates/sablehaven-control/src/peers/introduction.rs
@@ -21,7 +21,7 @@
 use crate::{
     Config,
     codec::CodecError,
-    driver::{DriverHandle, SharedHandle, StoredAddresses, read},
+    driver::{DriverHandle, SharedStateHandle, StoredAddresses, read},
     replicas::ReplicaAddresses,
 };
 
@@ -179,7 +179,7 @@
     pub(crate) directory: Directory,
     pub(crate) driver: DriverHandle,
     pub(super) listing: PeerListing,
-    state: SharedHandle,
+    state: SharedStateHandle,
     /// The addresses to dial that the settings name; they may change while the process runs.
     configured: Mutex<BTreeSet<SocketAddr>>,
     /// Addresses of members that other replicas told of.
@@ -193,7 +193,7 @@
         addresses: ReplicaAddresses,
         directory: Directory,
         driver: DriverHandle,
-        state: SharedHandle,
+        state: SharedStateHandle,
         listing: PeerListing,
     ) -> Self {
         let configured = config.peers.iter().copied().collect();
--- a/crates/sablehaven-control/src/peers/links.rs
+++ b/crates/sablehaven-control/src/peers/links.rs
@@ -15,7 +15,7 @@
     payload::{NO_GROUP, PeerPayload},
 };
 use crate::{
-    driver::{SharedHandle, read},
+    driver::{SharedStateHandle, read},
     metrics::Metrics,
 };
 
@@ -117,7 +117,7 @@
     /// to, those of the shared state, of the log, and of replicas that dialled this one. The last are
     /// needed by a new replica: it cannot answer a leader that its settings do not name, and learns
     /// the shared state only by answering.
-    fn wanted(&self, context: &PeerContext, state: &SharedHandle) -> BTreeSet<SocketAddr> {
+    fn wanted(&self, context: &PeerContext, state: &SharedStateHandle) -> BTreeSet<SocketAddr> {
         let mut wanted = context.addresses_to_dial();
         let mut reached = self.replicas_at(&wanted);
         reached.insert(context.replica);
@@ -156,7 +156,11 @@
 }
 
 /// Keeps the wanted connections up until it is dropped.
-pub(crate) async fn keep_links(context: Arc<PeerContext>, links: Arc<Links>, state: SharedHandle) {
+pub(crate) async fn keep_links(
+    context: Arc<PeerContext>,
+    links: Arc<Links>,
+    state: SharedStateHandle,
+) {
     let mut tasks = Tasks::default();
     let mut ticker = interval(REVIEW_INTERVAL);
     loop {
--- a/crates/sablehaven-control/src/peers/listing.rs
+++ b/crates/sablehaven-control/src/peers/listing.rs
@@ -6,12 +6,12 @@
 use sablehaven_types::{ListingNumber, ListingUpdate, ServerListing};
 use tokio::sync::watch;
 
-use crate::{driver::Published, gateways::Gateways};
+use crate::{driver::PublishedState, gateways::Gateways};
 
 /// A replica's reading of the list, as the connections between replicas need it.
 pub(crate) struct PeerListing {
     pub(crate) gateways: Arc<Gateways>,
-    pub(crate) published: watch::Receiver<Published>,
+    pub(crate) published: watch::Receiver<PublishedState>,
 }
 
 impl PeerListing {
--- a/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
@@ -10,7 +10,7 @@
 use super::*;
 use crate::{
     codec,
-    driver::RemovalWatch,
+    driver::RemovalMonitor,
     leader::{LeadingProof, Silence},
     quotas::PartGrants,
     repair::{MemberView, NewcomerView, RepairPolicy, next_change},
@@ -73,7 +73,7 @@
     pub(super) lease: PartLease,
     pub(super) silence: Silence,
     pub(super) grants: Arc<Mutex<PartGrants>>,
-    pub(super) removal: RemovalWatch,
+    pub(super) removal: RemovalMonitor,
     /// Probes that wait for the next proof of leadership.
     pub(super) probes: Vec<(ReplicaId, ProbeNumber)>,
     pub(super) proof: Option<OpenProof>,
@@ -151,7 +151,7 @@
             inbox: Vec::new(),
             lease: PartLease::new(id, limits, first_probe_number),
             silence,
-            removal: RemovalWatch::new(Arc::clone(&grants), at(PATIENCE_MS)),
+            removal: RemovalMonitor::new(Arc::clone(&grants), at(PATIENCE_MS)),
             grants,
             probes: Vec::new(),
             proof: None,
@@ -239,7 +239,10 @@
                 let removed = change.kind.removed().expect("a removed replica");
                 let is_removed = is_committed && !membership.contains(removed);
                 let term = status.term;
-                is_removed && self.removal.is_over(at(now_ms), term, change, &self.state)
+                is_removed
+                    && self
+                        .removal
+                        .is_removal_complete(at(now_ms), term, change, &self.state)
             }
         }
     }
--- a/crates/sablehaven-control/src/quotas/replica_quotas.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas.rs
@@ -24,14 +24,14 @@
     waiting::{ReplySender, WaitingRequests},
 };
 use crate::{
-    driver::{Published, SharedHandle, read},
+    driver::{PublishedState, SharedStateHandle, read},
     metrics::Metrics,
 };
 
 /// This replica's part of the quotas, its lease on it, and the requests that wait for loans.
 pub(crate) struct ReplicaQuotas {
-    published: watch::Receiver<Published>,
-    state: SharedHandle,
+    published: watch::Receiver<PublishedState>,
+    state: SharedStateHandle,
     metrics: Metrics,
     /// The origin of the times that are passed to the part.
     started_at: Instant,
@@ -59,8 +59,8 @@
         tolerance: QuotaTolerance,
         lease: PartLease,
         grants: Arc<Mutex<PartGrants>>,
-        published: watch::Receiver<Published>,
-        state: SharedHandle,
+        published: watch::Receiver<PublishedState>,
+        state: SharedStateHandle,
         metrics: Metrics,
     ) -> Self {
         Self {
--- a/crates/sablehaven-control/src/quotas/replica_quotas/tests.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas/tests.rs
@@ -29,8 +29,8 @@
 /// A replica's quotas, with the driver's side of the published state and a gateway's side of the replies.
 struct Fixture {
     quotas: ReplicaQuotas,
-    published: watch::Sender<Published>,
-    state: SharedHandle,
+    published: watch::Sender<PublishedState>,
+    state: SharedStateHandle,
     reply_sender: ReplySender,
     replies: mpsc::Receiver<Vec<TokenReply>>,
 }
@@ -43,14 +43,14 @@
 
     /// As [`Self::new`], with a lease that starts now and lasts for about `lease_duration`.
     fn with_lease(tolerance: QuotaTolerance, lease_duration: Duration) -> Self {
-        let published = Published {
+        let published = PublishedState {
             leader: Some(ReplicaId(1)),
             members: 1,
             is_member: true,
-            ..Published::default()
+            ..PublishedState::default()
         };
         let (published, receiver) = watch::channel(published);
-        let state = SharedHandle::default();
+        let state = SharedStateHandle::default();
         let metrics = Metrics::default();
         let limits = LeaseLimits::new(lease_duration, lease_duration);
         let lease = PartLease::new(ReplicaId(1), limits, 0);
@@ -233,20 +233,20 @@
 
 #[test]
 fn there_is_one_more_part_than_members_and_none_without_lease_vote_or_driver() {
-    let member = Published {
+    let member = PublishedState {
         leader: Some(ReplicaId(1)),
         members: 9,
         is_member: true,
-        ..Published::default()
+        ..PublishedState::default()
     };
     assert_eq!(part_count(&member, true), Some(10));
     assert_eq!(part_count(&member, false), None);
-    let failed = Published {
+    let failed = PublishedState {
         failure: Some("store: no space".to_owned()),
         ..member.clone()
     };
     assert_eq!(part_count(&failed, true), None);
-    let removed = Published {
+    let removed = PublishedState {
         is_member: false,
         ..member
     };
--- a/crates/sablehaven-control/src/relays/session.rs
+++ b/crates/sablehaven-control/src/relays/session.rs
@@ -17,7 +17,7 @@
 
 use super::SessionId;
 use crate::{
-    driver::{Input, LeaderProof, LedgerReplies, Published, read},
+    driver::{Input, LeadershipProof, LedgerReplies, PublishedState, read},
     membership::AgentObservation,
     server::Context,
 };
@@ -173,8 +173,8 @@
 }
 
 /// The age is rounded up, so that the lease ends too early rather than too late.
-fn grant(nonce: u64, proof: LeaderProof, context: &Context) -> LeaseGrant {
-    let age = Instant::now().duration_since(proof.at);
+fn grant(nonce: u64, proof: LeadershipProof, context: &Context) -> LeaseGrant {
+    let age = Instant::now().duration_since(proof.asked_at);
     LeaseGrant {
         nonce,
         age_ms: age.as_micros().div_ceil(1_000) as u64,
@@ -191,7 +191,7 @@
     writer: FrameWriter<ControlToRelay>,
     queue: mpsc::UnboundedReceiver<ControlToRelay>,
     replies: mpsc::UnboundedReceiver<Vec<(u64, LedgerReply)>>,
-    published: watch::Receiver<Published>,
+    published: watch::Receiver<PublishedState>,
     watch: watch::Receiver<Option<u64>>,
     /// The revision that the relay has once it has taken what was sent.
     sent_revision: Option<u64>,
--- a/crates/sablehaven-control/src/server/accept.rs
+++ b/crates/sablehaven-control/src/server/accept.rs
@@ -8,19 +8,19 @@
     time::sleep,
 };
 
-use super::{context::Context, tasks::Tasks};
+use super::{context::Context, tasks::TaskGroup};
 use crate::{gateways::serve_gateway, peers::receive_from_peer, relays::serve_relay};
 
 /// Pause after a failed accept (out of file descriptors), so that the loop does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts until the replica takes no new work. Other replicas are still served until the very end:
 /// the log goes on without relays.
 pub(super) async fn accept_connections(
     context: Arc<Context>,
     listener: TcpListener,
-    background: Tasks,
-    relays: Tasks,
+    background: TaskGroup,
+    relays: TaskGroup,
 ) {
     loop {
         match listener.accept().await {
@@ -36,7 +36,7 @@
             }
             Err(error) => {
                 log::warn!("accept internal connection: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -46,8 +46,8 @@
     context: Arc<Context>,
     stream: TcpStream,
     address: SocketAddr,
-    background: Tasks,
-    relays: Tasks,
+    background: TaskGroup,
+    relays: TaskGroup,
 ) {
     let connection = match accept(stream, address, &context.peers.hello()).await {
         Ok(connection) => connection,
--- a/crates/sablehaven-control/src/server/context.rs
+++ b/crates/sablehaven-control/src/server/context.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     Config,
-    driver::{DriverHandle, Published, SharedHandle, read},
+    driver::{DriverHandle, PublishedState, SharedStateHandle, read},
     gateways::Gateways,
     membership::AgentObservation,
     metrics::Metrics,
@@ -25,8 +25,8 @@
     pub(crate) config: Arc<Config>,
     pub(crate) replica: ReplicaId,
     pub(crate) driver: DriverHandle,
-    pub(crate) state: SharedHandle,
-    pub(crate) published: watch::Receiver<Published>,
+    pub(crate) state: SharedStateHandle,
+    pub(crate) published: watch::Receiver<PublishedState>,
     pub(crate) registry: Registry,
     pub(crate) gateways: Arc<Gateways>,
     pub(crate) observations: mpsc::Sender<AgentObservation>,
@@ -46,7 +46,7 @@
     }
 
     /// Has a quorum confirm that this replica leads, so that what it has applied is current.
-    pub(crate) async fn require_proof(&self) -> Result<(), CallError> {
+    pub(crate) async fn require_leadership_proof(&self) -> Result<(), CallError> {
         match self.driver.prove_leadership().await {
             Some(_) => Ok(()),
             None => Err(CallError::NotLeader),
@@ -60,7 +60,7 @@
     }
 
     /// The leader's operators' interface, where another replica leads.
-    pub(crate) fn leader_http(&self) -> Option<SocketAddr> {
+    pub(crate) fn leader_http_address(&self) -> Option<SocketAddr> {
         self.other_leader().map(|addresses| addresses.http)
     }
 
--- a/crates/sablehaven-control/src/server/gauges.rs
+++ b/crates/sablehaven-control/src/server/gauges.rs
@@ -9,11 +9,11 @@
 
 /// Time between two readings. Counting agents takes longer the more there are, so it is not done at
 /// each of their reports.
-const INTERVAL: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Refreshes the gauges until the replica stops.
 pub(super) async fn refresh_gauges(context: Arc<Context>) {
-    let mut ticker = interval(INTERVAL);
+    let mut ticker = interval(REFRESH_INTERVAL);
     loop {
         ticker.tick().await;
         let metrics = &context.metrics;
--- a/crates/sablehaven-control/src/server/handle.rs
+++ b/crates/sablehaven-control/src/server/handle.rs
@@ -11,13 +11,13 @@
 
 use crate::{evacuation::EvacuationService, routes::RoutesService};
 
-use super::{context::Context, tasks::Tasks};
+use super::{context::Context, tasks::TaskGroup};
 
 /// Longest time for handing over leadership at a planned stop.
-const HAND_OVER_LIMIT: Duration = Duration::from_secs(5);
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Longest time for requests in flight at a planned stop.
-const DRAIN_LIMIT: Duration = Duration::from_secs(10);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The addresses of replicas to dial; cheap to clone.
 #[derive(Clone)]
@@ -38,9 +38,9 @@
     pub(super) context: Arc<Context>,
     pub(super) telemetry: Telemetry,
     /// Links to replicas, the leader's duties and the accepting of connections.
-    pub(super) background: Tasks,
+    pub(super) background: TaskGroup,
     /// Connections of relays.
-    pub(super) relays: Tasks,
+    pub(super) relays: TaskGroup,
     pub(super) stop_driver: CancellationToken,
     pub(super) driver: JoinHandle<()>,
     pub(super) http: ServerHandle,
@@ -80,13 +80,13 @@
     pub async fn stop(self) {
         self.telemetry.set_ready(false);
         // Leadership goes first: while it does, proposals in flight are still answered.
-        let handed_over = timeout(HAND_OVER_LIMIT, self.context.driver.hand_over_all());
-        if handed_over.await.is_err() {
+        let stepped_down = timeout(LEADERSHIP_TRANSFER_TIMEOUT, self.context.driver.step_down());
+        if stepped_down.await.is_err() {
             log::warn!("stop: no other replica took over leadership in time");
         }
         self.context.stopping.cancel();
-        self.http.stop_graceful(DRAIN_LIMIT);
-        self.relays.finish(DRAIN_LIMIT).await;
+        self.http.stop_graceful(DRAIN_TIMEOUT);
+        self.relays.drain(DRAIN_TIMEOUT).await;
         self.end().await;
     }
 
@@ -95,14 +95,14 @@
         self.telemetry.set_ready(false);
         self.stop_driver.cancel();
         self.http.stop_forceful();
-        self.relays.end().await;
+        self.relays.cancel().await;
         self.end().await;
     }
 
     /// The order must hold: whatever asks the driver ends before it.
     async fn end(self) {
         let http = self.http_server.await;
-        self.background.end().await;
+        self.background.cancel().await;
         self.stop_driver.cancel();
         let driver = self.driver.await;
         if http.is_err() || driver.is_err() {
--- a/crates/sablehaven-control/src/server/start.rs
+++ b/crates/sablehaven-control/src/server/start.rs
@@ -20,11 +20,11 @@
 
 use super::{
     accept::accept_connections, context::Context, gauges::refresh_gauges, handle::Handle,
-    tasks::Tasks,
+    tasks::TaskGroup,
 };
 use crate::{
     Config, StartError,
-    driver::{self, Driver, DriverParts, Published, SharedHandle, StoredAddresses},
+    driver::{self, Driver, DriverParts, PublishedState, SharedStateHandle, StoredAddresses},
     gateways::Gateways,
     leader::{self, ServerSource},
     membership::AgentObservation,
@@ -107,17 +107,17 @@
         servers,
     } = environment;
     let (internal, http) = listeners.addresses(&config)?;
-    let own = ReplicaAddresses {
+    let own_addresses = ReplicaAddresses {
         internal: config.internal_advertise.unwrap_or(internal),
         http: config.http_advertise.unwrap_or(http),
     };
     let config = Arc::new(config);
     let opened = open_storage(Arc::clone(&config), disk).await?;
-    let (context, driver, observations) = assemble(config, opened, own, &telemetry)?;
+    let (context, driver, observations) = assemble(config, opened, own_addresses, &telemetry)?;
     let stop_driver = CancellationToken::new();
     let driver = tokio::spawn(driver.run(stop_driver.clone()));
-    let background = Tasks::default();
-    let relays = Tasks::default();
+    let background = TaskGroup::default();
+    let relays = TaskGroup::default();
     let (http_handle, http_server) = serve_http(&context, &telemetry, listeners.http, http)?;
     spawn_background(&context, &background, observations);
     if let Some(servers) = servers {
@@ -174,26 +174,26 @@
     }
 }
 
-type Assembled = (Arc<Context>, Driver, mpsc::Receiver<AgentObservation>);
+type AssembledParts = (Arc<Context>, Driver, mpsc::Receiver<AgentObservation>);
 
 /// Puts the parts together; nothing runs yet.
 fn assemble(
     config: Arc<Config>,
     opened: Opened,
-    own: ReplicaAddresses,
+    own_addresses: ReplicaAddresses,
     telemetry: &Telemetry,
-) -> Result<Assembled, StartError> {
+) -> Result<AssembledParts, StartError> {
     let replica = opened.identity.replica;
     let metrics = Metrics::register(telemetry);
-    let state = SharedHandle::default();
+    let state = SharedStateHandle::default();
     let (driver_handle, inputs) = driver::channel();
-    let (published, published_receiver) = watch::channel(Published::default());
+    let (published, published_receiver) = watch::channel(PublishedState::default());
     let links = Arc::new(Links::new(metrics.clone()));
     let shared = opened.groups.get(&0);
     let stored = shared.map_or_else(StoredAddresses::default, |group| {
         StoredAddresses::read(&group.restored.entries)
     });
-    let directory = Directory::new(replica, own, stored);
+    let directory = Directory::new(replica, own_addresses, stored);
     let grants = Arc::new(Mutex::new(PartGrants::default()));
     let driver = Driver::new(DriverParts {
         config: Arc::clone(&config),
@@ -211,7 +211,7 @@
     let peers = Arc::new(PeerContext::new(
         Arc::clone(&config),
         replica,
-        own,
+        own_addresses,
         directory,
         driver_handle.clone(),
         Arc::clone(&state),
@@ -268,7 +268,7 @@
 
 fn spawn_background(
     context: &Arc<Context>,
-    background: &Tasks,
+    background: &TaskGroup,
     observations: mpsc::Receiver<AgentObservation>,
 ) {
     let peers = &context.peers;
--- a/crates/sablehaven-control/tests/configuration.rs
+++ b/crates/sablehaven-control/tests/configuration.rs
@@ -80,7 +80,7 @@
     for loser in 0..2_000 {
         apply(&mut state, command(&format!("loser-{loser}"), 0, 2));
     }
-    assert_eq!(state.remembered(&command("first", 0, 1)), None);
+    assert_eq!(state.recorded_outcome(&command("first", 0, 1)), None);
     assert_eq!(
         apply(&mut state, command("first", 0, 1)),
         ApplyOutcome::Accepted { version: 1 }
