--- a/crates/sablehaven-control/src/configuration/change.rs
+++ b/crates/sablehaven-control/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! What a change makes of a configuration.
+//! Applies a change to a configuration, and compares two configurations.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 
 use super::ConfigurationDifference;
 
-/// The configuration after a change, one version on, or every reason why there is none.
+/// Returns the configuration after a change, with the next version, or every reason why the change is invalid.
 pub(super) fn apply(
     current: &Configuration,
     change: &ConfigurationChange,
@@ -77,6 +77,7 @@
     Ok(next)
 }
 
+/// Returns a service's configuration, or the reason that the service does not exist.
 fn service_mut<'a>(
     configuration: &'a mut Configuration,
     service: &ServiceName,
@@ -85,7 +86,8 @@
     found.ok_or_else(|| vec![format!("service '{service}' is not in the configuration")])
 }
 
-/// A snapshot's id pins one partition map: two maps under one id would let a query mix them.
+/// Returns a reason for each service whose partition map changes while its snapshot keeps its id. Queries identify a
+/// partition map by the snapshot's id, so two maps under one id could be mixed in one query.
 fn reused_snapshot_ids(current: &Configuration, next: &Configuration) -> Vec<String> {
     let mut reasons = Vec::new();
     for (service, after) in &next.services {
@@ -104,7 +106,7 @@
     reasons
 }
 
-/// What differs between two configurations.
+/// Returns the parts that differ between two configurations.
 pub(super) fn difference(before: &Configuration, after: &Configuration) -> ConfigurationDifference {
     let names: BTreeSet<&ServiceName> = before
         .services
--- a/crates/sablehaven-control/src/configuration/mod.rs
+++ b/crates/sablehaven-control/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration as a deterministic state machine: compare-and-set on the version, and bounded
-//! memory of what became of operators' commands.
+//! The configuration as a deterministic state machine. A command is a compare-and-set on the configuration's version. A
+//! bounded number of command outcomes is kept, so that a command that is sent again gets its first outcome.
 
 mod change;
 mod outcomes;
@@ -13,10 +13,10 @@
 
 use self::outcomes::OutcomeCache;
 
-/// Winning commands that the history keeps.
+/// The most accepted commands that the history keeps.
 pub const HISTORY_LIMIT: usize = 256;
 
-/// The configuration in force, with who made it and what became of recent commands.
+/// The current configuration, the history of accepted commands, and the outcomes of recent commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationState {
     current: Configuration,
@@ -24,7 +24,7 @@
     outcomes: OutcomeCache,
 }
 
-/// What a command changed, for the updates that relays get.
+/// What a command changed, from which the updates for relays are made.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationDifference {
     /// Whether the schema changed.
@@ -34,29 +34,29 @@
 }
 
 impl ConfigurationState {
-    /// The configuration in force.
+    /// The current configuration.
     pub fn current(&self) -> &Configuration {
         &self.current
     }
 
-    /// The commands that won the latest versions, oldest first.
+    /// The commands that made the latest versions, oldest first.
     pub fn history(&self) -> &VecDeque<CommandRecord> {
         &self.history
     }
 
-    /// The first outcome of a command, if it is still remembered.
+    /// The first outcome of a command, if it is still recorded.
     pub fn recorded_outcome(&self, command: &ApplyCommand) -> Option<ApplyOutcome> {
         self.outcomes.get(&command.command_id).cloned()
     }
 
-    /// The configuration that a command would make, or every reason why it cannot be made.
+    /// Returns the configuration that a change would make, or every reason why the change is invalid.
     ///
-    /// Used before a command is proposed, so that an invalid one never enters the log.
+    /// Called before a command is proposed, so that invalid commands stay out of the log.
     pub fn preview(&self, change: &ConfigurationChange) -> Result<Configuration, Vec<String>> {
         change::apply(&self.current, change)
     }
 
-    /// Applies a committed command; the same on every replica.
+    /// Applies a committed command, with the same result on every replica.
     pub fn apply(
         &mut self,
         command: ApplyCommand,
@@ -71,6 +71,7 @@
         (outcome, difference)
     }
 
+    /// Applies a command that has no recorded outcome.
     fn apply_first(
         &mut self,
         command: ApplyCommand,
@@ -89,8 +90,9 @@
         }
     }
 
-    /// A command whose outcome is forgotten, but which the history still names as the winner, was
-    /// accepted: its resend is not told that it lost against itself.
+    /// Returns the outcome of a command that expects a version other than the current one. If the history lists this
+    /// very command as the one that replaced the expected version, it was accepted and its recorded outcome has been
+    /// evicted: its resend gets that outcome again, not a conflict with itself.
     fn conflict(&self, command: &ApplyCommand) -> ApplyOutcome {
         let winner = self.accepted_from_version(command.expected_version);
         match winner {
@@ -104,6 +106,7 @@
         }
     }
 
+    /// Returns the accepted command that replaced a version, if the history still contains it.
     fn accepted_from_version(&self, expected_version: u64) -> Option<&CommandRecord> {
         let accepted_version = expected_version.checked_add(1)?;
         self.history
@@ -111,6 +114,7 @@
             .find(|record| record.version == accepted_version)
     }
 
+    /// Makes a configuration current and adds its command to the history.
     fn accept(
         &mut self,
         next: Configuration,
--- a/crates/sablehaven-control/src/driver/group.rs
+++ b/crates/sablehaven-control/src/driver/group.rs
@@ -1,4 +1,5 @@
-//! One consensus group of this replica: the log's replica, its state machine, and who waits for it.
+//! One consensus group on this replica: its Raft replica, its state machine, and the callers that wait for its
+//! proposals.
 
 use std::time::Instant;
 
@@ -22,50 +23,51 @@
     shared::SharedCommand,
 };
 
-/// Ledger calls that one group may have open; more are refused at once.
+/// The most ledger calls that one group may have queued or proposed; further calls are refused immediately.
 const MAX_OPEN_LEDGER_CALLS: usize = 16_384;
 
-/// Longest command that begins a change of the members, in bytes: it names a few replicas and addresses. Longer ones are
-/// not decoded a second time to look.
+/// The maximum size of a command that begins a membership change, in bytes. Such a command contains only a few replica
+/// identifiers and addresses, so [`may_begin_membership_change`] does not decode longer commands.
 const MAX_CHANGE_COMMAND_BYTES: usize = 1_024;
 
-/// One consensus group of this replica.
+/// One consensus group on this replica.
 pub(crate) struct Group {
     pub(crate) number: u32,
     pub(crate) replica: Replica,
     pub(crate) machine: StateMachine,
-    /// The last entry that the state machine has applied.
+    /// The index of the last entry that the state machine has applied.
     pub(crate) applied: u64,
-    /// The members at that entry.
+    /// The membership as of the last applied entry.
     pub(crate) applied_membership: Membership,
     pub(crate) pending: PendingProposals,
     pub(crate) snapshots: SnapshotSchedule,
     queued_requests: Vec<LedgerRequest>,
     queued_calls: Vec<LedgerCall>,
-    /// As of the latest tick.
+    /// Whether this replica led the group at the latest tick.
     pub(crate) is_leader: bool,
+    /// When leadership was last transferred to co-locate the leaders of all groups.
     pub(crate) last_transfer: Option<Instant>,
-    /// The last entry of the log that may begin a change of the members.
+    /// The index of the last log entry that may begin a membership change.
     last_change_index: u64,
 }
 
-/// When the next snapshot of a group is due.
+/// The state that determines when the next snapshot of a group is due.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotSchedule {
-    /// The last entry in the latest snapshot.
+    /// The index of the last entry in the latest snapshot.
     pub(crate) index: u64,
-    /// Command bytes applied since.
+    /// The total size of the commands that were applied since the latest snapshot.
     pub(crate) command_bytes: u64,
-    /// Whether one is being written.
+    /// Whether a snapshot is being written.
     pub(crate) is_running: bool,
-    /// Whether the storage asks for one, to free old segments.
+    /// Whether the storage requests a snapshot so that it can delete old log segments.
     pub(crate) is_requested: bool,
-    /// When one could last not be written.
+    /// When writing a snapshot last failed.
     pub(crate) failed_at: Option<Instant>,
 }
 
 impl Group {
-    /// A group from what its disk holds.
+    /// Restores a group from its stored log and snapshot.
     pub(crate) fn new(
         number: u32,
         replica: Replica,
@@ -99,7 +101,7 @@
         })
     }
 
-    /// Proposes a command of group 0.
+    /// Proposes a command to group 0 and sends its outcome to `respond` once the command is applied.
     pub(crate) fn propose_shared(&mut self, command: &SharedCommand, respond: SharedResponder) {
         let encoded = match codec::encode("encode shared command", command) {
             Ok(encoded) => encoded,
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Proposes one of the driver's own commands; lost ones are proposed again by whoever leads.
+    /// Proposes a command of the driver itself, for which no caller waits. If the command is lost, a later tick of the
+    /// current leader proposes it again.
     pub(crate) fn propose_internal(&mut self, command: &SharedCommand) {
         let encoded = match codec::encode("encode shared command", command) {
             Ok(encoded) => encoded,
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Queues a ledger call for the next batch, or refuses it at once when too many are open.
+    /// Queues a ledger call for the next batch, or refuses it immediately if too many calls are open.
     pub(crate) fn queue_call(&mut self, call: u64, request: LedgerRequest, replies: LedgerReplies) {
         let call = LedgerCall { call, replies };
         if self.pending.ledger_calls() + self.queued_calls.len() >= MAX_OPEN_LEDGER_CALLS {
@@ -142,8 +145,8 @@
         self.queued_calls.push(call);
     }
 
-    /// Opens a new ledger. Called before the first calls are proposed, so that in the log of a new
-    /// ledger its opening always comes first; a second opening changes nothing.
+    /// Proposes the command that opens a new ledger. Must be called before the first calls are proposed, so that this
+    /// command comes first in the log of a new ledger. Opening a ledger a second time has no effect.
     pub(crate) fn open_ledger(&mut self) {
         if !self.machine.is_unopened_ledger() || !self.pending.is_empty() {
             return;
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Proposes the queued calls as one entry.
+    /// Proposes all queued calls as one log entry.
     pub(crate) fn propose_queued_calls(&mut self, limits: &LedgerLimits) {
         if self.queued_calls.is_empty() {
             return;
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Applies what a ready hands out.
+    /// Applies the snapshot and the committed entries of a [`Ready`].
     pub(crate) fn apply(&mut self, ready: &mut Ready) -> Result<(), CodecError> {
         if let Some(snapshot) = &ready.snapshot {
             self.install(snapshot)?;
@@ -198,6 +201,8 @@
         Ok(())
     }
 
+    /// Replaces the state machine by a snapshot from the leader. Fails all pending proposals: the snapshot does not
+    /// tell which of them were committed.
     fn install(&mut self, snapshot: &Snapshot) -> Result<(), CodecError> {
         self.machine.restore(&snapshot.data)?;
         self.applied = snapshot.metadata.index;
@@ -233,7 +238,8 @@
         Ok(())
     }
 
-    /// The state machine's snapshot at the last applied entry, if it stands at one.
+    /// Takes a snapshot of the state machine at the last applied entry. Returns `None` if the log does not hold that
+    /// entry.
     pub(crate) fn take_snapshot(&self) -> Result<Option<Snapshot>, CodecError> {
         let Some(metadata) = self.replica.snapshot_metadata(self.applied) else {
             return Ok(None);
@@ -242,7 +248,7 @@
         Ok(Some(Snapshot { metadata, data }))
     }
 
-    /// A snapshot is in force on the disk.
+    /// Records that a snapshot has replaced the log up to its index on the disk.
     pub(crate) fn compacted(&mut self, metadata: &SnapshotMetadata) {
         self.replica.compacted(metadata);
         self.snapshots.index = self.snapshots.index.max(metadata.index);
@@ -250,13 +256,13 @@
         self.snapshots.is_requested = false;
     }
 
-    /// Whether the replica holds nothing: no members, no log, no vote.
+    /// Whether the replica is empty: no members, no log entries, and no term, hence no vote.
     pub(crate) fn is_blank(&self) -> bool {
         let status = self.replica.status();
         status.last_index == 0 && status.term == 0 && status.membership.voters.is_empty()
     }
 
-    /// Notes which entries that come into the log may begin a change of the members.
+    /// Updates the index of the last entry that may begin a membership change from entries that are added to the log.
     pub(crate) fn track_membership_changes(&mut self, entries: &[Entry]) {
         let mut latest = entries.iter().rev();
         if let Some(last) = latest.find(|entry| may_begin_membership_change(entry)) {
@@ -273,12 +279,13 @@
         }
     }
 
+    /// Whether this replica leads the group now, where `is_leader` is the answer as of the latest tick.
     pub(crate) fn has_leader_role(&self) -> bool {
         self.replica.status().role == Role::Leader
     }
 }
 
-/// Whether an entry begins a change of the members, or cannot be read.
+/// Whether an entry begins a membership change, or cannot be decoded.
 fn may_begin_membership_change(entry: &Entry) -> bool {
     let EntryPayload::Command(command) = &entry.payload else {
         return false;
--- a/crates/sablehaven-control/src/driver/input.rs
+++ b/crates/sablehaven-control/src/driver/input.rs
@@ -1,4 +1,4 @@
-//! What the driver is asked, and the handle that asks it.
+//! The driver's inputs, and the handle that sends them.
 
 use std::{collections::BTreeSet, time::Instant};
 
@@ -12,10 +12,10 @@
     shared::{SharedCommand, SharedOutcome},
 };
 
-/// Inputs that may wait for the driver; askers wait when there are more.
+/// The capacity of the driver's input queue. Senders wait while the queue is full.
 const INPUT_QUEUE_CAPACITY: usize = 1_024;
 
-/// Why a command has no outcome.
+/// Why the outcome of a proposed command is not available.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ProposeError {
     /// propose command: this replica does not lead
@@ -26,17 +26,17 @@
     Stopped,
     /// propose command: {reason}
     Encode {
-        /// What could not be encoded.
+        /// The command that could not be encoded, and the cause.
         reason: String,
     },
 }
 
-/// Why leadership was not handed over.
+/// Why a leadership transfer was not started.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum LeadershipTransferError {
     /// transfer of leadership: there is no group {group}
     NoGroup {
-        /// The group that was named.
+        /// The requested group.
         group: u32,
     },
     /// {0}
@@ -45,75 +45,85 @@
     Stopped,
 }
 
-/// A proof that this replica led.
+/// A proof that this replica led group 0 at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeadershipProof {
-    /// A moment at or before which the proof was asked for: it holds for that moment.
-    pub(crate) asked_at: Instant,
-    /// The revision in force.
+    /// The time for which the proof holds: taken before the read-index round started, and not before the proof was
+    /// requested.
+    pub(crate) holds_at: Instant,
+    /// The revision of the shared state.
     pub(crate) revision: u64,
-    /// The version of the configuration in force.
+    /// The version of the current configuration.
     pub(crate) configuration_version: u64,
 }
 
-/// Where the replies to ledger calls go.
+/// Receives the replies to ledger calls, each with the number of its call.
 pub(crate) type LedgerReplies = mpsc::UnboundedSender<Vec<(u64, LedgerReply)>>;
 
+/// Receives the outcome of a command of group 0.
 pub(crate) type SharedResponder = oneshot::Sender<Result<SharedOutcome, ProposeError>>;
+/// Receives a proof of leadership, or `None` if this replica does not lead.
 pub(crate) type ProofResponder = oneshot::Sender<Option<LeadershipProof>>;
 
-/// What the driver is asked.
+/// An input of the driver.
 pub(crate) enum Input {
-    /// A message of another replica.
+    /// A consensus message from another replica.
     Peer {
         from: ReplicaId,
         group: u32,
         message: Message,
     },
+    /// Proposes a command of group 0.
     Shared {
         command: SharedCommand,
         respond: SharedResponder,
     },
+    /// Proposes ledger requests, each with the number of its call.
     Ledger {
         calls: Vec<(u64, LedgerRequest)>,
         replies: LedgerReplies,
     },
+    /// Requests a proof that this replica leads group 0.
     ProveLeadership(ProofResponder),
-    /// A new deployment with these first voters.
+    /// Forms a new deployment with these first voters.
     Form(BTreeSet<ReplicaId>),
+    /// Transfers the leadership of a group to another replica.
     Transfer {
         group: u32,
         to: ReplicaId,
         respond: oneshot::Sender<Result<(), LeadershipTransferError>>,
     },
+    /// Requests the state of every group.
     Status(oneshot::Sender<DriverStatus>),
+    /// Reports that a snapshot was written, or could not be written.
     SnapshotPrepared {
         group: u32,
         metadata: SnapshotMetadata,
         result: Result<PreparedSnapshot, StorageError>,
     },
-    /// Hand over leadership of every group, then answer.
+    /// Transfers the leadership of every group to other replicas, then responds.
     StepDown(oneshot::Sender<()>),
 }
 
-/// Asks the driver; cheap to clone.
+/// Sends inputs to the driver; cheap to clone.
 #[derive(Clone)]
 pub(crate) struct DriverHandle {
     inputs: mpsc::Sender<Input>,
 }
 
+/// Creates the driver's input queue.
 pub(crate) fn channel() -> (DriverHandle, mpsc::Receiver<Input>) {
     let (inputs, receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     (DriverHandle { inputs }, receiver)
 }
 
 impl DriverHandle {
-    /// Hands an input over; false when the driver has ended.
+    /// Queues an input. Returns false if the driver has ended.
     pub(crate) async fn send(&self, input: Input) -> bool {
         self.inputs.send(input).await.is_ok()
     }
 
-    /// Proposes a command of group 0 and waits until it is applied.
+    /// Proposes a command of group 0 and waits for its outcome.
     pub(crate) async fn propose(
         &self,
         command: SharedCommand,
@@ -125,7 +135,7 @@
         response.await.unwrap_or(Err(ProposeError::Stopped))
     }
 
-    /// Has a quorum confirm that this replica leads group 0; `None` when it does not.
+    /// Asks a quorum to confirm that this replica leads group 0. Returns `None` if it does not lead.
     pub(crate) async fn prove_leadership(&self) -> Option<LeadershipProof> {
         let (respond, response) = oneshot::channel();
         if !self.send(Input::ProveLeadership(respond)).await {
@@ -134,7 +144,7 @@
         response.await.ok().flatten()
     }
 
-    /// Asks a group's leadership to be handed over.
+    /// Starts a transfer of a group's leadership; does not wait for its end.
     pub(crate) async fn transfer_leadership(
         &self,
         group: u32,
@@ -150,7 +160,7 @@
             .unwrap_or(Err(LeadershipTransferError::Stopped))
     }
 
-    /// The state of every group; `None` when the driver has ended.
+    /// Returns the state of every group, or `None` if the driver has ended.
     pub(crate) async fn status(&self) -> Option<DriverStatus> {
         let (respond, response) = oneshot::channel();
         if !self.send(Input::Status(respond)).await {
@@ -159,11 +169,11 @@
         response.await.ok()
     }
 
-    /// Hands over the leadership of every group, as far as others can take it.
+    /// Transfers the leadership of every group for which another replica can take it, and waits until this is done.
     pub(crate) async fn step_down(&self) {
         let (respond, response) = oneshot::channel();
         if self.send(Input::StepDown(respond)).await {
-            // An ended driver leads nothing.
+            // A receive error means that the driver has ended, and with it any leadership of this replica.
             let _ = response.await;
         }
     }
--- a/crates/sablehaven-control/src/driver/machine.rs
+++ b/crates/sablehaven-control/src/driver/machine.rs
@@ -10,10 +10,10 @@
     shared::{SharedCommand, SharedOutcome, SharedState},
 };
 
-/// The state of group 0, written by the driver alone and read by the servers.
+/// The state of group 0. Only the driver writes it; the servers read it.
 pub(crate) type SharedStateHandle = Arc<RwLock<SharedState>>;
 
-/// Reads the state of group 0.
+/// Calls `view` with the state of group 0, under the read lock.
 pub(crate) fn read<Output>(
     state: &SharedStateHandle,
     view: impl FnOnce(&SharedState) -> Output,
@@ -21,19 +21,21 @@
     view(&state.read().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// The state machine of one group.
+/// The state machine of one consensus group.
 pub(crate) enum StateMachine {
     Shared(SharedStateHandle),
     Ledger(Box<LedgerState>),
 }
 
-/// What became of one command.
+/// The outcome of one applied command.
 pub(crate) enum CommandOutcome {
     Shared(SharedOutcome),
+    /// The replies to a batch, in the order of its requests.
     Ledger(Vec<LedgerReply>),
 }
 
 impl StateMachine {
+    /// Decodes and applies a committed command.
     pub(crate) fn apply(
         &mut self,
         index: u64,
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Whether this is a ledger that has not been opened yet.
+    /// Whether this state machine is a ledger that has not been opened yet.
     pub(crate) fn is_unopened_ledger(&self) -> bool {
         match self {
             Self::Shared(_) => false,
@@ -60,6 +62,7 @@
         }
     }
 
+    /// Encodes the state for a snapshot.
     pub(crate) fn snapshot(&self) -> Result<Vec<u8>, CodecError> {
         match self {
             Self::Shared(state) => read(state, SharedState::snapshot),
@@ -67,6 +70,7 @@
         }
     }
 
+    /// Replaces the state by the state in a snapshot.
     pub(crate) fn restore(&mut self, data: &[u8]) -> Result<(), CodecError> {
         match self {
             Self::Shared(state) => {
--- a/crates/sablehaven-control/src/driver/members.rs
+++ b/crates/sablehaven-control/src/driver/members.rs
@@ -1,5 +1,6 @@
-//! What the leaders of the groups do about the members: bring every group to the target of group
-//! 0's state, step by step, and keep the groups' leaders together.
+//! Membership changes and leadership transfers. The leader of each group changes its membership step by step to the
+//! target that group 0's state defines, and the leaders of the ledger groups transfer their leadership to the leader of
+//! group 0.
 
 use std::time::{Duration, Instant};
 
@@ -14,14 +15,14 @@
     shared::SharedCommand,
 };
 
-/// Least time between two transfers of one group's leadership.
+/// The minimum time between two transfers that co-locate the leader of one group with the leader of group 0.
 const TRANSFER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Entries by which a learner may lag in a group when the next phase starts.
+/// The most entries by which a learner may lag behind the commit index of each group when the next phase starts.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 64;
 
 impl Driver {
-    /// The leaders' duties at a tick.
+    /// Performs the membership tasks of the groups that this replica leads; called at each tick.
     pub(super) fn drive_membership(&mut self, now: Instant) {
         let replicas = read(&self.state, |state| state.replicas().clone());
         if self.groups[0].is_leader {
@@ -37,8 +38,9 @@
         self.colocate_leaders(now);
     }
 
-    /// The duties of group 0's leader: record the first members and new addresses, and move a change
-    /// on when its phase is done in every group.
+    /// Proposes the next command about the replicas, as the leader of group 0: records the first members and changed
+    /// addresses, and advances a membership change when its current phase is complete in every group. Proposes nothing
+    /// while another proposal is pending.
     fn propose_replicas_command(&mut self, replicas: &ReplicasState) {
         if !self.groups[0].pending.is_empty() {
             return;
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The addresses of the first voters, once all are known.
+    /// Returns the command that records the first voters, once the addresses of all of them are known.
     fn formation_command(&self) -> Option<ReplicasCommand> {
         let voters = &self.groups[0].applied_membership.voters;
         let known = voters.iter().map(|voter| {
@@ -72,6 +74,7 @@
             .map(ReplicasCommand::Form)
     }
 
+    /// Returns the command that records the new addresses of one replica whose addresses have changed.
     fn announce_command(&self, replicas: &ReplicasState) -> Option<ReplicasCommand> {
         replicas.replicas().iter().find_map(|(replica, known)| {
             let addresses = self.directory.addresses(*replica)?;
@@ -82,6 +85,7 @@
         })
     }
 
+    /// Whether the current phase of a change is complete in every group.
     fn is_phase_done(&mut self, change: &ReplicaChange, replicas: &ReplicasState) -> bool {
         let kind = change.kind;
         match change.phase {
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Brings the leadership of the ledger groups to group 0's leader, which relays talk to.
+    /// Transfers the leadership of the ledger groups to group 0's leader, because relays connect to that replica.
     fn colocate_leaders(&mut self, now: Instant) {
         let Some(leader) = self.groups[0].replica.status().leader else {
             return;
@@ -119,6 +123,7 @@
         }
     }
 
+    /// Starts a transfer of a group's leadership that an operator has requested.
     pub(super) fn transfer_leadership(
         &mut self,
         group: u32,
@@ -131,13 +136,13 @@
         result.map_err(LeadershipTransferError::Refused)
     }
 
-    /// Hands every group over for a planned stop; done when nobody waits and every group has another
-    /// leader, or nobody could take it over.
+    /// Transfers the leadership of every group before a planned stop, and responds once this is done: no proposal is
+    /// pending in any group, and each group either has another leader or has no replica that could become its leader.
     pub(super) fn continue_step_down(&mut self, now: Instant) {
         let Some(pending_step_down) = &self.pending_step_down else {
             return;
         };
-        // A leader would have been elected by then, so there is no quorum that could elect one.
+        // A group without a leader for this long has no quorum that could elect one.
         let election_grace = 2 * self.config.election_timeout();
         let has_grace_elapsed = now.duration_since(pending_step_down.started_at) >= election_grace;
         for group in self.groups.iter_mut().filter(|group| group.is_leader) {
@@ -156,28 +161,29 @@
             is_released && group.pending.is_empty()
         });
         if is_done && let Some(pending_step_down) = self.pending_step_down.take() {
-            // A responder that has given up waiting is not told.
+            // Fails if the caller no longer waits.
             let _ = pending_step_down.responder.send(());
         }
     }
 }
 
-/// A planned stop under way.
+/// A transfer of all leadership before a planned stop, in progress.
 pub(crate) struct PendingStepDown {
     pub(super) responder: oneshot::Sender<()>,
     pub(super) started_at: Instant,
 }
 
-/// Takes the next step towards the target; a refused one is tried again at the next tick.
+/// Proposes the next membership change towards the target. A change that is refused is proposed again at the next tick.
 fn step_towards_target(group: &mut Group, target: &Target) {
     let status = group.replica.status();
     if let Some(change) = next_membership_change(&status, target) {
-        // Refused while an earlier change is not committed or a learner has not caught up.
+        // Refused while an earlier change is uncommitted or a learner has not caught up.
         let _ = group.replica.change_membership(change);
     }
 }
 
-/// Additions come before removals, so that a change of every member keeps a quorum throughout.
+/// Returns the next membership change towards the target. Additions come before removals, so that the group keeps a
+/// quorum at every step even if all of its members are replaced.
 fn next_membership_change(status: &Status, target: &Target) -> Option<MembershipChange> {
     let membership = &status.membership;
     let wanted = target.voters.union(&target.learners);
@@ -196,6 +202,7 @@
     surplus.map(MembershipChange::Remove)
 }
 
+/// Whether a learner answers and its log is nearly complete in one group.
 fn has_caught_up(status: &Status, learner: ReplicaId) -> bool {
     let peer = status.peers.get(&learner);
     peer.is_some_and(|peer| {
@@ -205,6 +212,7 @@
     })
 }
 
+/// Starts a transfer of leadership unless the last one started less than [`TRANSFER_INTERVAL`] ago.
 fn transfer_if_due(group: &mut Group, to: ReplicaId, now: Instant) {
     let is_recent = group
         .last_transfer
@@ -213,11 +221,11 @@
         return;
     }
     group.last_transfer = Some(now);
-    // Refused when the other is no voter here; then the next tick after the interval tries again.
+    // Refused if the replica is not a voter of this group; the first tick after the interval tries again.
     let _ = group.replica.transfer_leadership(to);
 }
 
-/// The answering voter with the longest log.
+/// Returns the responsive voter, other than this replica, with the longest replicated log.
 fn transfer_target(status: &Status) -> Option<ReplicaId> {
     let voters = &status.membership.voters;
     let peers = status.peers.iter();
@@ -227,13 +235,14 @@
         .map(|(peer, _)| *peer)
 }
 
+/// Starts a transfer of leadership to the best candidate unless one is in progress.
 fn start_transfer(group: &mut Group) {
     let status = group.replica.status();
     if status.transfer.is_some() {
         return;
     }
-    if let Some(successor) = transfer_target(&status) {
+    if let Some(target) = transfer_target(&status) {
         // A refused transfer is tried again at the next tick.
-        let _ = group.replica.transfer_leadership(successor);
+        let _ = group.replica.transfer_leadership(target);
     }
 }
--- a/crates/sablehaven-control/src/driver/mod.rs
+++ b/crates/sablehaven-control/src/driver/mod.rs
@@ -1,5 +1,5 @@
-//! The task that drives every consensus group of this replica: inputs in, messages, writes and
-//! applied commands out, one sync for the writes of all groups.
+//! The task that drives every consensus group of this replica. It passes inputs to the groups, then sends their
+//! messages, writes their logs and applies their committed commands. One sync covers the pending writes of all groups.
 
 mod group;
 mod input;
--- a/crates/sablehaven-control/src/driver/pending.rs
+++ b/crates/sablehaven-control/src/driver/pending.rs
@@ -1,4 +1,4 @@
-//! Proposals that wait for their entry to be applied.
+//! Proposals whose log entry has not been applied yet.
 
 use std::{
     collections::VecDeque,
@@ -13,20 +13,21 @@
     machine::CommandOutcome,
 };
 
-/// When a caller may come back after an unanswered ledger call, in milliseconds.
+/// The delay after which a caller may retry a ledger call that the ledger could not process, in milliseconds.
 pub(crate) const LEDGER_RETRY_AFTER_MS: u64 = 200;
 
-/// One ledger call that waits, in the order of the requests of its batch.
+/// A ledger call that waits for its reply. The calls of a batch are in the order of its requests.
 pub(crate) struct LedgerCall {
+    /// The number by which the relay matches the reply to its call.
     pub(crate) call: u64,
     pub(crate) replies: LedgerReplies,
 }
 
-/// Who waits for an entry.
+/// The receivers of an entry's outcome.
 pub(crate) enum Responder {
     Shared(SharedResponder),
     Ledger(Vec<LedgerCall>),
-    /// The driver's own proposals; nobody waits.
+    /// No receiver: the driver itself made the proposal.
     None,
 }
 
@@ -39,12 +40,14 @@
 #[derive(Default)]
 pub(crate) struct PendingProposals {
     proposals: VecDeque<Proposal>,
+    /// The number of ledger calls in `proposals`.
     open_calls: usize,
-    /// When this replica stopped leading with proposals still open.
+    /// When this replica was first found not to lead while proposals were pending.
     leadership_lost_at: Option<Instant>,
 }
 
 impl PendingProposals {
+    /// Adds the proposal at a log position, which must come after the positions of all earlier proposals.
     pub(crate) fn push(&mut self, position: Position, responder: Responder) {
         self.open_calls += responder.call_count();
         let proposal = Proposal {
@@ -54,18 +57,18 @@
         self.proposals.push_back(proposal);
     }
 
-    /// Ledger calls that wait.
+    /// The number of ledger calls that wait for a reply.
     pub(crate) fn ledger_calls(&self) -> usize {
         self.open_calls
     }
 
-    /// Whether nobody waits.
+    /// Whether no proposal is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.proposals.is_empty()
     }
 
-    /// The proposer of the entry that is applied now; proposals that another entry took the place
-    /// of are told so.
+    /// Removes and returns the responder of the entry that is being applied. Fails the proposals up to its index that a
+    /// different entry has replaced.
     pub(crate) fn take(&mut self, applied: Position) -> Option<Responder> {
         while let Some(first) = self.proposals.front() {
             if first.position.index > applied.index {
@@ -81,8 +84,8 @@
         None
     }
 
-    /// Fails what is left a while after this replica has stopped leading. Until then an entry may
-    /// still be committed by the next leader and answered in full, as at a planned stop.
+    /// Fails all pending proposals once this replica has not led for the `grace` time. Before that, the next leader may
+    /// still commit their entries, so that the callers get the outcomes, as happens at a planned stop.
     pub(crate) fn expire(&mut self, is_leader: bool, now: Instant, grace: Duration) {
         if is_leader || self.proposals.is_empty() {
             self.leadership_lost_at = None;
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Fails everything: what becomes of it is not known here.
+    /// Fails all pending proposals. Whether they will be committed is unknown.
     pub(crate) fn fail_all(&mut self) {
         self.open_calls = 0;
         self.leadership_lost_at = None;
@@ -105,6 +108,7 @@
 }
 
 impl Responder {
+    /// The number of ledger calls that wait for this entry.
     fn call_count(&self) -> usize {
         match self {
             Self::Ledger(calls) => calls.len(),
@@ -112,7 +116,8 @@
         }
     }
 
-    /// Whether the entry is committed is not known. An asker that has gone is not told.
+    /// Reports that it is unknown whether the entry is or will be committed. Receivers that have been dropped are
+    /// ignored.
     pub(crate) fn fail(self) {
         match self {
             Self::Shared(respond) => {
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Answers with what became of the command.
+    /// Reports the outcome of the applied command.
     pub(crate) fn answer(self, applied: CommandOutcome) {
         match (self, applied) {
             (Self::Shared(respond), CommandOutcome::Shared(outcome)) => {
@@ -135,7 +140,7 @@
     }
 }
 
-/// Answers that no leader took the calls on, with when to come back.
+/// Replies to the calls that the ledger is unavailable, with the delay before a retry.
 pub(crate) fn refuse_calls(calls: Vec<LedgerCall>) {
     let unavailable = LedgerReply::Unavailable {
         retry_after_ms: LEDGER_RETRY_AFTER_MS,
@@ -144,7 +149,7 @@
     answer_calls(calls, replies);
 }
 
-/// Sends the replies, those of neighbouring calls of one relay together.
+/// Sends the replies. Replies to consecutive calls of one relay go out as one batch.
 fn answer_calls(calls: Vec<LedgerCall>, replies: Vec<LedgerReply>) {
     let mut answered: Option<(LedgerReplies, Vec<(u64, LedgerReply)>)> = None;
     for (call, reply) in calls.into_iter().zip(replies) {
@@ -161,7 +166,8 @@
     send_replies(answered);
 }
 
-/// A relay that has gone gets no answer; its agents ask again through another one.
+/// Sends a batch of replies to a relay. If the relay has disconnected, the batch is dropped: its agents retry through
+/// another relay.
 fn send_replies(answered: Option<(LedgerReplies, Vec<(u64, LedgerReply)>)>) {
     if let Some((sender, batch)) = answered {
         let _ = sender.send(batch);
--- a/crates/sablehaven-control/src/driver/publish.rs
+++ b/crates/sablehaven-control/src/driver/publish.rs
@@ -1,4 +1,4 @@
-//! What the driver publishes for the servers.
+//! Publishes the state that the servers follow (see [`PublishedState`](super::PublishedState)).
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use super::{machine::read, run::Driver};
 
 impl Driver {
-    /// Publishes who leads group 0, and since when if this replica does.
+    /// Publishes the leader, term and membership of group 0, and since when this replica leads, if it does.
     pub(super) fn publish_leadership(&self) {
         let status = self.groups[0].replica.status();
         let is_leader = status.role == Role::Leader;
@@ -32,7 +32,7 @@
         });
     }
 
-    /// Publishes the revision of the shared state.
+    /// Publishes the revisions of the shared state and its parts.
     pub(super) fn publish_revision(&self) {
         let (revision, routes_version, evacuation) = read(&self.state, |state| {
             let evacuation = state.evacuation().zones().revision;
--- a/crates/sablehaven-control/src/driver/reads.rs
+++ b/crates/sablehaven-control/src/driver/reads.rs
@@ -1,4 +1,5 @@
-//! Proofs of leadership: one round of the read index for all who ask between two rounds.
+//! Proofs of leadership by the read-index protocol. All requests that arrive between the starts of two rounds share the
+//! second round.
 
 use std::{collections::BTreeMap, time::Instant};
 
@@ -6,35 +7,38 @@
 
 use super::input::{LeadershipProof, ProofResponder};
 
-/// Askers that share a round.
+/// A read-index round and the requests that share it.
 struct ReadIndexRound {
-    /// Taken before the round starts: the proof holds for this moment.
-    asked_at: Instant,
+    /// Taken before the round starts, so the proof holds for this time.
+    holds_at: Instant,
     responders: Vec<ProofResponder>,
 }
 
-/// Proofs that are being made.
+/// Requests for a proof of leadership that have not been answered yet.
 #[derive(Default)]
 pub(crate) struct ProofQueue {
+    /// Requests that wait for the next round.
     queued: Vec<ProofResponder>,
     last_token: u64,
+    /// Rounds that no quorum has confirmed yet, by token.
     unconfirmed: BTreeMap<u64, ReadIndexRound>,
-    /// Confirmed rounds that wait until the state machine has applied their index.
+    /// Confirmed rounds, each with the index that the state machine must have applied before the round is answered.
     confirmed: Vec<(u64, ReadIndexRound)>,
 }
 
 impl ProofQueue {
+    /// Adds a request to the next round.
     pub(crate) fn queue(&mut self, responder: ProofResponder) {
         self.queued.push(responder);
     }
 
-    /// Starts one round for all who have asked since the last one.
+    /// Starts one round for all requests that arrived since the last one.
     pub(crate) fn start_round(&mut self, replica: &mut Replica) {
         if self.queued.is_empty() {
             return;
         }
         let round = ReadIndexRound {
-            asked_at: Instant::now(),
+            holds_at: Instant::now(),
             responders: std::mem::take(&mut self.queued),
         };
         self.last_token += 1;
@@ -46,7 +50,7 @@
         }
     }
 
-    /// Takes the answers of a ready.
+    /// Takes the confirmed and the refused reads of a [`Ready`](sablehaven_consensus::Ready).
     pub(crate) fn take_read_results(&mut self, reads: &[ReadReady], refused: &[u64]) {
         for read in reads {
             if let Some(round) = self.unconfirmed.remove(&read.token) {
@@ -60,7 +64,7 @@
         }
     }
 
-    /// Answers the confirmed rounds whose index is applied.
+    /// Answers the confirmed rounds whose index has been applied.
     pub(crate) fn answer_applied(
         &mut self,
         applied: u64,
@@ -73,7 +77,7 @@
                 continue;
             }
             let proof = LeadershipProof {
-                asked_at: round.asked_at,
+                holds_at: round.holds_at,
                 revision,
                 configuration_version,
             };
@@ -81,19 +85,21 @@
         }
     }
 
+    /// Whether any confirmed round has not been answered yet.
     pub(crate) fn has_confirmed(&self) -> bool {
         !self.confirmed.is_empty()
     }
 }
 
 impl ReadIndexRound {
-    /// A responder that has gone is not told.
+    /// Sends the proof to every request of the round, ignoring those whose receiver has been dropped.
     fn answer(self, proof: LeadershipProof) {
         for responder in self.responders {
             let _ = responder.send(Some(proof));
         }
     }
 
+    /// Answers every request of the round that this replica does not lead.
     fn refuse(self) {
         for responder in self.responders {
             let _ = responder.send(None);
--- a/crates/sablehaven-control/src/driver/removal.rs
+++ b/crates/sablehaven-control/src/driver/removal.rs
@@ -1,4 +1,4 @@
-//! How long a removal of a member is kept under way after the member is out of every group.
+//! Decides when the removal of a member is complete, after the member has left every group.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -10,22 +10,24 @@
     replicas::{ChangeKind, ReplicaChange, ReplicasState},
 };
 
-/// Watches over removals: the quotas have one part to spare for a member that is out and still spends its own, so the
-/// next change waits until that one's hold on it is over.
+/// Delays the completion of a removal while the removed member may still spend its part of the quotas.
+///
+/// A removed member may spend its part until its lease expires. The quotas are divided so that there is one spare part,
+/// for one such member. The next membership change therefore waits until the lease of the removed member has expired.
 pub(crate) struct RemovalMonitor {
     grants: Arc<Mutex<PartGrants>>,
-    /// Time for which a member may hold its part without a word of a leader.
+    /// How long a member's lease on its part may remain valid without contact with a leader.
     patience: Duration,
     observed_removal: Option<ObservedRemoval>,
 }
 
-/// A member that is known to be out of every group.
+/// A member that this replica, as the leader, knows to have left every group.
 struct ObservedRemoval {
-    /// The term of the leader that knows.
+    /// The term in which this replica leads.
     term: u64,
-    /// The number of the change that takes the member out.
+    /// The number of the change that removes the member.
     change: u64,
-    /// Since when the leader knows.
+    /// When the leader first knew in this term that the member had left.
     since: Duration,
 }
 
@@ -38,8 +40,9 @@
         }
     }
 
-    /// Whether the member that a change takes out, and that is out of every group, no longer has its part. Asked at each
-    /// tick of the leader of this term. `now` is a steady time that counts suspension.
+    /// Whether the member that a change removes can no longer spend its part of the quotas. The leader of `term` calls
+    /// this at each tick once the member has left every group. `now` is the reading of a monotonic clock that also
+    /// advances while the machine is suspended.
     pub(crate) fn is_removal_complete(
         &mut self,
         now: Duration,
@@ -71,7 +74,8 @@
     }
 }
 
-/// Whether the replica that joins answers at the address of the one that goes: that one has ended, then.
+/// Whether the replica that joins has the internal address of the one that leaves. If so, the process of the leaving
+/// replica has ended and spends nothing any more.
 fn is_in_place_replacement(kind: ChangeKind, replicas: &ReplicasState) -> bool {
     let internal_address = |replica| {
         let addresses = replicas.replicas().get(&replica)?;
--- a/crates/sablehaven-control/src/driver/removal/tests.rs
+++ b/crates/sablehaven-control/src/driver/removal/tests.rs
@@ -1,3 +1,5 @@
+//! Completion of a removal: the spare part of the quotas must not be given away while the removed member may spend it.
+
 use std::collections::BTreeMap;
 
 use sablehaven_consensus::ReplicaId;
@@ -19,18 +21,20 @@
     }
 }
 
-/// Replicas 1 to 3, with this change under way.
+/// Replicas 1 to 3, with this change in progress.
 fn with_change(kind: ChangeKind, joining: Option<ReplicaAddresses>) -> ReplicasState {
     let mut replicas = ReplicasState::default();
     let members = [1, 2, 3].map(|number| (ReplicaId(number), addresses(10 * number as u16)));
     replicas.apply(ReplicasCommand::Form(BTreeMap::from(members)));
-    let addresses = joining;
-    replicas.apply(ReplicasCommand::Begin { kind, addresses });
+    replicas.apply(ReplicasCommand::Begin {
+        kind,
+        addresses: joining,
+    });
     replicas
 }
 
-/// A watch of a leader that has led for long, and what it knows of grants.
-fn watch() -> (RemovalMonitor, Arc<Mutex<PartGrants>>) {
+/// The monitor of a leader that has led since time 0, and its record of grants.
+fn monitor() -> (RemovalMonitor, Arc<Mutex<PartGrants>>) {
     let grants: Arc<Mutex<PartGrants>> = Arc::default();
     grants
         .lock()
@@ -40,69 +44,89 @@
 }
 
 fn is_removal_complete(
-    watch: &mut RemovalMonitor,
+    monitor: &mut RemovalMonitor,
     now: Duration,
     term: u64,
     replicas: &ReplicasState,
 ) -> bool {
     let change = replicas.change().expect("a change");
-    watch.is_removal_complete(now, term, change, replicas)
+    monitor.is_removal_complete(now, term, change, replicas)
 }
 
 const REMOVED: ReplicaId = ReplicaId(3);
 
 #[test]
-fn a_member_that_was_silent_for_the_patience_has_no_part_to_wait_for() {
+fn removing_a_member_that_was_silent_for_the_patience_completes_at_once() {
     let replicas = with_change(ChangeKind::Remove { replica: REMOVED }, None);
-    let (mut watch, grants) = watch();
+    let (mut monitor, grants) = monitor();
     grants
         .lock()
         .expect("grants")
         .record_probe(at(1_000), REMOVED);
-    assert!(is_removal_complete(&mut watch, at(9_000), TERM, &replicas));
+    assert!(is_removal_complete(
+        &mut monitor,
+        at(9_000),
+        TERM,
+        &replicas
+    ));
 }
 
 #[test]
-fn an_operators_removal_of_a_member_that_answers_lasts_until_its_hold_is_over() {
+fn removing_a_member_that_probed_recently_completes_after_the_patience() {
     let replicas = with_change(ChangeKind::Remove { replica: REMOVED }, None);
-    let (mut watch, grants) = watch();
+    let (mut monitor, grants) = monitor();
     grants
         .lock()
         .expect("grants")
         .record_probe(at(9_000), REMOVED);
-    assert!(!is_removal_complete(&mut watch, at(9_100), TERM, &replicas));
     assert!(!is_removal_complete(
-        &mut watch,
+        &mut monitor,
+        at(9_100),
+        TERM,
+        &replicas
+    ));
+    assert!(!is_removal_complete(
+        &mut monitor,
         at(11_999),
         TERM,
         &replicas
     ));
-    assert!(is_removal_complete(&mut watch, at(12_000), TERM, &replicas));
+    assert!(is_removal_complete(
+        &mut monitor,
+        at(12_000),
+        TERM,
+        &replicas
+    ));
 }
 
 #[test]
-fn a_new_leader_waits_from_when_it_knows() {
+fn a_new_leader_restarts_the_wait() {
     let replicas = with_change(ChangeKind::Remove { replica: REMOVED }, None);
-    let (mut watch, grants) = watch();
+    let (mut monitor, grants) = monitor();
     grants
         .lock()
         .expect("grants")
         .record_probe(at(9_000), REMOVED);
-    assert!(!is_removal_complete(&mut watch, at(9_100), TERM, &replicas));
     assert!(!is_removal_complete(
-        &mut watch,
+        &mut monitor,
+        at(9_100),
+        TERM,
+        &replicas
+    ));
+    assert!(!is_removal_complete(
+        &mut monitor,
         at(12_000),
         TERM + 1,
         &replicas
     ));
     assert!(!is_removal_complete(
-        &mut watch,
+        &mut monitor,
         at(14_999),
         TERM + 1,
         &replicas
     ));
     assert!(is_removal_complete(
-        &mut watch,
+        &mut monitor,
         at(15_000),
         TERM + 1,
         &replicas
@@ -110,22 +134,27 @@
 }
 
 #[test]
-fn a_replacement_at_the_same_address_waits_for_nothing() {
+fn a_replacement_at_the_same_address_completes_at_once() {
     let kind = ChangeKind::Replace {
         old: REMOVED,
         new: ReplicaId(4),
         order: ReplacementOrder::RemoveFirst,
     };
-    let (mut watch, grants) = watch();
+    let (mut monitor, grants) = monitor();
     grants
         .lock()
         .expect("grants")
         .record_probe(at(9_000), REMOVED);
     let in_place = with_change(kind, Some(addresses(30)));
-    assert!(is_removal_complete(&mut watch, at(9_100), TERM, &in_place));
+    assert!(is_removal_complete(
+        &mut monitor,
+        at(9_100),
+        TERM,
+        &in_place
+    ));
     let elsewhere = with_change(kind, Some(addresses(40)));
     assert!(!is_removal_complete(
-        &mut watch,
+        &mut monitor,
         at(9_100),
         TERM,
         &elsewhere
--- a/crates/sablehaven-control/src/driver/restore.rs
+++ b/crates/sablehaven-control/src/driver/restore.rs
@@ -1,4 +1,4 @@
-//! The groups of this replica from what its disk holds.
+//! Restores the consensus groups of this replica from its data folder.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,7 +11,7 @@
 };
 use crate::{Config, StartError, ledger::LedgerState};
 
-/// Every group as its disk holds it.
+/// Restores every group from its stored log and snapshot. A group without stored data starts empty.
 pub(super) fn restore_groups(
     config: &Config,
     id: ReplicaId,
@@ -37,8 +37,9 @@
     Ok(groups)
 }
 
-/// Keys are spread by the number of groups: with another number a key would be looked for in a
-/// group that does not hold it, and could be claimed a second time.
+/// Checks that the number of ledger groups is the stored one. The hash that assigns a key to a group depends on this
+/// number: with a different one, a key would be looked up in a group that does not hold it, and could be claimed a
+/// second time.
 fn check_group_count(
     config: &Config,
     stored: &BTreeMap<u32, RestoredGroup>,
--- a/crates/sablehaven-control/src/driver/run.rs
+++ b/crates/sablehaven-control/src/driver/run.rs
@@ -36,10 +36,10 @@
     quotas::PartGrants,
 };
 
-/// Inputs that are taken in before their effects are carried out together.
+/// The most inputs that are handled before the resulting messages and writes are processed together.
 const MAX_INPUT_BATCH: usize = 512;
 
-/// What the driver is made of.
+/// The components from which the driver is built.
 pub(crate) struct DriverParts {
     pub(crate) config: Arc<Config>,
     pub(crate) opened: Opened,
@@ -64,7 +64,7 @@
     pub(super) snapshot_writer: SnapshotWriter,
     pub(super) proofs: ProofQueue,
     pub(super) pending_step_down: Option<PendingStepDown>,
-    /// Set for good by a planned stop: this replica gives leadership away.
+    /// Whether a planned stop has begun. It is never reset: until the end, this replica transfers any leadership away.
     pub(super) is_stepping_down: bool,
     pub(super) published: watch::Sender<PublishedState>,
     pub(super) removal: RemovalMonitor,
@@ -77,7 +77,7 @@
     storage_completions: mpsc::UnboundedReceiver<StorageCompletion>,
 }
 
-/// Why the driver cannot go on.
+/// The reason for which the driver must stop.
 pub(super) type Failure = String;
 
 impl Driver {
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Runs until it is cancelled or cannot go on; then syncs what is queued and closes the folder.
+    /// Runs until it is cancelled or fails. Then syncs the submitted writes and closes the data folder.
     pub(crate) async fn run(mut self, stop: CancellationToken) {
         let result = self.run_until(&stop).await;
         if let Err(failure) = &result {
@@ -141,18 +141,19 @@
 
     async fn run_until(&mut self, stop: &CancellationToken) -> Result<(), Failure> {
         let mut ticker = tokio::time::interval(Duration::from_millis(self.config.tick_ms));
-        // A process that was frozen must not make up for the lost ticks at once: its followers'
-        // heartbeats would not have had the time to arrive.
+        // A process that was frozen must not catch up on its missed ticks at once: the heartbeats of other replicas
+        // would not have had time to arrive.
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 () = stop.cancelled() => return Ok(()),
-                Some(done) = self.storage_completions.recv() => self.handle_storage_completion(done)?,
+                Some(completion) = self.storage_completions.recv() => self.handle_storage_completion(completion)?,
                 _ = ticker.tick() => self.tick()?,
                 Some(input) = self.inputs.recv() => self.handle_inputs(input).await?,
             }
             self.propose_queued();
-            // Before any message says so: whoever is sent here as to the leader must find one.
+            // Published before any message names this replica as the leader, so that a client that is redirected here
+            // finds a leader.
             self.publish_leadership();
             self.process_readies()?;
             self.start_write();
@@ -160,6 +161,7 @@
         }
     }
 
+    /// Handles an input and those that are already queued behind it, up to [`MAX_INPUT_BATCH`].
     async fn handle_inputs(&mut self, first: Input) -> Result<(), Failure> {
         self.handle_input(first).await?;
         for _ in 1..MAX_INPUT_BATCH {
@@ -171,6 +173,7 @@
         Ok(())
     }
 
+    /// Handles one input.
     async fn handle_input(&mut self, input: Input) -> Result<(), Failure> {
         match input {
             Input::Peer {
@@ -225,6 +228,7 @@
         Ok(())
     }
 
+    /// Advances the logical clock of every group and performs the periodic tasks.
     fn tick(&mut self) -> Result<(), Failure> {
         let now = Instant::now();
         let grace = self.config.election_timeout();
@@ -242,6 +246,7 @@
         self.start_due_snapshots()
     }
 
+    /// Proposes the queued ledger calls and starts a round for the queued requests for a proof of leadership.
     fn propose_queued(&mut self) {
         let limits = self.config.ledger;
         for group in &mut self.groups[1..] {
@@ -250,6 +255,7 @@
         self.proofs.start_round(&mut self.groups[0].replica);
     }
 
+    /// Processes the readies of every group, then answers the requests for a proof whose index has been applied.
     fn process_readies(&mut self) -> Result<(), Failure> {
         for index in 0..self.groups.len() {
             loop {
@@ -274,7 +280,7 @@
         Ok(())
     }
 
-    /// Carries out a ready in the order that [`Ready`] asks for.
+    /// Processes a ready in the order that [`Ready`] requires.
     fn process_ready(&mut self, index: usize, mut ready: Ready) -> Result<(), Failure> {
         if let Some(fault) = ready.fault {
             return Err(format!("group {index}: {fault}"));
@@ -305,6 +311,9 @@
         Ok(())
     }
 
+    /// Queues the writes of a ready, and the messages that must not be sent before these writes are synced. A ready
+    /// without writes may have such messages too; they are sent immediately if no earlier write of the group is
+    /// pending.
     fn queue_write(&mut self, group: u32, ready: Ready) {
         let must_sync = ready.must_sync();
         let messages = ready.messages_after_sync;
@@ -332,6 +341,7 @@
         }
     }
 
+    /// Submits the next batch of writes unless one is in progress.
     fn start_write(&mut self) {
         if let Some(batch) = self.writes.start_next() {
             self.submit(StorageJob::Write(batch));
@@ -342,15 +352,16 @@
         self.storage.submit(job);
     }
 
-    /// After a failed write or sync nothing more may be acknowledged: what the disk holds is unknown.
-    fn handle_storage_completion(&mut self, done: StorageCompletion) -> Result<(), Failure> {
-        self.metrics.storage(&done.counters);
-        for group in done.groups_to_compact {
+    /// Handles a finished job of the storage thread. A failed write or sync stops the driver: the content of the disk
+    /// is then unknown, so nothing more may be acknowledged.
+    fn handle_storage_completion(&mut self, completion: StorageCompletion) -> Result<(), Failure> {
+        self.metrics.storage(&completion.counters);
+        for group in completion.groups_to_compact {
             if let Some(group) = self.groups.get_mut(group as usize) {
                 group.snapshots.is_requested = true;
             }
         }
-        match done.result {
+        match completion.result {
             Ok(CompletedJob::Written) => self.handle_written_batch(),
             Ok(CompletedJob::Compacted { group, metadata }) => {
                 self.groups[group as usize].compacted(&metadata);
@@ -360,8 +371,8 @@
         Ok(())
     }
 
-    /// The order must hold: the replica first learns that its own copy is synced, then its
-    /// acknowledgements go out.
+    /// Reports a synced batch to the groups and sends the messages that waited for it. The order matters: each replica
+    /// is told that its own copy is synced before its acknowledgements are sent.
     fn handle_written_batch(&mut self) {
         let after_sync = self.writes.complete_in_flight();
         for (group, number) in after_sync.ready_numbers {
@@ -372,7 +383,8 @@
         }
     }
 
-    /// Writes the first entry of a new deployment, unless this replica holds one by now.
+    /// Writes the first entry of a new deployment to every group. Does nothing if this replica already holds any data
+    /// or is not one of the first voters.
     async fn form(&mut self, voters: BTreeSet<ReplicaId>) -> Result<(), Failure> {
         let is_blank = self.groups.iter().all(Group::is_blank) && self.writes.is_idle();
         if !is_blank || !voters.contains(&self.id) {
@@ -386,10 +398,12 @@
             snapshot: None,
         });
         self.storage.submit(StorageJob::Write(writes.collect()));
-        // The replica may take part only once its first entry is synced.
+        // The replica may participate only after its first entry is synced.
         match self.storage_completions.recv().await {
-            Some(done) => done.result.map_err(|error| format!("store: {error}"))?,
-            None => return Err("store: the storage thread ended".to_owned()),
+            Some(completion) => completion
+                .result
+                .map_err(|error| format!("store: {error}"))?,
+            None => return Err("store: the storage thread has ended".to_owned()),
         };
         for group in &mut self.groups {
             group.replica = Replica::new(self.config.consensus(), self.id, start.clone());
@@ -397,6 +411,7 @@
         Ok(())
     }
 
+    /// Fails the pending proposals of every group.
     fn fail_pending(&mut self) {
         for group in &mut self.groups {
             group.pending.fail_all();
--- a/crates/sablehaven-control/src/driver/snapshots.rs
+++ b/crates/sablehaven-control/src/driver/snapshots.rs
@@ -1,4 +1,4 @@
-//! When snapshots of the state machines are taken, and how they reach the disk.
+//! Schedules snapshots of the state machines and writes them to the disk.
 
 use std::time::{Duration, Instant};
 
@@ -12,13 +12,13 @@
     storage_thread::StorageJob,
 };
 
-/// Pause after a snapshot that could not be written: a full disk does not become empty at once, and
-/// each try costs the encoding of the state.
+/// The delay before the next snapshot after one could not be written. A full disk rarely has space again at once, and
+/// each attempt costs the encoding of the whole state.
 const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 impl Driver {
-    /// Starts the snapshots that are due. The state is encoded here, and written by another thread
-    /// so that the log goes on meanwhile.
+    /// Starts the snapshots that are due. The state is encoded on this task, but written by another thread, so that the
+    /// driver continues to process log entries during the write.
     pub(super) fn start_due_snapshots(&mut self) -> Result<(), Failure> {
         for index in 0..self.groups.len() {
             if self.is_snapshot_due(&self.groups[index]) {
@@ -28,6 +28,7 @@
         Ok(())
     }
 
+    /// Whether a snapshot of a group is due and none is being written or delayed.
     fn is_snapshot_due(&self, group: &Group) -> bool {
         let schedule = &group.snapshots;
         let entries = group.applied.saturating_sub(schedule.index);
@@ -39,6 +40,7 @@
         is_due && entries > 0 && !schedule.is_running && !is_retry_delayed
     }
 
+    /// Takes a snapshot of a group and starts writing it.
     fn start_snapshot(&mut self, index: usize) -> Result<(), Failure> {
         let group = &mut self.groups[index];
         let snapshot = group.take_snapshot();
@@ -64,13 +66,14 @@
                 metadata,
                 result,
             };
-            // An ended driver needs no snapshot.
+            // Fails only if the driver has ended, which then needs no snapshot.
             handle.send(input).await;
         });
         Ok(())
     }
 
-    /// A snapshot that could not be written leaves the log as it is; the next one is tried later.
+    /// Submits a written snapshot to the storage thread, which puts it into force and compacts the log. After a failed
+    /// write, the log stays as it is and a later tick takes another snapshot.
     pub(super) fn handle_prepared_snapshot(
         &mut self,
         group: u32,
--- a/crates/sablehaven-control/src/driver/storage_thread.rs
+++ b/crates/sablehaven-control/src/driver/storage_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that writes and syncs: one job at a time, in order.
+//! The thread that writes to the storage and syncs it, one job at a time and in order.
 
 use std::{sync::mpsc as std_mpsc, thread::JoinHandle};
 
@@ -8,9 +8,9 @@
 
 /// A job for the storage thread.
 pub(crate) enum StorageJob {
-    /// Write and sync one batch.
+    /// Writes and syncs one batch.
     Write(Vec<GroupWrite>),
-    /// Bring a snapshot into force.
+    /// Puts a prepared snapshot into force and deletes the log entries that it covers.
     Compact {
         group: u32,
         metadata: SnapshotMetadata,
@@ -22,11 +22,11 @@
 pub(crate) struct StorageCompletion {
     pub(crate) result: Result<CompletedJob, StorageError>,
     pub(crate) counters: StorageCounters,
-    /// Groups whose entries keep old segments.
+    /// Groups whose entries prevent the deletion of old log segments.
     pub(crate) groups_to_compact: Vec<u32>,
 }
 
-/// What has been done.
+/// What a finished job has done.
 pub(crate) enum CompletedJob {
     Written,
     Compacted {
@@ -54,12 +54,12 @@
         Ok((Self { jobs, thread }, receiver))
     }
 
-    /// Queues a job. After the thread has ended the job is dropped, and so is its answer.
+    /// Queues a job. If the thread has ended, the job is dropped and no completion is sent.
     pub(crate) fn submit(&self, job: StorageJob) {
         let _ = self.jobs.send(job);
     }
 
-    /// Finishes the queued jobs and closes the data folder.
+    /// Waits until the queued jobs are finished and the data folder is closed.
     pub(crate) async fn stop(self) {
         drop(self.jobs);
         let thread = self.thread;
@@ -70,6 +70,7 @@
     }
 }
 
+/// Runs the jobs until the queue is closed or nobody receives the completions.
 fn run(
     mut storage: Storage,
     queue: &std_mpsc::Receiver<StorageJob>,
--- a/crates/sablehaven-control/src/driver/stored_addresses.rs
+++ b/crates/sablehaven-control/src/driver/stored_addresses.rs
@@ -1,4 +1,4 @@
-//! Where other replicas are reached, as the entries of this replica's own log say.
+//! The addresses of other replicas according to the stored log of this replica.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -6,21 +6,23 @@
 
 use crate::{codec, replicas::ReplicasCommand, shared::SharedCommand};
 
-/// Addresses from entries that may not be applied yet.
+/// Addresses from log entries that may not have been applied yet.
 ///
-/// After a loss of power nobody knows which entries are committed, so none is applied and the shared
-/// state names nobody; but the replicas must find each other before a leader can tell. Members of the
-/// log that do not take effect in the end are dialled in vain for that time only.
+/// After a power loss no replica knows which of its entries are committed. It applies none, so its shared state
+/// contains no addresses. But the replicas must connect to each other before they can elect a leader, which determines
+/// what is committed. Until then they use the addresses in their stored logs. An address from an entry that is never
+/// committed causes failed connection attempts during this time only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct StoredAddresses {
-    /// For internal connections.
+    /// The address of each replica for internal connections.
     pub(crate) internal: BTreeMap<ReplicaId, SocketAddr>,
-    /// Once this entry is applied the shared state says as much.
+    /// The index of the last entry that was read. Once it is applied, the shared state contains these addresses.
     pub(crate) last_index: u64,
 }
 
 impl StoredAddresses {
-    /// Reads the entries of group 0. One that cannot be read names nobody: applying it reports why.
+    /// Collects the addresses from the entries of group 0. Entries that cannot be decoded are skipped; the error is
+    /// reported when they are applied.
     pub(crate) fn read(entries: &[Entry]) -> Self {
         let mut stored = Self::default();
         for entry in entries {
@@ -35,6 +37,7 @@
         stored
     }
 
+    /// Adds the addresses that a command contains.
     fn add_command(&mut self, command: ReplicasCommand) {
         match command {
             ReplicasCommand::Form(replicas) => {
--- a/crates/sablehaven-control/src/driver/writes.rs
+++ b/crates/sablehaven-control/src/driver/writes.rs
@@ -1,41 +1,42 @@
-//! Writes on their way to the disk: readies of all groups, batched into one sync.
+//! The queue of writes from the readies of all groups. Writes are batched so that the groups share one sync.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use sablehaven_consensus::{Entry, HardState, Message, ReplicaId, Snapshot};
 use sablehaven_storage::GroupWrite;
 
-/// Messages of one group that wait for a sync.
+/// Messages of one group, which must not be sent before a sync.
 pub(crate) type GroupMessages = Vec<(ReplicaId, Message)>;
 
-/// What is due once a batch is synced.
+/// What must be done once a batch is synced.
 #[derive(Debug, Default)]
 pub(crate) struct AfterSync {
-    /// The latest ready of each group that the batch holds.
+    /// The number of the latest ready in the batch, by group.
     pub(crate) ready_numbers: BTreeMap<u32, u64>,
     /// Messages that waited for the sync, by group, in order.
     pub(crate) messages: Vec<(u32, GroupMessages)>,
 }
 
-/// A batch of writes for many groups, each at most once.
+/// A batch of writes, with at most one for each group.
 #[derive(Debug, Default)]
 struct Batch {
     writes: BTreeMap<u32, GroupWrite>,
     after_sync: AfterSync,
 }
 
-/// Batches that wait, oldest first, and the one that is being written.
+/// Queued batches, oldest first, and the batch that is being written.
 ///
-/// Writes reach the disk in the order of their readies, and a message that waits for a sync is
-/// released only with the batch of its own ready, or of the latest before it: otherwise a vote or an
-/// acknowledgement could be forgotten in a crash, and a committed entry lost.
+/// Writes reach the disk in the order of their readies. A message that waits for a sync is released only after the sync
+/// of the batch with its own ready or, if that ready has no writes, with the latest earlier ready of the group that has
+/// any. Otherwise a crash could undo a vote or an acknowledgement that was already sent, and a committed entry could be
+/// lost.
 #[derive(Debug, Default)]
 pub(crate) struct WriteQueue {
     waiting: VecDeque<Batch>,
     in_flight: Option<AfterSync>,
 }
 
-/// What one ready wants written.
+/// The writes of one ready.
 #[derive(Debug)]
 pub(crate) struct ReadyWrite {
     pub(crate) number: u64,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Queues messages of a ready without writes. Returns them if nothing is left to be synced
-    /// before them.
+    /// Queues the messages of a ready without writes. Returns them if no earlier write of the group is pending, in
+    /// which case they can be sent immediately.
     pub(crate) fn push_messages(
         &mut self,
         group: u32,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The next batch to write, unless one is being written.
+    /// Removes and returns the next batch to write, unless one is being written.
     pub(crate) fn start_next(&mut self) -> Option<Vec<GroupWrite>> {
         if self.in_flight.is_some() {
             return None;
@@ -91,23 +92,25 @@
         Some(batch.writes.into_values().collect())
     }
 
-    /// The batch that was being written is synced.
+    /// Records that the batch that was being written is synced, and returns what must be done now.
     pub(crate) fn complete_in_flight(&mut self) -> AfterSync {
         self.in_flight.take().unwrap_or_default()
     }
 
-    /// Whether everything is synced.
+    /// Whether no write is queued or in progress.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight.is_none() && self.waiting.is_empty()
     }
 }
 
-/// A snapshot replaces the whole log, so it stays a write of its own.
+/// Whether a write can be merged into a queued one of the same group. A snapshot replaces the whole log, so its write
+/// is never merged.
 fn can_merge(queued: &GroupWrite, write: &ReadyWrite) -> bool {
     queued.snapshot.is_none() && write.snapshot.is_none()
 }
 
 impl Batch {
+    /// Adds the writes and messages of a ready, merging the writes into those of the group's earlier readies.
     fn add_ready(&mut self, group: u32, write: ReadyWrite, messages: GroupMessages) {
         self.after_sync.ready_numbers.insert(group, write.number);
         if !messages.is_empty() {
@@ -123,7 +126,7 @@
     }
 }
 
-/// Appends entries, which replace those from the first one's index on.
+/// Appends new entries after removing the old ones from the first new entry's index on.
 fn replace_tail(entries: &mut Vec<Entry>, new: Vec<Entry>) {
     let Some(first) = new.first() else {
         return;
--- a/crates/sablehaven-control/src/driver/writes/tests.rs
+++ b/crates/sablehaven-control/src/driver/writes/tests.rs
@@ -1,4 +1,4 @@
-//! Writes of all groups: order, batching, and what waits for a sync.
+//! The write queue: order and batching of writes, and when messages are released.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use sablehaven_consensus::{
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn writes_of_all_groups_share_a_batch_and_one_is_under_way_at_a_time() {
+fn groups_share_a_batch_and_one_batch_is_written_at_a_time() {
     let mut queue = WriteQueue::default();
     queue.push(1, ready(1, vec![entry(1, 1)]), message(1));
     let first = queue.start_next().expect("a batch");
@@ -37,7 +37,10 @@
     queue.push(1, ready(2, vec![entry(2, 1)]), message(2));
     queue.push(2, ready(1, vec![entry(1, 1)]), message(3));
     queue.push(1, ready(3, vec![entry(3, 1)]), message(4));
-    assert!(queue.start_next().is_none(), "one at a time");
+    assert!(
+        queue.start_next().is_none(),
+        "second batch started before the first was synced"
+    );
     let after_sync = queue.complete_in_flight();
     assert_eq!(after_sync.messages, [(1, message(1))]);
     let second = queue.start_next().expect("a batch");
@@ -70,18 +73,18 @@
 }
 
 #[test]
-fn a_snapshot_is_a_write_of_its_own() {
+fn a_snapshot_is_not_merged_with_other_writes() {
     let mut queue = WriteQueue::default();
     queue.push(1, ready(1, vec![entry(5, 1)]), vec![]);
-    let mut installs = ready(2, vec![entry(21, 2)]);
-    installs.snapshot = Some(Snapshot {
+    let mut with_snapshot = ready(2, vec![entry(21, 2)]);
+    with_snapshot.snapshot = Some(Snapshot {
         metadata: SnapshotMetadata {
             index: 20,
             ..SnapshotMetadata::default()
         },
         data: vec![],
     });
-    queue.push(1, installs, vec![]);
+    queue.push(1, with_snapshot, vec![]);
     queue.push(1, ready(3, vec![entry(22, 2)]), vec![]);
     let mut batches = 0;
     while let Some(batch) = queue.start_next() {
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn messages_without_writes_wait_for_earlier_writes_of_their_group_only() {
+fn messages_of_a_ready_without_writes_wait_only_for_earlier_writes_of_their_group() {
     let mut queue = WriteQueue::default();
     assert_eq!(queue.push_messages(1, message(1)), Some(message(1)));
     queue.push(1, ready(1, vec![entry(1, 1)]), vec![]);
@@ -112,25 +115,25 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the order of readies and syncs: a group's messages are released in their order, and
-    /// never before every earlier write of the group is synced.
+    /// For any order of readies and syncs, the messages of a group are released in order, and none before all earlier
+    /// writes of the group are synced.
     #[test]
-    fn nothing_is_released_before_its_sync(
+    fn messages_are_released_in_order_after_their_sync(
         steps in prop::collection::vec((0_u32..3, any::<bool>(), any::<bool>()), 1..60),
     ) {
         let mut queue = WriteQueue::default();
         let mut written = [0_u64; 3];
         let mut synced = [0_u64; 3];
         let mut released = [0_u64; 3];
-        // Rounds number the messages; what each one waits for is its group's count of writes.
+        // The group of each message and the number of that group's writes before it. The message's round is the index.
         let mut waits_for: Vec<(u32, u64)> = Vec::new();
         let mut check = |group: u32, messages: GroupMessages, waits: &[(u32, u64)], synced: &[u64; 3]| {
             for (_, message) in messages {
                 let Message::HeartbeatReply { round, .. } = message else { unreachable!() };
-                let (owner, writes) = waits[round as usize];
+                let (owner, write_count) = waits[round as usize];
                 assert_eq!(owner, group);
-                assert!(synced[group as usize] >= writes, "released before its sync");
-                assert!(released[group as usize] <= round, "out of order");
+                assert!(synced[group as usize] >= write_count, "message released before its sync");
+                assert!(released[group as usize] <= round, "messages released out of order");
                 released[group as usize] = round;
             }
         };
@@ -144,7 +147,7 @@
             }
             queue.start_next();
         };
-        for (group, has_write, syncs) in steps {
+        for (group, has_write, has_sync) in steps {
             let count = &mut written[group as usize];
             let round = waits_for.len() as u64;
             if has_write {
@@ -159,7 +162,7 @@
                     prop_assert_eq!(due.len(), 1);
                 }
             }
-            if syncs {
+            if has_sync {
                 sync(&mut queue, &mut synced, &waits_for);
             }
         }
--- a/crates/sablehaven-control/src/ledger/entry.rs
+++ b/crates/sablehaven-control/src/ledger/entry.rs
@@ -1,32 +1,35 @@
-//! One key of the ledger.
+//! The ledger's record of one key.
 
 use sablehaven_types::{ClaimAnswer, ClaimId, LedgerReply, RecordedOutcome};
 use serde::{Deserialize, Serialize};
 
-/// Released claims that one key remembers. A claim older than these, delivered again by the
-/// network, would hold the key without anyone dispatching: a loss of service for one key, never a
-/// second dispatch.
+/// The most released claims that are recorded for one key. If the network delivers an older claim again, that claim
+/// takes hold of the key although its sender no longer dispatches the request. This makes one key unavailable, but
+/// never causes a second dispatch.
 const MAX_RELEASED_CLAIMS: usize = 4;
 
+/// The claims of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct LedgerEntry {
+    /// The fingerprint of the request; a claim with a different one is refused.
     fingerprint: u64,
     status: EntryStatus,
-    /// Claims that were given back, oldest first.
+    /// Released claims, oldest first.
     released: Vec<ClaimId>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum EntryStatus {
-    /// The claim's holder may dispatch once, and may have done so.
+    /// The holder of the claim may dispatch the request once, and may have done so already.
     Held(ClaimId),
-    /// The claim's holder dispatched, and this came of it.
+    /// The holder of the claim has dispatched the request, with this outcome.
     Settled(ClaimId, RecordedOutcome),
-    /// The claim was given back; another one may be granted.
+    /// The claim was released; another one may be granted.
     Released,
 }
 
 impl LedgerEntry {
+    /// A new entry that is held by a claim.
     pub(super) fn held(claim: ClaimId, fingerprint: u64) -> Self {
         Self {
             fingerprint,
@@ -35,6 +38,7 @@
         }
     }
 
+    /// The size of the recorded reply body.
     pub(super) fn body_bytes(&self) -> u64 {
         match &self.status {
             EntryStatus::Settled(_, RecordedOutcome::Done { body }) => body.len() as u64,
@@ -42,7 +46,8 @@
         }
     }
 
-    /// The holder's own resend is granted again: the holder dispatches once whatever it hears.
+    /// Grants a claim if the last one was released. A claim that the holder sends again is granted again: the holder
+    /// dispatches the request only once, however many replies it gets.
     pub(super) fn claim(&mut self, claim: ClaimId, fingerprint: u64) -> ClaimAnswer {
         if fingerprint != self.fingerprint {
             return ClaimAnswer::FingerprintMismatch;
@@ -61,7 +66,8 @@
         }
     }
 
-    /// The first outcome stays: a later one for the same claim changes nothing.
+    /// Records the outcome of the claim that holds the key. A later outcome for the same claim does not replace the
+    /// first.
     pub(super) fn settle(&mut self, claim: ClaimId, outcome: RecordedOutcome) -> LedgerReply {
         match &self.status {
             EntryStatus::Held(holder) if *holder == claim => {
@@ -73,6 +79,7 @@
         }
     }
 
+    /// Releases a claim whose request was not dispatched, so that another claim may be granted.
     pub(super) fn release(&mut self, claim: ClaimId) -> LedgerReply {
         if self.released.contains(&claim) {
             return LedgerReply::Recorded;
@@ -87,6 +94,7 @@
         }
     }
 
+    /// Records a released claim in place of the oldest one if there are already [`MAX_RELEASED_CLAIMS`].
     fn record_released(&mut self, claim: ClaimId) {
         if self.released.len() == MAX_RELEASED_CLAIMS {
             self.released.remove(0);
@@ -94,6 +102,7 @@
         self.released.push(claim);
     }
 
+    /// Returns the state of the key without claiming it.
     pub(super) fn look_up(&self) -> ClaimAnswer {
         match &self.status {
             EntryStatus::Held(_) => ClaimAnswer::Held,
--- a/crates/sablehaven-control/src/ledger/limits.rs
+++ b/crates/sablehaven-control/src/ledger/limits.rs
@@ -1,23 +1,24 @@
-//! Bounds of the ledger's memory and of the issue times that it accepts.
+//! Limits on the ledger's memory and on the issue times that it accepts.
 
 use sablehaven_types::{RecordedOutcome, SettingChecks, SettingError};
 use serde::{Deserialize, Serialize};
 
-/// Bounds of one ledger group.
+/// The limits of one ledger group.
 ///
-/// They travel inside each command, so that replicas with different settings still apply it alike.
+/// Each command contains the limits of its proposer, so that replicas with different settings apply it with the same
+/// result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerLimits {
-    /// Time for which a key is kept after its issue time, in milliseconds.
+    /// How long a key is kept after its issue time, in milliseconds.
     pub retention_ms: u64,
-    /// How far a key's issue time may lie ahead of the ledger's clock, in milliseconds.
+    /// How far a key's issue time may be ahead of the ledger's clock, in milliseconds.
     pub future_ms: u64,
-    /// Keys that one group holds; further claims are refused as not run.
+    /// The most keys that one group holds. Claims of further keys are refused, and their requests are not run.
     pub entries: u64,
-    /// Bytes of one recorded reply body.
+    /// The maximum size of one recorded reply body, in bytes.
     pub body_bytes: u64,
-    /// Bytes of all recorded reply bodies of one group.
+    /// The maximum total size of the recorded reply bodies of one group, in bytes.
     pub total_body_bytes: u64,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl LedgerLimits {
-    /// Every setting that cannot be used; keys start with `prefix`.
+    /// Returns an error for every invalid setting; the keys in the errors start with `prefix`.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
         let mut checks = SettingChecks::new(prefix);
         checks.at_least("retention_ms", self.retention_ms, 1_000);
@@ -43,8 +44,8 @@
         checks.into_errors()
     }
 
-    /// The outcome as it is recorded: a reply body over the limits is left out, and a resend then
-    /// learns only that the request was dispatched.
+    /// Returns the outcome to record. A reply body that exceeds the limits is not recorded; the reply to a resend then
+    /// says only that the request was dispatched.
     pub(super) fn outcome_within_limits(
         &self,
         outcome: &RecordedOutcome,
--- a/crates/sablehaven-control/src/ledger/mod.rs
+++ b/crates/sablehaven-control/src/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! The request ledger as a deterministic state machine: at most one claim of a key is ever granted
-//! at a time, and a key is forgotten only below a horizon under which no claim is granted.
+//! The request ledger as a deterministic state machine. At most one claim of a key is granted at any time. Keys are
+//! removed only if they were issued before the horizon, and no claim of such a key is granted.
 
 mod entry;
 mod limits;
@@ -17,15 +17,15 @@
 pub use self::limits::LedgerLimits;
 use crate::codec::{self, CodecError};
 
-/// How long before the opening of a ledger a key may have been issued, in milliseconds: callers'
-/// clocks differ a little, and nobody replaces a lost deployment by a new one within this time.
+/// How long before the opening of a ledger a key may have been issued, in milliseconds. This allows for differences
+/// between the clocks of callers. It is safe because replacing a lost deployment by a new one takes longer.
 const OPENING_CLOCK_SKEW_MS: u64 = 1_000;
 
-/// The group, counted from 1, that holds a key when keys are spread over `groups` groups.
+/// Returns the number, from 1, of the ledger group that holds a key if there are `groups` ledger groups.
 pub fn group_of_key(key: &LedgerKey, groups: u32) -> u32 {
     let mut hash = Xxh3::new();
     hash.update(key.caller.as_str().as_bytes());
-    // A separator that no text holds, so that ("ab", "c") and ("a", "bc") differ.
+    // 0xff does not occur in UTF-8, so with this separator ("ab", "c") and ("a", "bc") hash differently.
     hash.update(&[0xff]);
     hash.update(key.request.as_str().as_bytes());
     hash.update(&[0xff]);
@@ -34,7 +34,7 @@
     1 + u32::try_from(group).unwrap_or_default()
 }
 
-/// A key ordered by issue time first, so that forgetting below the horizon takes from the front.
+/// A key that is ordered by issue time first, so that the keys below the horizon are the first ones in the map.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct OrderedKey {
     issued_at_ms: u64,
@@ -56,17 +56,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerState {
     entries: BTreeMap<OrderedKey, LedgerEntry>,
-    /// The latest proposer's time seen; never goes back.
+    /// The latest time of any proposer; never decreases.
     clock_ms: u64,
-    /// Keys issued before this are forgotten and refused; never goes back.
+    /// Keys that were issued before this time are removed, and new claims of them are refused; never decreases.
     horizon_ms: u64,
-    /// Bytes of all recorded reply bodies.
+    /// The total size of all recorded reply bodies.
     body_bytes: u64,
     is_open: bool,
 }
 
 impl LedgerState {
-    /// Keys issued before this time, in milliseconds since the Unix epoch, are refused.
+    /// Keys that were issued before this time, in milliseconds since the Unix epoch, are refused.
     pub fn horizon_ms(&self) -> u64 {
         self.horizon_ms
     }
@@ -81,12 +81,12 @@
         self.entries.is_empty()
     }
 
-    /// Bytes of all recorded reply bodies.
+    /// The total size of all recorded reply bodies, in bytes.
     pub fn body_bytes(&self) -> u64 {
         self.body_bytes
     }
 
-    /// Applies a committed batch; the same on every replica. Replies are in the requests' order.
+    /// Applies a committed batch, with the same result on every replica. The replies are in the order of the requests.
     pub fn apply(
         &mut self,
         proposed_at_ms: u64,
@@ -100,10 +100,10 @@
             .collect()
     }
 
-    /// Moves clock and horizon forward and forgets what lies below the horizon.
+    /// Advances the clock and the horizon, and removes the keys that were issued before the horizon.
     ///
-    /// The horizon must move before anything is forgotten: a forgotten key above the horizon could
-    /// be claimed, and so dispatched, a second time.
+    /// The horizon must advance before any key is removed: a removed key at or above the horizon could be claimed, and
+    /// so its request dispatched, a second time.
     fn advance_horizon(&mut self, proposed_at_ms: u64, limits: &LedgerLimits) {
         self.clock_ms = self.clock_ms.max(proposed_at_ms);
         let horizon_ms = self.clock_ms.saturating_sub(limits.retention_ms);
@@ -117,6 +117,7 @@
         }
     }
 
+    /// Applies one request of a batch.
     fn apply_one(&mut self, limits: &LedgerLimits, request: &LedgerRequest) -> LedgerReply {
         match request {
             LedgerRequest::Claim {
@@ -205,19 +206,19 @@
 /// A command of a ledger group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerCommand {
-    /// The first command of a new ledger: keys issued before it are refused.
+    /// The first command of a new ledger, after which keys that were issued earlier are refused.
     ///
-    /// A ledger is new also when a deployment was started again after the loss of all its disks.
-    /// What its predecessor had granted is not known any more, and must not be granted again.
+    /// A ledger is also new if a deployment was formed again after the loss of all its disks. The claims that its
+    /// predecessor granted are then unknown, and must not be granted a second time.
     Open {
         /// The proposer's time, in milliseconds since the Unix epoch.
         proposed_at_ms: u64,
     },
-    /// Requests that are applied together.
+    /// Requests that are applied together, in order.
     Batch {
         /// The proposer's time, in milliseconds since the Unix epoch.
         proposed_at_ms: u64,
-        /// The bounds to apply them under.
+        /// The limits that apply to the requests.
         limits: LedgerLimits,
         /// The requests.
         requests: Vec<LedgerRequest>,
@@ -225,7 +226,7 @@
 }
 
 impl LedgerState {
-    /// Applies a committed command; the same on every replica.
+    /// Applies a committed command, with the same result on every replica.
     pub fn apply_command(&mut self, command: &LedgerCommand) -> Vec<LedgerReply> {
         match command {
             LedgerCommand::Open { proposed_at_ms } => {
@@ -245,6 +246,7 @@
         self.is_open
     }
 
+    /// Moves the horizon to the opening, less [`OPENING_CLOCK_SKEW_MS`].
     fn open(&mut self, proposed_at_ms: u64) {
         if self.is_open {
             return;
@@ -254,12 +256,12 @@
         self.horizon_ms = self.horizon_ms.max(horizon_ms);
     }
 
-    /// The state's encoding for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn snapshot(&self) -> Result<Vec<u8>, CodecError> {
         codec::encode("encode snapshot of a ledger group", self)
     }
 
-    /// The state from a snapshot.
+    /// Decodes the state from a snapshot.
     pub fn restore(data: &[u8]) -> Result<Self, CodecError> {
         codec::decode("decode snapshot of a ledger group", data)
     }
--- a/crates/sablehaven-control/src/relays/session.rs
+++ b/crates/sablehaven-control/src/relays/session.rs
@@ -174,7 +174,7 @@
 
 /// The age is rounded up, so that the lease ends too early rather than too late.
 fn grant(nonce: u64, proof: LeadershipProof, context: &Context) -> LeaseGrant {
-    let age = Instant::now().duration_since(proof.asked_at);
+    let age = Instant::now().duration_since(proof.holds_at);
     LeaseGrant {
         nonce,
         age_ms: age.as_micros().div_ceil(1_000) as u64,
--- a/crates/sablehaven-control/src/server/accept.rs
+++ b/crates/sablehaven-control/src/server/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts internal connections of replicas and relays.
+//! Accepts internal connections from control replicas, relays and gateways.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,11 +11,11 @@
 use super::{context::Context, tasks::TaskGroup};
 use crate::{gateways::serve_gateway, peers::receive_from_peer, relays::serve_relay};
 
-/// Pause after a failed accept (out of file descriptors), so that the loop does not spin.
+/// The delay after a failed accept, such as for lack of file descriptors, so that the loop does not use all CPU time.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts until the replica takes no new work. Other replicas are still served until the very end:
-/// the log goes on without relays.
+/// Accepts connections until its task is cancelled. Once the replica is stopping, relays are refused. Other replicas
+/// and gateways are served until the end, since replication continues without relays.
 pub(super) async fn accept_connections(
     context: Arc<Context>,
     listener: TcpListener,
@@ -42,6 +42,7 @@
     }
 }
 
+/// Completes the handshake of a connection and serves it according to the peer's role.
 async fn serve(
     context: Arc<Context>,
     stream: TcpStream,
@@ -58,7 +59,7 @@
     };
     match connection.hello.role {
         Role::Control => background.spawn(async move {
-            // A connection that ends is routine: the other replica dials again.
+            // The end of a connection needs no report: the other replica connects again.
             let _ = receive_from_peer(&context, connection.retype()).await;
         }),
         Role::Relay if context.stopping.is_cancelled() => {}
--- a/crates/sablehaven-control/src/server/context.rs
+++ b/crates/sablehaven-control/src/server/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a replica share.
+//! The state and the handles that the tasks of a replica share.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -20,7 +20,7 @@
     replicas::ReplicaAddresses,
 };
 
-/// What the tasks of a replica share.
+/// The state and the handles that the tasks of a replica share.
 pub(crate) struct Context {
     pub(crate) config: Arc<Config>,
     pub(crate) replica: ReplicaId,
@@ -36,16 +36,17 @@
     pub(crate) probes: ProbeQueue,
     pub(crate) age_clock: SuspensionClock,
     pub(crate) metrics: Metrics,
-    /// Cancelled when the replica takes no new work.
+    /// Cancelled once the replica accepts no new work.
     pub(crate) stopping: CancellationToken,
 }
 
 impl Context {
+    /// Whether this replica leads group 0, as far as it knows.
     pub(crate) fn is_leader(&self) -> bool {
         self.published.borrow().is_leader()
     }
 
-    /// Has a quorum confirm that this replica leads, so that what it has applied is current.
+    /// Asks a quorum to confirm that this replica leads, which proves that its applied state is current.
     pub(crate) async fn require_leadership_proof(&self) -> Result<(), CallError> {
         match self.driver.prove_leadership().await {
             Some(_) => Ok(()),
@@ -53,18 +54,18 @@
         }
     }
 
-    /// What a relay is told when this replica does not lead.
+    /// The message that tells a relay that this replica does not lead, with the leader's address if known.
     pub(crate) fn not_leader(&self) -> ControlToRelay {
         let leader = self.other_leader().map(|addresses| addresses.internal);
         ControlToRelay::NotLeader { leader }
     }
 
-    /// The leader's operators' interface, where another replica leads.
+    /// The address of the leader's operator interface, if another replica leads and its addresses are known.
     pub(crate) fn leader_http_address(&self) -> Option<SocketAddr> {
         self.other_leader().map(|addresses| addresses.http)
     }
 
-    /// The leader's addresses, where another replica leads.
+    /// The addresses of the leader, if another replica leads and its addresses are known.
     pub(crate) fn other_leader(&self) -> Option<ReplicaAddresses> {
         let leader = self.published.borrow().leader?;
         if leader == self.replica {
--- a/crates/sablehaven-control/src/server/gauges.rs
+++ b/crates/sablehaven-control/src/server/gauges.rs
@@ -1,4 +1,4 @@
-//! Keeps the gauges that show a state, not an event.
+//! Refreshes the gauges whose values are read from the current state.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,8 +7,8 @@
 use super::Context;
 use crate::driver::read;
 
-/// Time between two readings. Counting agents takes longer the more there are, so it is not done at
-/// each of their reports.
+/// The time between two refreshes. The cost of counting agents grows with their number, so they are not counted at each
+/// report of an agent.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Refreshes the gauges until the replica stops.
@@ -26,6 +26,7 @@
     }
 }
 
+/// Converts a count to the value of a gauge.
 fn gauge(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/sablehaven-control/src/server/handle.rs
+++ b/crates/sablehaven-control/src/server/handle.rs
@@ -1,4 +1,4 @@
-//! A running control replica and its stop.
+//! The handle of a running control replica, which also stops it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,33 +13,33 @@
 
 use super::{context::Context, tasks::TaskGroup};
 
-/// Longest time for handing over leadership at a planned stop.
+/// The time limit for transferring leadership at a planned stop.
 const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest time for requests in flight at a planned stop.
+/// The time limit for finishing requests in flight at a planned stop.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The addresses of replicas to dial; cheap to clone.
+/// Sets the addresses of the replicas to connect to; cheap to clone.
 #[derive(Clone)]
 pub struct Peers {
     context: Arc<Context>,
 }
 
 impl Peers {
-    /// Takes other addresses in place of those of the settings.
+    /// Replaces the addresses from the settings.
     pub fn set(&self, peers: impl IntoIterator<Item = SocketAddr>) {
         self.context.peers.set_configured(peers);
     }
 }
 
-/// A running control replica.
+/// The handle of a running control replica.
 pub struct Handle {
     pub(super) addresses: BoundAddresses,
     pub(super) context: Arc<Context>,
     pub(super) telemetry: Telemetry,
-    /// Links to replicas, the leader's duties and the accepting of connections.
+    /// Connections to other replicas, the leader's periodic tasks, and the accept loop.
     pub(super) background: TaskGroup,
-    /// Connections of relays.
+    /// Connections from relays.
     pub(super) relays: TaskGroup,
     pub(super) stop_driver: CancellationToken,
     pub(super) driver: JoinHandle<()>,
@@ -53,36 +53,36 @@
         self.addresses
     }
 
-    /// Puts and reads the routes, and answers callers where to go.
+    /// The service that stores and reads the routes and resolves them for callers.
     pub fn routes(&self) -> RoutesService {
         RoutesService::new(Arc::clone(&self.context))
     }
 
-    /// Takes operators' orders about zones.
+    /// The service through which operators evacuate zones.
     pub fn evacuation(&self) -> EvacuationService {
         EvacuationService::new(Arc::clone(&self.context))
     }
 
-    /// Changes the addresses of replicas to dial while the replica runs.
+    /// A handle that changes the addresses of the replicas to connect to while this replica runs.
     pub fn peers(&self) -> Peers {
         Peers {
             context: Arc::clone(&self.context),
         }
     }
 
-    /// The identity of this replica's disk.
+    /// The identity of this replica, which is stored in its data folder.
     pub fn replica(&self) -> ReplicaId {
         self.context.replica
     }
 
-    /// A planned stop: not ready, leadership handed over, relays told to go, requests in flight
-    /// finished, everything synced.
+    /// Stops the replica as planned: reports it as not ready, transfers its leadership, tells the relays to leave,
+    /// finishes the requests in flight, and syncs everything.
     pub async fn stop(self) {
         self.telemetry.set_ready(false);
-        // Leadership goes first: while it does, proposals in flight are still answered.
+        // Leadership is transferred first: meanwhile, proposals in flight still get their outcomes.
         let stepped_down = timeout(LEADERSHIP_TRANSFER_TIMEOUT, self.context.driver.step_down());
         if stepped_down.await.is_err() {
-            log::warn!("stop: no other replica took over leadership in time");
+            log::warn!("stop: leadership was not transferred to another replica in time");
         }
         self.context.stopping.cancel();
         self.http.stop_graceful(DRAIN_TIMEOUT);
@@ -90,7 +90,8 @@
         self.end().await;
     }
 
-    /// Ends at once without handing anything over, as a crash would; everything is gone on return.
+    /// Stops the replica abruptly without transferring leadership, as a crash would. All its tasks have ended on
+    /// return.
     pub async fn kill(self) {
         self.telemetry.set_ready(false);
         self.stop_driver.cancel();
@@ -99,18 +100,18 @@
         self.end().await;
     }
 
-    /// The order must hold: whatever asks the driver ends before it.
+    /// Ends the remaining tasks. The order matters: every task that uses the driver ends before the driver.
     async fn end(self) {
         let http = self.http_server.await;
         self.background.cancel().await;
         self.stop_driver.cancel();
         let driver = self.driver.await;
         if http.is_err() || driver.is_err() {
-            log::error!("stop: a task of the replica panicked");
+            log::error!("stop: the HTTP server or the driver panicked");
         }
     }
 
-    /// Resolves only if the replica cannot go on; says the step and the place.
+    /// Resolves only if the replica has failed. Returns the step that failed and where it failed.
     pub async fn failed(&mut self) -> String {
         let mut published = self.context.published.clone();
         let failed = published.wait_for(|published| published.failure.is_some());
--- a/crates/sablehaven-control/src/server/mod.rs
+++ b/crates/sablehaven-control/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The process: listeners, tasks, and their start and stop.
+//! The server of a control replica: its listeners and tasks, and how they are started and stopped.
 
 mod accept;
 mod context;
--- a/crates/sablehaven-control/src/server/start.rs
+++ b/crates/sablehaven-control/src/server/start.rs
@@ -1,4 +1,4 @@
-//! The start of a control replica.
+//! Starts a control replica.
 
 use std::{
     net::SocketAddr,
@@ -39,30 +39,30 @@
     replicas::ReplicaAddresses,
 };
 
-/// Sockets that listen already.
+/// The listening sockets of a replica.
 #[derive(Debug)]
 pub struct Listeners {
     /// For internal connections.
     pub internal: TcpListener,
-    /// For the operators' interface.
+    /// For the operator interface.
     pub http: TcpListener,
 }
 
-/// What a replica stands on besides its settings.
+/// What a replica needs besides its settings.
 pub struct Environment {
-    /// Sockets that listen already.
+    /// The listening sockets.
     pub listeners: Listeners,
-    /// Holds the data folder.
+    /// The disk that holds the data folder.
     pub disk: Arc<dyn Disk>,
-    /// Lists the servers that gateways send to, where there are gateways.
+    /// Lists the servers to which gateways send requests, if there are gateways.
     pub servers: Option<Arc<dyn ServerSource>>,
 }
 
 impl Listeners {
-    /// Listens where the settings say.
+    /// Listens on the addresses in the settings.
     ///
     /// # Errors
-    /// [`StartError::Listen`] with the address.
+    /// Returns [`StartError::Listen`] with the address that could not be used.
     pub async fn bind(config: &Config) -> Result<Self, StartError> {
         Ok(Self {
             internal: listen(config.internal_listen).await?,
@@ -70,6 +70,7 @@
         })
     }
 
+    /// The addresses that the sockets are bound to, internal and HTTP.
     fn addresses(&self, config: &Config) -> Result<(SocketAddr, SocketAddr), StartError> {
         let internal = local_address(&self.internal, config.internal_listen)?;
         let http = local_address(&self.http, config.http_listen)?;
@@ -91,7 +92,7 @@
     start_in(config, telemetry, environment).await
 }
 
-/// Starts a control replica on sockets that listen already and on a given disk.
+/// Starts a control replica in a given environment.
 ///
 /// # Errors
 /// See [`StartError`].
@@ -165,7 +166,7 @@
     local.map_err(|source| StartError::Listen { address, source })
 }
 
-/// Opening reads the whole log, so it runs apart from the tasks.
+/// Opens the storage on a blocking thread, because this reads the whole log.
 async fn open_storage(config: Arc<Config>, disk: Arc<dyn Disk>) -> Result<Opened, StartError> {
     let open = move || Storage::open(&config.data_folder, disk, config.storage());
     match tokio::task::spawn_blocking(open).await {
@@ -176,7 +177,7 @@
 
 type AssembledParts = (Arc<Context>, Driver, mpsc::Receiver<AgentObservation>);
 
-/// Puts the parts together; nothing runs yet.
+/// Creates the components of the replica and connects them. No task runs yet.
 fn assemble(
     config: Arc<Config>,
     opened: Opened,
@@ -251,6 +252,7 @@
     Ok((context, driver, observation_queue))
 }
 
+/// Starts the HTTP server for the operator interface and telemetry.
 fn serve_http(
     context: &Arc<Context>,
     telemetry: &Telemetry,
@@ -266,6 +268,7 @@
     Ok((handle, task))
 }
 
+/// Spawns the background tasks, except for the accept loop and the reading of the server listing.
 fn spawn_background(
     context: &Arc<Context>,
     background: &TaskGroup,
--- a/crates/sablehaven-control/src/server/tasks.rs
+++ b/crates/sablehaven-control/src/server/tasks.rs
@@ -1,11 +1,11 @@
-//! A set of tasks that are ended and waited for together.
+//! A group of tasks that are cancelled and awaited together.
 
 use std::time::Duration;
 
 use tokio::time::timeout;
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-/// A set of tasks that are ended and waited for together; cheap to clone.
+/// A group of tasks that are cancelled and awaited together; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TaskGroup {
     tracker: TaskTracker,
@@ -13,7 +13,7 @@
 }
 
 impl TaskGroup {
-    /// Runs a task until it ends or the set is ended.
+    /// Runs a task until it ends or the group is cancelled.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let stop = self.stop.clone();
         self.tracker.spawn(async move {
@@ -24,20 +24,19 @@
         });
     }
 
-    /// Waits until all tasks have ended by themselves; those that have not within the limit are
-    /// ended.
+    /// Waits until all tasks have ended. Those that are still running after `limit` are cancelled.
     pub(super) async fn drain(&self, limit: Duration) {
         self.tracker.close();
         if timeout(limit, self.tracker.wait()).await.is_err() {
             log::warn!(
-                "stop: {} connections had not ended in time",
+                "stop: cancelled {} connections that did not end in time",
                 self.tracker.len()
             );
         }
         self.cancel().await;
     }
 
-    /// Ends all tasks and waits for them.
+    /// Cancels all tasks and waits until they have ended.
     pub(super) async fn cancel(&self) {
         self.tracker.close();
         self.stop.cancel();
