--- a/crates/sablehaven-control/src/driver/group.rs
+++ b/crates/sablehaven-control/src/driver/group.rs
@@ -27,7 +27,7 @@
 const MAX_OPEN_LEDGER_CALLS: usize = 16_384;
 
 /// The maximum size of a command that begins a membership change, in bytes. Such a command contains only a few replica
-/// identifiers and addresses, so [`may_begin_membership_change`] does not decode longer commands.
+/// identifiers and addresses. Longer commands are therefore not decoded a second time to check what they are.
 const MAX_CHANGE_COMMAND_BYTES: usize = 1_024;
 
 /// One consensus group on this replica.
@@ -47,7 +47,8 @@
     pub(crate) is_leader: bool,
     /// When leadership was last transferred to co-locate the leaders of all groups.
     pub(crate) last_transfer: Option<Instant>,
-    /// The index of the last log entry that may begin a membership change.
+    /// The index of the last log entry that may begin a membership change. After a restart, that of the last stored
+    /// entry.
     last_change_index: u64,
 }
 
@@ -279,7 +280,7 @@
         }
     }
 
-    /// Whether this replica leads the group now, where `is_leader` is the answer as of the latest tick.
+    /// Whether this replica leads the group now, whereas `is_leader` is as of the latest tick.
     pub(crate) fn has_leader_role(&self) -> bool {
         self.replica.status().role == Role::Leader
     }
--- a/crates/sablehaven-control/src/driver/input.rs
+++ b/crates/sablehaven-control/src/driver/input.rs
@@ -57,12 +57,13 @@
     pub(crate) configuration_version: u64,
 }
 
-/// Receives the replies to ledger calls, each with the number of its call.
+/// The channel for the replies to ledger calls, each with the number of its call.
 pub(crate) type LedgerReplies = mpsc::UnboundedSender<Vec<(u64, LedgerReply)>>;
 
-/// Receives the outcome of a command of group 0.
+/// The channel for the outcome of a command of group 0.
 pub(crate) type SharedResponder = oneshot::Sender<Result<SharedOutcome, ProposeError>>;
-/// Receives a proof of leadership, or `None` if this replica does not lead.
+
+/// The channel for a proof of leadership, or for `None` if this replica does not lead.
 pub(crate) type ProofResponder = oneshot::Sender<Option<LeadershipProof>>;
 
 /// An input of the driver.
@@ -169,7 +170,7 @@
         response.await.ok()
     }
 
-    /// Transfers the leadership of every group for which another replica can take it, and waits until this is done.
+    /// Transfers the leadership of every group that has a replica to take it over, and waits until this is done.
     pub(crate) async fn step_down(&self) {
         let (respond, response) = oneshot::channel();
         if self.send(Input::StepDown(respond)).await {
--- a/crates/sablehaven-control/src/driver/members.rs
+++ b/crates/sablehaven-control/src/driver/members.rs
@@ -76,9 +76,9 @@
 
     /// Returns the command that records the new addresses of one replica whose addresses have changed.
     fn announce_command(&self, replicas: &ReplicasState) -> Option<ReplicasCommand> {
-        replicas.replicas().iter().find_map(|(replica, known)| {
+        replicas.replicas().iter().find_map(|(replica, recorded)| {
             let addresses = self.directory.addresses(*replica)?;
-            (addresses != *known).then_some(ReplicasCommand::Announce {
+            (addresses != *recorded).then_some(ReplicasCommand::Announce {
                 replica: *replica,
                 addresses,
             })
--- a/crates/sablehaven-control/src/driver/pending.rs
+++ b/crates/sablehaven-control/src/driver/pending.rs
@@ -13,7 +13,7 @@
     machine::CommandOutcome,
 };
 
-/// The delay after which a caller may retry a ledger call that the ledger could not process, in milliseconds.
+/// The delay after which a caller may retry a ledger call that got no answer from the ledger, in milliseconds.
 pub(crate) const LEDGER_RETRY_AFTER_MS: u64 = 200;
 
 /// A ledger call that waits for its reply. The calls of a batch are in the order of its requests.
@@ -23,14 +23,15 @@
     pub(crate) replies: LedgerReplies,
 }
 
-/// The receivers of an entry's outcome.
+/// Where the outcome of a proposed entry is sent.
 pub(crate) enum Responder {
     Shared(SharedResponder),
     Ledger(Vec<LedgerCall>),
-    /// No receiver: the driver itself made the proposal.
+    /// Nowhere: the driver itself made the proposal.
     None,
 }
 
+/// A proposed entry that has not been applied yet.
 struct Proposal {
     position: Position,
     responder: Responder,
@@ -47,7 +48,7 @@
 }
 
 impl PendingProposals {
-    /// Adds the proposal at a log position, which must come after the positions of all earlier proposals.
+    /// Adds the proposal of the entry at a log position, which must come after the positions of all earlier proposals.
     pub(crate) fn push(&mut self, position: Position, responder: Responder) {
         self.open_calls += responder.call_count();
         let proposal = Proposal {
--- a/crates/sablehaven-control/src/driver/publish.rs
+++ b/crates/sablehaven-control/src/driver/publish.rs
@@ -23,16 +23,16 @@
                 Some(since) if is_leader => Some(since),
                 _ => is_leader.then(Instant::now),
             };
-            let has_leader_changed =
+            let has_leadership_changed =
                 published.leader != before.leader || published.term != before.term;
-            if has_leader_changed {
+            if has_leadership_changed {
                 log_leadership(&status);
             }
             *published != before
         });
     }
 
-    /// Publishes the revisions of the shared state and its parts.
+    /// Publishes the revision of the shared state, the version of its routes and the revision of its evacuated zones.
     pub(super) fn publish_revision(&self) {
         let (revision, routes_version, evacuation) = read(&self.state, |state| {
             let evacuation = state.evacuation().zones().revision;
--- a/crates/sablehaven-control/src/driver/reads.rs
+++ b/crates/sablehaven-control/src/driver/reads.rs
@@ -1,5 +1,5 @@
 //! Proofs of leadership by the read-index protocol. All requests that arrive between the starts of two rounds share the
-//! second round.
+//! later one.
 
 use std::{collections::BTreeMap, time::Instant};
 
--- a/crates/sablehaven-control/src/driver/removal/tests.rs
+++ b/crates/sablehaven-control/src/driver/removal/tests.rs
@@ -1,4 +1,4 @@
-//! Completion of a removal: the spare part of the quotas must not be given away while the removed member may spend it.
+//! A removal is complete only once the removed member can no longer spend its part of the quotas.
 
 use std::collections::BTreeMap;
 
@@ -26,10 +26,8 @@
     let mut replicas = ReplicasState::default();
     let members = [1, 2, 3].map(|number| (ReplicaId(number), addresses(10 * number as u16)));
     replicas.apply(ReplicasCommand::Form(BTreeMap::from(members)));
-    replicas.apply(ReplicasCommand::Begin {
-        kind,
-        addresses: joining,
-    });
+    let addresses = joining;
+    replicas.apply(ReplicasCommand::Begin { kind, addresses });
     replicas
 }
 
--- a/crates/sablehaven-control/src/driver/snapshots.rs
+++ b/crates/sablehaven-control/src/driver/snapshots.rs
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// Whether a snapshot of a group is due and none is being written or delayed.
+    /// Whether a snapshot of a group is due, unless one is being written or the last one failed too recently.
     fn is_snapshot_due(&self, group: &Group) -> bool {
         let schedule = &group.snapshots;
         let entries = group.applied.saturating_sub(schedule.index);
--- a/crates/sablehaven-control/src/ledger/entry.rs
+++ b/crates/sablehaven-control/src/ledger/entry.rs
@@ -3,9 +3,9 @@
 use sablehaven_types::{ClaimAnswer, ClaimId, LedgerReply, RecordedOutcome};
 use serde::{Deserialize, Serialize};
 
-/// The most released claims that are recorded for one key. If the network delivers an older claim again, that claim
-/// takes hold of the key although its sender no longer dispatches the request. This makes one key unavailable, but
-/// never causes a second dispatch.
+/// The most released claims that are recorded for one key. An older claim that the network delivers again may be
+/// granted although its sender no longer dispatches the request. This makes one key unavailable, but never causes a
+/// second dispatch.
 const MAX_RELEASED_CLAIMS: usize = 4;
 
 /// The claims of one key.
@@ -18,6 +18,7 @@
     released: Vec<ClaimId>,
 }
 
+/// The state of a key that has been claimed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum EntryStatus {
     /// The holder of the claim may dispatch the request once, and may have done so already.
--- a/crates/sablehaven-control/src/server/tasks.rs
+++ b/crates/sablehaven-control/src/server/tasks.rs
@@ -29,7 +29,7 @@
         self.tracker.close();
         if timeout(limit, self.tracker.wait()).await.is_err() {
             log::warn!(
-                "stop: cancelled {} connections that did not end in time",
+                "stop: cancelling {} connections that did not end in time",
                 self.tracker.len()
             );
         }
