--- a/crates/sablehaven-control/src/configuration/change.rs
+++ b/crates/sablehaven-control/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! What a change makes of a configuration.
+//! Applies a change to a configuration, and compares two configurations.
 
 use std::collections::BTreeSet;
 
@@ -9,8 +9,8 @@
 
 use super::ConfigurationDifference;
 
-/// The configuration after a change, one version on, or every reason why there is none.
-pub(super) fn changed(
+/// Returns the configuration after a change, with the next version, or every reason why the change is invalid.
+pub(super) fn apply(
     current: &Configuration,
     change: &ConfigurationChange,
 ) -> Result<Configuration, Vec<String>> {
@@ -29,7 +29,7 @@
         ConfigurationChange::RemoveService { service } => remove_service(current, service)?,
     };
     next.version = current.version + 1;
-    let reasons = reused_snapshots(current, &next);
+    let reasons = reused_snapshot_ids(current, &next);
     if reasons.is_empty() {
         Ok(next)
     } else {
@@ -53,7 +53,7 @@
     snapshot: &IndexSnapshot,
 ) -> Result<Configuration, Vec<String>> {
     let mut next = current.clone();
-    known_service(&mut next, service)?.snapshot = snapshot.clone();
+    service_mut(&mut next, service)?.snapshot = snapshot.clone();
     Ok(next)
 }
 
@@ -63,7 +63,7 @@
     routing: &RoutingSettings,
 ) -> Result<Configuration, Vec<String>> {
     let mut next = current.clone();
-    known_service(&mut next, service)?.routing = routing.clone();
+    service_mut(&mut next, service)?.routing = routing.clone();
     Ok(next)
 }
 
@@ -72,12 +72,13 @@
     service: &ServiceName,
 ) -> Result<Configuration, Vec<String>> {
     let mut next = current.clone();
-    known_service(&mut next, service)?;
+    service_mut(&mut next, service)?;
     next.services.remove(service);
     Ok(next)
 }
 
-fn known_service<'a>(
+/// Returns a service's configuration, or the reason that the service does not exist.
+fn service_mut<'a>(
     configuration: &'a mut Configuration,
     service: &ServiceName,
 ) -> Result<&'a mut ServiceConfiguration, Vec<String>> {
@@ -85,8 +86,9 @@
     found.ok_or_else(|| vec![format!("service '{service}' is not in the configuration")])
 }
 
-/// A snapshot's id pins one partition map: two maps under one id would let a query mix them.
-fn reused_snapshots(current: &Configuration, next: &Configuration) -> Vec<String> {
+/// Returns a reason for each service whose partition map changes while its snapshot keeps its id. Queries identify a
+/// partition map by the snapshot's id, so two maps under one id could be mixed in one query.
+fn reused_snapshot_ids(current: &Configuration, next: &Configuration) -> Vec<String> {
     let mut reasons = Vec::new();
     for (service, after) in &next.services {
         let Some(before) = current.services.get(service) else {
@@ -104,7 +106,7 @@
     reasons
 }
 
-/// What differs between two configurations.
+/// Returns the parts that differ between two configurations.
 pub(super) fn difference(before: &Configuration, after: &Configuration) -> ConfigurationDifference {
     let names: BTreeSet<&ServiceName> = before
         .services
--- a/crates/sablehaven-control/src/driver/group.rs
+++ b/crates/sablehaven-control/src/driver/group.rs
@@ -1,4 +1,5 @@
-//! One consensus group of this replica: the log's replica, its state machine, and who waits for it.
+//! One consensus group on this replica: its Raft replica, its state machine, and the callers that wait for its
+//! proposals.
 
 use std::time::Instant;
 
@@ -10,7 +11,7 @@
 
 use super::{
     input::{LedgerReplies, ProposeError, SharedResponder},
-    machine::Machine,
+    machine::StateMachine,
     pending::{LedgerCall, PendingProposals, Responder, refuse_calls},
     status::GroupState,
 };
@@ -22,54 +23,56 @@
     shared::SharedCommand,
 };
 
-/// Ledger calls that one group may have open; more are refused at once.
-const OPEN_CALL_LIMIT: usize = 16_384;
+/// The most ledger calls that one group may have queued or proposed; further calls are refused immediately.
+const MAX_OPEN_LEDGER_CALLS: usize = 16_384;
 
-/// Longest command that begins a change of the members, in bytes: it names a few replicas and addresses. Longer ones are
-/// not decoded a second time to look.
-const LONGEST_CHANGE_BYTES: usize = 1_024;
+/// The maximum size of a command that begins a membership change, in bytes. Such a command contains only a few replica
+/// identifiers and addresses. Longer commands are therefore not decoded a second time to check what they are.
+const MAX_CHANGE_COMMAND_BYTES: usize = 1_024;
 
-/// One consensus group of this replica.
+/// One consensus group on this replica.
 pub(crate) struct Group {
     pub(crate) number: u32,
     pub(crate) replica: Replica,
-    pub(crate) machine: Machine,
-    /// The last entry that the state machine has applied.
+    pub(crate) machine: StateMachine,
+    /// The index of the last entry that the state machine has applied.
     pub(crate) applied: u64,
-    /// The members at that entry.
+    /// The membership as of the last applied entry.
     pub(crate) applied_membership: Membership,
     pub(crate) pending: PendingProposals,
     pub(crate) snapshots: SnapshotSchedule,
     queued_requests: Vec<LedgerRequest>,
     queued_calls: Vec<LedgerCall>,
-    /// As of the latest tick.
+    /// Whether this replica led the group at the latest tick.
     pub(crate) is_leader: bool,
+    /// When leadership was last transferred to co-locate the leaders of all groups.
     pub(crate) last_transfer: Option<Instant>,
-    /// The last entry of the log that may begin a change of the members.
-    last_change: u64,
+    /// The index of the last log entry that may begin a membership change. After a restart, that of the last stored
+    /// entry.
+    last_change_index: u64,
 }
 
-/// When the next snapshot of a group is due.
+/// The state that determines when the next snapshot of a group is due.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotSchedule {
-    /// The last entry in the latest snapshot.
+    /// The index of the last entry in the latest snapshot.
     pub(crate) index: u64,
-    /// Command bytes applied since.
-    pub(crate) bytes: u64,
-    /// Whether one is being written.
+    /// The total size of the commands that were applied since the latest snapshot.
+    pub(crate) command_bytes: u64,
+    /// Whether a snapshot is being written.
     pub(crate) is_running: bool,
-    /// Whether the storage asks for one, to free old segments.
-    pub(crate) is_wanted: bool,
-    /// When one could last not be written.
+    /// Whether the storage requests a snapshot so that it can delete old log segments.
+    pub(crate) is_requested: bool,
+    /// When writing a snapshot last failed.
     pub(crate) failed_at: Option<Instant>,
 }
 
 impl Group {
-    /// A group from what its disk holds.
+    /// Restores a group from its stored log and snapshot.
     pub(crate) fn new(
         number: u32,
         replica: Replica,
-        mut machine: Machine,
+        mut machine: StateMachine,
         stored: &RestoredGroup,
     ) -> Result<Self, CodecError> {
         if let Some(data) = &stored.snapshot_data {
@@ -91,7 +94,7 @@
             queued_calls: Vec::new(),
             is_leader: false,
             last_transfer: None,
-            last_change: stored
+            last_change_index: stored
                 .restored
                 .entries
                 .last()
@@ -99,7 +102,7 @@
         })
     }
 
-    /// Proposes a command of group 0.
+    /// Proposes a command to group 0 and sends its outcome to `respond` once the command is applied.
     pub(crate) fn propose_shared(&mut self, command: &SharedCommand, respond: SharedResponder) {
         let encoded = match codec::encode("encode shared command", command) {
             Ok(encoded) => encoded,
@@ -117,8 +120,9 @@
         }
     }
 
-    /// Proposes one of the driver's own commands; lost ones are proposed again by whoever leads.
-    pub(crate) fn propose_unattended(&mut self, command: &SharedCommand) {
+    /// Proposes a command of the driver itself, for which no caller waits. If the command is lost, a later tick of the
+    /// current leader proposes it again.
+    pub(crate) fn propose_internal(&mut self, command: &SharedCommand) {
         let encoded = match codec::encode("encode shared command", command) {
             Ok(encoded) => encoded,
             Err(error) => {
@@ -131,10 +135,10 @@
         }
     }
 
-    /// Queues a ledger call for the next batch, or refuses it at once when too many are open.
+    /// Queues a ledger call for the next batch, or refuses it immediately if too many calls are open.
     pub(crate) fn queue_call(&mut self, call: u64, request: LedgerRequest, replies: LedgerReplies) {
         let call = LedgerCall { call, replies };
-        if self.pending.ledger_calls() + self.queued_calls.len() >= OPEN_CALL_LIMIT {
+        if self.pending.ledger_calls() + self.queued_calls.len() >= MAX_OPEN_LEDGER_CALLS {
             refuse_calls(vec![call]);
             return;
         }
@@ -142,8 +146,8 @@
         self.queued_calls.push(call);
     }
 
-    /// Opens a new ledger. Called before the first calls are proposed, so that in the log of a new
-    /// ledger its opening always comes first; a second opening changes nothing.
+    /// Proposes the command that opens a new ledger. Must be called before the first calls are proposed, so that this
+    /// command comes first in the log of a new ledger. Opening a ledger a second time has no effect.
     pub(crate) fn open_ledger(&mut self) {
         if !self.machine.is_unopened_ledger() || !self.pending.is_empty() {
             return;
@@ -161,8 +165,8 @@
         }
     }
 
-    /// Proposes the queued calls as one entry.
-    pub(crate) fn propose_calls(&mut self, limits: &LedgerLimits) {
+    /// Proposes all queued calls as one log entry.
+    pub(crate) fn propose_queued_calls(&mut self, limits: &LedgerLimits) {
         if self.queued_calls.is_empty() {
             return;
         }
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Applies what a ready hands out.
+    /// Applies the snapshot and the committed entries of a [`Ready`].
     pub(crate) fn apply(&mut self, ready: &mut Ready) -> Result<(), CodecError> {
         if let Some(snapshot) = &ready.snapshot {
             self.install(snapshot)?;
@@ -198,12 +202,14 @@
         Ok(())
     }
 
+    /// Replaces the state machine by a snapshot from the leader. Fails all pending proposals: the snapshot does not
+    /// tell which of them were committed.
     fn install(&mut self, snapshot: &Snapshot) -> Result<(), CodecError> {
         self.machine.restore(&snapshot.data)?;
         self.applied = snapshot.metadata.index;
         self.applied_membership = snapshot.metadata.membership.clone();
         self.snapshots.index = snapshot.metadata.index;
-        self.snapshots.bytes = 0;
+        self.snapshots.command_bytes = 0;
         self.pending.fail_all();
         Ok(())
     }
@@ -217,7 +223,7 @@
             EntryPayload::Empty => {}
             EntryPayload::Membership(membership) => self.applied_membership = membership,
             EntryPayload::Command(command) => {
-                self.snapshots.bytes += command.len() as u64;
+                self.snapshots.command_bytes += command.len() as u64;
                 let outcome = self.machine.apply(entry.index, &command)?;
                 self.applied = entry.index;
                 if let Some(responder) = self.pending.take(position) {
@@ -233,7 +239,8 @@
         Ok(())
     }
 
-    /// The state machine's snapshot at the last applied entry, if it stands at one.
+    /// Takes a snapshot of the state machine at the last applied entry. Returns `None` if the log does not hold that
+    /// entry.
     pub(crate) fn take_snapshot(&self) -> Result<Option<Snapshot>, CodecError> {
         let Some(metadata) = self.replica.snapshot_metadata(self.applied) else {
             return Ok(None);
@@ -242,48 +249,49 @@
         Ok(Some(Snapshot { metadata, data }))
     }
 
-    /// A snapshot is in force on the disk.
+    /// Records that a snapshot has replaced the log up to its index on the disk.
     pub(crate) fn compacted(&mut self, metadata: &SnapshotMetadata) {
         self.replica.compacted(metadata);
         self.snapshots.index = self.snapshots.index.max(metadata.index);
         self.snapshots.is_running = false;
-        self.snapshots.is_wanted = false;
+        self.snapshots.is_requested = false;
     }
 
-    /// Whether the replica holds nothing: no members, no log, no vote.
+    /// Whether the replica is empty: no members, no log entries, and no term, hence no vote.
     pub(crate) fn is_blank(&self) -> bool {
         let status = self.replica.status();
         status.last_index == 0 && status.term == 0 && status.membership.voters.is_empty()
     }
 
-    /// Notes which entries that come into the log may begin a change of the members.
-    pub(crate) fn note_changes(&mut self, entries: &[Entry]) {
+    /// Updates the index of the last entry that may begin a membership change from entries that are added to the log.
+    pub(crate) fn track_membership_changes(&mut self, entries: &[Entry]) {
         let mut latest = entries.iter().rev();
-        if let Some(last) = latest.find(|entry| may_begin_change(entry)) {
-            self.last_change = last.index;
+        if let Some(last) = latest.find(|entry| may_begin_membership_change(entry)) {
+            self.last_change_index = last.index;
         }
     }
 
     pub(crate) fn state(&self) -> GroupState {
         GroupState {
-            has_unapplied_change: self.last_change > self.applied,
+            has_unapplied_change: self.last_change_index > self.applied,
             group: self.number,
             replica: self.replica.status(),
             applied: self.applied,
         }
     }
 
-    pub(crate) fn leads(&self) -> bool {
+    /// Whether this replica leads the group now, whereas `is_leader` is as of the latest tick.
+    pub(crate) fn has_leader_role(&self) -> bool {
         self.replica.status().role == Role::Leader
     }
 }
 
-/// Whether an entry begins a change of the members, or cannot be read.
-fn may_begin_change(entry: &Entry) -> bool {
+/// Whether an entry begins a membership change, or cannot be decoded.
+fn may_begin_membership_change(entry: &Entry) -> bool {
     let EntryPayload::Command(command) = &entry.payload else {
         return false;
     };
-    if command.len() > LONGEST_CHANGE_BYTES {
+    if command.len() > MAX_CHANGE_COMMAND_BYTES {
         return false;
     }
     let begins = |command: &SharedCommand| {
--- a/crates/sablehaven-control/src/driver/machine.rs
+++ b/crates/sablehaven-control/src/driver/machine.rs
@@ -10,45 +10,51 @@
     shared::{SharedCommand, SharedOutcome, SharedState},
 };
 
-/// The state of group 0, written by the driver alone and read by the servers.
-pub(crate) type SharedHandle = Arc<RwLock<SharedState>>;
+/// The state of group 0. Only the driver writes it; the servers read it.
+pub(crate) type SharedStateHandle = Arc<RwLock<SharedState>>;
 
-/// Reads the state of group 0.
+/// Calls `view` with the state of group 0, under the read lock.
 pub(crate) fn read<Output>(
-    state: &SharedHandle,
+    state: &SharedStateHandle,
     view: impl FnOnce(&SharedState) -> Output,
 ) -> Output {
     view(&state.read().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// The state machine of one group.
-pub(crate) enum Machine {
-    Shared(SharedHandle),
+/// The state machine of one consensus group.
+pub(crate) enum StateMachine {
+    Shared(SharedStateHandle),
     Ledger(Box<LedgerState>),
 }
 
-/// What became of one command.
-pub(crate) enum Applied {
+/// The outcome of one applied command.
+pub(crate) enum CommandOutcome {
     Shared(SharedOutcome),
+    /// The replies to a batch, in the order of its requests.
     Ledger(Vec<LedgerReply>),
 }
 
-impl Machine {
-    pub(crate) fn apply(&mut self, index: u64, command: &[u8]) -> Result<Applied, CodecError> {
+impl StateMachine {
+    /// Decodes and applies a committed command.
+    pub(crate) fn apply(
+        &mut self,
+        index: u64,
+        command: &[u8],
+    ) -> Result<CommandOutcome, CodecError> {
         match self {
             Self::Shared(state) => {
                 let command: SharedCommand = codec::decode("decode shared command", command)?;
                 let mut state = state.write().unwrap_or_else(PoisonError::into_inner);
-                Ok(Applied::Shared(state.apply(index, command)))
+                Ok(CommandOutcome::Shared(state.apply(index, command)))
             }
             Self::Ledger(state) => {
                 let command: LedgerCommand = codec::decode("decode ledger command", command)?;
-                Ok(Applied::Ledger(state.apply_command(&command)))
+                Ok(CommandOutcome::Ledger(state.apply_command(&command)))
             }
         }
     }
 
-    /// Whether this is a ledger that has not been opened yet.
+    /// Whether this state machine is a ledger that has not been opened yet.
     pub(crate) fn is_unopened_ledger(&self) -> bool {
         match self {
             Self::Shared(_) => false,
@@ -56,6 +62,7 @@
         }
     }
 
+    /// Encodes the state for a snapshot.
     pub(crate) fn snapshot(&self) -> Result<Vec<u8>, CodecError> {
         match self {
             Self::Shared(state) => read(state, SharedState::snapshot),
@@ -63,6 +70,7 @@
         }
     }
 
+    /// Replaces the state by the state in a snapshot.
     pub(crate) fn restore(&mut self, data: &[u8]) -> Result<(), CodecError> {
         match self {
             Self::Shared(state) => {
--- a/crates/sablehaven-control/src/driver/mod.rs
+++ b/crates/sablehaven-control/src/driver/mod.rs
@@ -1,5 +1,5 @@
-//! The task that drives every consensus group of this replica: inputs in, messages, writes and
-//! applied commands out, one sync for the writes of all groups.
+//! The task that drives every consensus group of this replica. It passes inputs to the groups, then sends their
+//! messages, writes their logs and applies their committed commands. One sync covers the pending writes of all groups.
 
 mod group;
 mod input;
@@ -17,11 +17,11 @@
 mod stored_addresses;
 mod writes;
 
-pub(crate) use input::{DriverHandle, Input, LeaderProof, LedgerReplies, channel};
-pub use input::{HandOverError, ProposeError};
-pub(crate) use machine::{SharedHandle, read};
+pub(crate) use input::{DriverHandle, Input, LeadershipProof, LedgerReplies, channel};
+pub use input::{LeadershipTransferError, ProposeError};
+pub(crate) use machine::{SharedStateHandle, read};
 #[cfg(test)]
-pub(crate) use removal::RemovalWatch;
+pub(crate) use removal::RemovalMonitor;
 pub(crate) use run::{Driver, DriverParts};
-pub(crate) use status::{DriverStatus, GroupState, Published};
+pub(crate) use status::{DriverStatus, GroupState, PublishedState};
 pub(crate) use stored_addresses::StoredAddresses;
--- a/crates/sablehaven-control/src/driver/pending.rs
+++ b/crates/sablehaven-control/src/driver/pending.rs
@@ -1,4 +1,4 @@
-//! Proposals that wait for their entry to be applied.
+//! Proposals whose log entry has not been applied yet.
 
 use std::{
     collections::VecDeque,
@@ -10,26 +10,28 @@
 
 use super::{
     input::{LedgerReplies, ProposeError, SharedResponder},
-    machine::Applied,
+    machine::CommandOutcome,
 };
 
-/// When a caller may come back after an unanswered ledger call, in milliseconds.
+/// The delay after which a caller may retry a ledger call that got no answer from the ledger, in milliseconds.
 pub(crate) const LEDGER_RETRY_AFTER_MS: u64 = 200;
 
-/// One ledger call that waits, in the order of the requests of its batch.
+/// A ledger call that waits for its reply. The calls of a batch are in the order of its requests.
 pub(crate) struct LedgerCall {
+    /// The number by which the relay matches the reply to its call.
     pub(crate) call: u64,
     pub(crate) replies: LedgerReplies,
 }
 
-/// Who waits for an entry.
+/// Where the outcome of a proposed entry is sent.
 pub(crate) enum Responder {
     Shared(SharedResponder),
     Ledger(Vec<LedgerCall>),
-    /// The driver's own proposals; nobody waits.
+    /// Nowhere: the driver itself made the proposal.
     None,
 }
 
+/// A proposed entry that has not been applied yet.
 struct Proposal {
     position: Position,
     responder: Responder,
@@ -39,14 +41,16 @@
 #[derive(Default)]
 pub(crate) struct PendingProposals {
     proposals: VecDeque<Proposal>,
-    calls: usize,
-    /// When this replica stopped leading with proposals still open.
-    lost_at: Option<Instant>,
+    /// The number of ledger calls in `proposals`.
+    open_calls: usize,
+    /// When this replica was first found not to lead while proposals were pending.
+    leadership_lost_at: Option<Instant>,
 }
 
 impl PendingProposals {
+    /// Adds the proposal of the entry at a log position, which must come after the positions of all earlier proposals.
     pub(crate) fn push(&mut self, position: Position, responder: Responder) {
-        self.calls += responder.calls();
+        self.open_calls += responder.call_count();
         let proposal = Proposal {
             position,
             responder,
@@ -54,25 +58,25 @@
         self.proposals.push_back(proposal);
     }
 
-    /// Ledger calls that wait.
+    /// The number of ledger calls that wait for a reply.
     pub(crate) fn ledger_calls(&self) -> usize {
-        self.calls
+        self.open_calls
     }
 
-    /// Whether nobody waits.
+    /// Whether no proposal is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.proposals.is_empty()
     }
 
-    /// The proposer of the entry that is applied now; proposals that another entry took the place
-    /// of are told so.
+    /// Removes and returns the responder of the entry that is being applied. Fails the proposals up to its index that a
+    /// different entry has replaced.
     pub(crate) fn take(&mut self, applied: Position) -> Option<Responder> {
         while let Some(first) = self.proposals.front() {
             if first.position.index > applied.index {
                 return None;
             }
             let proposal = self.proposals.pop_front()?;
-            self.calls -= proposal.responder.calls();
+            self.open_calls -= proposal.responder.call_count();
             if proposal.position == applied {
                 return Some(proposal.responder);
             }
@@ -81,23 +85,23 @@
         None
     }
 
-    /// Fails what is left a while after this replica has stopped leading. Until then an entry may
-    /// still be committed by the next leader and answered in full, as at a planned stop.
+    /// Fails all pending proposals once this replica has not led for the `grace` time. Before that, the next leader may
+    /// still commit their entries, so that the callers get the outcomes, as happens at a planned stop.
     pub(crate) fn expire(&mut self, is_leader: bool, now: Instant, grace: Duration) {
         if is_leader || self.proposals.is_empty() {
-            self.lost_at = None;
+            self.leadership_lost_at = None;
             return;
         }
-        let lost_at = *self.lost_at.get_or_insert(now);
-        if now.duration_since(lost_at) >= grace {
+        let leadership_lost_at = *self.leadership_lost_at.get_or_insert(now);
+        if now.duration_since(leadership_lost_at) >= grace {
             self.fail_all();
         }
     }
 
-    /// Fails everything: what becomes of it is not known here.
+    /// Fails all pending proposals. Whether they will be committed is unknown.
     pub(crate) fn fail_all(&mut self) {
-        self.calls = 0;
-        self.lost_at = None;
+        self.open_calls = 0;
+        self.leadership_lost_at = None;
         for proposal in self.proposals.drain(..) {
             proposal.responder.fail();
         }
@@ -105,14 +109,16 @@
 }
 
 impl Responder {
-    fn calls(&self) -> usize {
+    /// The number of ledger calls that wait for this entry.
+    fn call_count(&self) -> usize {
         match self {
             Self::Ledger(calls) => calls.len(),
             Self::Shared(_) | Self::None => 0,
         }
     }
 
-    /// Whether the entry is committed is not known. An asker that has gone is not told.
+    /// Reports that it is unknown whether the entry is or will be committed. Receivers that have been dropped are
+    /// ignored.
     pub(crate) fn fail(self) {
         match self {
             Self::Shared(respond) => {
@@ -123,19 +129,19 @@
         }
     }
 
-    /// Answers with what became of the command.
-    pub(crate) fn answer(self, applied: Applied) {
+    /// Reports the outcome of the applied command.
+    pub(crate) fn answer(self, applied: CommandOutcome) {
         match (self, applied) {
-            (Self::Shared(respond), Applied::Shared(outcome)) => {
+            (Self::Shared(respond), CommandOutcome::Shared(outcome)) => {
                 let _ = respond.send(Ok(outcome));
             }
-            (Self::Ledger(calls), Applied::Ledger(replies)) => answer_calls(calls, replies),
+            (Self::Ledger(calls), CommandOutcome::Ledger(replies)) => answer_calls(calls, replies),
             (responder, _) => responder.fail(),
         }
     }
 }
 
-/// Answers that no leader took the calls on, with when to come back.
+/// Replies to the calls that the ledger is unavailable, with the delay before a retry.
 pub(crate) fn refuse_calls(calls: Vec<LedgerCall>) {
     let unavailable = LedgerReply::Unavailable {
         retry_after_ms: LEDGER_RETRY_AFTER_MS,
@@ -144,26 +150,27 @@
     answer_calls(calls, replies);
 }
 
-/// Sends the replies, those of neighbouring calls of one relay together.
+/// Sends the replies. Replies to consecutive calls of one relay go out as one batch.
 fn answer_calls(calls: Vec<LedgerCall>, replies: Vec<LedgerReply>) {
     let mut answered: Option<(LedgerReplies, Vec<(u64, LedgerReply)>)> = None;
     for (call, reply) in calls.into_iter().zip(replies) {
         match &mut answered {
-            Some((sink, batch)) if sink.same_channel(&call.replies) => {
+            Some((sender, batch)) if sender.same_channel(&call.replies) => {
                 batch.push((call.call, reply));
             }
             _ => {
-                send(answered.take());
+                send_replies(answered.take());
                 answered = Some((call.replies, vec![(call.call, reply)]));
             }
         }
     }
-    send(answered);
+    send_replies(answered);
 }
 
-/// A relay that has gone gets no answer; its agents ask again through another one.
-fn send(answered: Option<(LedgerReplies, Vec<(u64, LedgerReply)>)>) {
-    if let Some((sink, batch)) = answered {
-        let _ = sink.send(batch);
+/// Sends a batch of replies to a relay. If the relay has disconnected, the batch is dropped: its agents retry through
+/// another relay.
+fn send_replies(answered: Option<(LedgerReplies, Vec<(u64, LedgerReply)>)>) {
+    if let Some((sender, batch)) = answered {
+        let _ = sender.send(batch);
     }
 }
--- a/crates/sablehaven-control/src/driver/publish.rs
+++ b/crates/sablehaven-control/src/driver/publish.rs
@@ -1,4 +1,4 @@
-//! What the driver publishes for the servers.
+//! Publishes the state that the servers follow (see [`PublishedState`](super::PublishedState)).
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use super::{machine::read, run::Driver};
 
 impl Driver {
-    /// Publishes who leads group 0, and since when if this replica does.
+    /// Publishes the leader, term and membership of group 0, and since when this replica leads, if it does.
     pub(super) fn publish_leadership(&self) {
         let status = self.groups[0].replica.status();
         let is_leader = status.role == Role::Leader;
@@ -23,28 +23,29 @@
                 Some(since) if is_leader => Some(since),
                 _ => is_leader.then(Instant::now),
             };
-            let is_news = published.leader != before.leader || published.term != before.term;
-            if is_news {
+            let has_leadership_changed =
+                published.leader != before.leader || published.term != before.term;
+            if has_leadership_changed {
                 log_leadership(&status);
             }
             *published != before
         });
     }
 
-    /// Publishes the revision of the shared state.
+    /// Publishes the revision of the shared state, the version of its routes and the revision of its evacuated zones.
     pub(super) fn publish_revision(&self) {
         let (revision, routes_version, evacuation) = read(&self.state, |state| {
             let evacuation = state.evacuation().zones().revision;
             (state.revision(), state.routes().version(), evacuation)
         });
         self.published.send_if_modified(|published| {
-            let is_new = published.revision != revision
+            let has_changed = published.revision != revision
                 || published.routes_version != routes_version
                 || published.evacuation_revision != evacuation;
             published.revision = revision;
             published.routes_version = routes_version;
             published.evacuation_revision = evacuation;
-            is_new
+            has_changed
         });
     }
 }
--- a/crates/sablehaven-control/src/driver/reads.rs
+++ b/crates/sablehaven-control/src/driver/reads.rs
@@ -1,74 +1,83 @@
-//! Proofs of leadership: one round of the read index for all who ask between two rounds.
+//! Proofs of leadership by the read-index protocol. All requests that arrive between the starts of two rounds share the
+//! later one.
 
 use std::{collections::BTreeMap, time::Instant};
 
 use sablehaven_consensus::{ReadReady, Replica};
 
-use super::input::{LeaderProof, ProofResponder};
+use super::input::{LeadershipProof, ProofResponder};
 
-/// Askers that share a round.
-struct Round {
-    /// Taken before the round starts: the proof holds for this moment.
-    at: Instant,
-    askers: Vec<ProofResponder>,
+/// A read-index round and the requests that share it.
+struct ReadIndexRound {
+    /// Taken before the round starts, so the proof holds for this time.
+    holds_at: Instant,
+    responders: Vec<ProofResponder>,
 }
 
-/// Proofs that are being made.
+/// Requests for a proof of leadership that have not been answered yet.
 #[derive(Default)]
 pub(crate) struct ProofQueue {
+    /// Requests that wait for the next round.
     queued: Vec<ProofResponder>,
     last_token: u64,
-    rounds: BTreeMap<u64, Round>,
-    /// Confirmed rounds that wait until the state machine has applied their index.
-    confirmed: Vec<(u64, Round)>,
+    /// Rounds that no quorum has confirmed yet, by token.
+    unconfirmed: BTreeMap<u64, ReadIndexRound>,
+    /// Confirmed rounds, each with the index that the state machine must have applied before the round is answered.
+    confirmed: Vec<(u64, ReadIndexRound)>,
 }
 
 impl ProofQueue {
-    pub(crate) fn queue(&mut self, asker: ProofResponder) {
-        self.queued.push(asker);
+    /// Adds a request to the next round.
+    pub(crate) fn queue(&mut self, responder: ProofResponder) {
+        self.queued.push(responder);
     }
 
-    /// Starts one round for all who have asked since the last one.
+    /// Starts one round for all requests that arrived since the last one.
     pub(crate) fn start_round(&mut self, replica: &mut Replica) {
         if self.queued.is_empty() {
             return;
         }
-        let round = Round {
-            at: Instant::now(),
-            askers: std::mem::take(&mut self.queued),
+        let round = ReadIndexRound {
+            holds_at: Instant::now(),
+            responders: std::mem::take(&mut self.queued),
         };
         self.last_token += 1;
         match replica.read_index(self.last_token) {
             Ok(()) => {
-                self.rounds.insert(self.last_token, round);
+                self.unconfirmed.insert(self.last_token, round);
             }
             Err(_) => round.refuse(),
         }
     }
 
-    /// Takes the answers of a ready.
-    pub(crate) fn take(&mut self, reads: &[ReadReady], refused: &[u64]) {
+    /// Takes the confirmed and the refused reads of a [`Ready`](sablehaven_consensus::Ready).
+    pub(crate) fn take_read_results(&mut self, reads: &[ReadReady], refused: &[u64]) {
         for read in reads {
-            if let Some(round) = self.rounds.remove(&read.token) {
+            if let Some(round) = self.unconfirmed.remove(&read.token) {
                 self.confirmed.push((read.index, round));
             }
         }
         for token in refused {
-            if let Some(round) = self.rounds.remove(token) {
+            if let Some(round) = self.unconfirmed.remove(token) {
                 round.refuse();
             }
         }
     }
 
-    /// Answers the confirmed rounds whose index is applied.
-    pub(crate) fn answer(&mut self, applied: u64, revision: u64, configuration_version: u64) {
+    /// Answers the confirmed rounds whose index has been applied.
+    pub(crate) fn answer_applied(
+        &mut self,
+        applied: u64,
+        revision: u64,
+        configuration_version: u64,
+    ) {
         for (index, round) in std::mem::take(&mut self.confirmed) {
             if index > applied {
                 self.confirmed.push((index, round));
                 continue;
             }
-            let proof = LeaderProof {
-                at: round.at,
+            let proof = LeadershipProof {
+                holds_at: round.holds_at,
                 revision,
                 configuration_version,
             };
@@ -76,22 +85,24 @@
         }
     }
 
+    /// Whether any confirmed round has not been answered yet.
     pub(crate) fn has_confirmed(&self) -> bool {
         !self.confirmed.is_empty()
     }
 }
 
-impl Round {
-    /// An asker that has gone is not told.
-    fn answer(self, proof: LeaderProof) {
-        for asker in self.askers {
-            let _ = asker.send(Some(proof));
+impl ReadIndexRound {
+    /// Sends the proof to every request of the round, ignoring those whose receiver has been dropped.
+    fn answer(self, proof: LeadershipProof) {
+        for responder in self.responders {
+            let _ = responder.send(Some(proof));
         }
     }
 
+    /// Answers every request of the round that this replica does not lead.
     fn refuse(self) {
-        for asker in self.askers {
-            let _ = asker.send(None);
+        for responder in self.responders {
+            let _ = responder.send(None);
         }
     }
 }
--- a/crates/sablehaven-control/src/driver/restore.rs
+++ b/crates/sablehaven-control/src/driver/restore.rs
@@ -1,4 +1,4 @@
-//! The groups of this replica from what its disk holds.
+//! Restores the consensus groups of this replica from its data folder.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,15 +7,15 @@
 
 use super::{
     group::Group,
-    machine::{Machine, SharedHandle},
+    machine::{SharedStateHandle, StateMachine},
 };
 use crate::{Config, StartError, ledger::LedgerState};
 
-/// Every group as its disk holds it.
+/// Restores every group from its stored log and snapshot. A group without stored data starts empty.
 pub(super) fn restore_groups(
     config: &Config,
     id: ReplicaId,
-    state: &SharedHandle,
+    state: &SharedStateHandle,
     mut stored: BTreeMap<u32, RestoredGroup>,
 ) -> Result<Vec<Group>, StartError> {
     check_group_count(config, &stored)?;
@@ -23,8 +23,8 @@
     for number in 0..=config.ledger_groups {
         let stored = stored.remove(&number).unwrap_or_default();
         let machine = match number {
-            0 => Machine::Shared(Arc::clone(state)),
-            _ => Machine::Ledger(Box::<LedgerState>::default()),
+            0 => StateMachine::Shared(Arc::clone(state)),
+            _ => StateMachine::Ledger(Box::<LedgerState>::default()),
         };
         let replica = Replica::new(config.consensus(), id, stored.restored.clone());
         let group = Group::new(number, replica, machine, &stored);
@@ -37,8 +37,9 @@
     Ok(groups)
 }
 
-/// Keys are spread by the number of groups: with another number a key would be looked for in a
-/// group that does not hold it, and could be claimed a second time.
+/// Checks that the number of ledger groups is the stored one. The hash that assigns a key to a group depends on this
+/// number: with a different one, a key would be looked up in a group that does not hold it, and could be claimed a
+/// second time.
 fn check_group_count(
     config: &Config,
     stored: &BTreeMap<u32, RestoredGroup>,
--- a/crates/sablehaven-control/src/driver/writes.rs
+++ b/crates/sablehaven-control/src/driver/writes.rs
@@ -1,41 +1,42 @@
-//! Writes on their way to the disk: readies of all groups, batched into one sync.
+//! The queue of writes from the readies of all groups. Writes are batched so that the groups share one sync.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use sablehaven_consensus::{Entry, HardState, Message, ReplicaId, Snapshot};
 use sablehaven_storage::GroupWrite;
 
-/// Messages of one group that wait for a sync.
+/// Messages of one group, which must not be sent before a sync.
 pub(crate) type GroupMessages = Vec<(ReplicaId, Message)>;
 
-/// What is due once a batch is synced.
+/// What must be done once a batch is synced.
 #[derive(Debug, Default)]
 pub(crate) struct AfterSync {
-    /// The latest ready of each group that the batch holds.
-    pub(crate) numbers: BTreeMap<u32, u64>,
+    /// The number of the latest ready in the batch, by group.
+    pub(crate) ready_numbers: BTreeMap<u32, u64>,
     /// Messages that waited for the sync, by group, in order.
     pub(crate) messages: Vec<(u32, GroupMessages)>,
 }
 
-/// A batch of writes for many groups, each at most once.
+/// A batch of writes, with at most one for each group.
 #[derive(Debug, Default)]
 struct Batch {
     writes: BTreeMap<u32, GroupWrite>,
-    after: AfterSync,
+    after_sync: AfterSync,
 }
 
-/// Batches that wait, oldest first, and the one that is being written.
+/// Queued batches, oldest first, and the batch that is being written.
 ///
-/// Writes reach the disk in the order of their readies, and a message that waits for a sync is
-/// released only with the batch of its own ready, or of the latest before it: otherwise a vote or an
-/// acknowledgement could be forgotten in a crash, and a committed entry lost.
+/// Writes reach the disk in the order of their readies. A message that waits for a sync is released only after the sync
+/// of the batch with its own ready or, if that ready has no writes, with the latest earlier ready of the group that has
+/// any. Otherwise a crash could undo a vote or an acknowledgement that was already sent, and a committed entry could be
+/// lost.
 #[derive(Debug, Default)]
 pub(crate) struct WriteQueue {
     waiting: VecDeque<Batch>,
     in_flight: Option<AfterSync>,
 }
 
-/// What one ready wants written.
+/// The writes of one ready.
 #[derive(Debug)]
 pub(crate) struct ReadyWrite {
     pub(crate) number: u64,
@@ -48,19 +49,19 @@
     /// Queues the writes of a ready with the messages that wait for them.
     pub(crate) fn push(&mut self, group: u32, write: ReadyWrite, messages: GroupMessages) {
         let fits = self.waiting.back().is_some_and(|batch| {
-            let known = batch.writes.get(&group);
-            known.is_none_or(|known| can_merge(known, &write))
+            let queued = batch.writes.get(&group);
+            queued.is_none_or(|queued| can_merge(queued, &write))
         });
         if !fits {
             self.waiting.push_back(Batch::default());
         }
         if let Some(batch) = self.waiting.back_mut() {
-            batch.add(group, write, messages);
+            batch.add_ready(group, write, messages);
         }
     }
 
-    /// Queues messages of a ready without writes. Returns them if nothing is left to be synced
-    /// before them.
+    /// Queues the messages of a ready without writes. Returns them if no earlier write of the group is pending, in
+    /// which case they can be sent immediately.
     pub(crate) fn push_messages(
         &mut self,
         group: u32,
@@ -69,62 +70,64 @@
         let latest = self.waiting.iter_mut().rev();
         let mut batches = latest.filter(|batch| batch.writes.contains_key(&group));
         if let Some(batch) = batches.next() {
-            batch.after.messages.push((group, messages));
+            batch.after_sync.messages.push((group, messages));
             return None;
         }
         match &mut self.in_flight {
-            Some(after) if after.numbers.contains_key(&group) => {
-                after.messages.push((group, messages));
+            Some(after_sync) if after_sync.ready_numbers.contains_key(&group) => {
+                after_sync.messages.push((group, messages));
                 None
             }
             _ => Some(messages),
         }
     }
 
-    /// The next batch to write, unless one is being written.
+    /// Removes and returns the next batch to write, unless one is being written.
     pub(crate) fn start_next(&mut self) -> Option<Vec<GroupWrite>> {
         if self.in_flight.is_some() {
             return None;
         }
         let batch = self.waiting.pop_front()?;
-        self.in_flight = Some(batch.after);
+        self.in_flight = Some(batch.after_sync);
         Some(batch.writes.into_values().collect())
     }
 
-    /// The batch that was being written is synced.
-    pub(crate) fn finished(&mut self) -> AfterSync {
+    /// Records that the batch that was being written is synced, and returns what must be done now.
+    pub(crate) fn complete_in_flight(&mut self) -> AfterSync {
         self.in_flight.take().unwrap_or_default()
     }
 
-    /// Whether everything is synced.
+    /// Whether no write is queued or in progress.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight.is_none() && self.waiting.is_empty()
     }
 }
 
-/// A snapshot replaces the whole log, so it stays a write of its own.
-fn can_merge(known: &GroupWrite, write: &ReadyWrite) -> bool {
-    known.snapshot.is_none() && write.snapshot.is_none()
+/// Whether a write can be merged into a queued one of the same group. A snapshot replaces the whole log, so its write
+/// is never merged.
+fn can_merge(queued: &GroupWrite, write: &ReadyWrite) -> bool {
+    queued.snapshot.is_none() && write.snapshot.is_none()
 }
 
 impl Batch {
-    fn add(&mut self, group: u32, write: ReadyWrite, messages: GroupMessages) {
-        self.after.numbers.insert(group, write.number);
+    /// Adds the writes and messages of a ready, merging the writes into those of the group's earlier readies.
+    fn add_ready(&mut self, group: u32, write: ReadyWrite, messages: GroupMessages) {
+        self.after_sync.ready_numbers.insert(group, write.number);
         if !messages.is_empty() {
-            self.after.messages.push((group, messages));
+            self.after_sync.messages.push((group, messages));
         }
-        let known = self.writes.entry(group).or_insert_with(|| GroupWrite {
+        let queued = self.writes.entry(group).or_insert_with(|| GroupWrite {
             group,
             ..GroupWrite::default()
         });
-        known.hard_state = write.hard_state.or(known.hard_state);
-        known.snapshot = write.snapshot.or(known.snapshot.take());
-        append(&mut known.entries, write.entries);
+        queued.hard_state = write.hard_state.or(queued.hard_state);
+        queued.snapshot = write.snapshot.or(queued.snapshot.take());
+        replace_tail(&mut queued.entries, write.entries);
     }
 }
 
-/// Appends entries, which replace those from the first one's index on.
-fn append(entries: &mut Vec<Entry>, new: Vec<Entry>) {
+/// Appends new entries after removing the old ones from the first new entry's index on.
+fn replace_tail(entries: &mut Vec<Entry>, new: Vec<Entry>) {
     let Some(first) = new.first() else {
         return;
     };
--- a/crates/sablehaven-control/src/server/context.rs
+++ b/crates/sablehaven-control/src/server/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a replica share.
+//! The state and the handles that the tasks of a replica share.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,7 +9,7 @@
 
 use crate::{
     Config,
-    driver::{DriverHandle, Published, SharedHandle, read},
+    driver::{DriverHandle, PublishedState, SharedStateHandle, read},
     gateways::Gateways,
     membership::AgentObservation,
     metrics::Metrics,
@@ -20,13 +20,13 @@
     replicas::ReplicaAddresses,
 };
 
-/// What the tasks of a replica share.
+/// The state and the handles that the tasks of a replica share.
 pub(crate) struct Context {
     pub(crate) config: Arc<Config>,
     pub(crate) replica: ReplicaId,
     pub(crate) driver: DriverHandle,
-    pub(crate) state: SharedHandle,
-    pub(crate) published: watch::Receiver<Published>,
+    pub(crate) state: SharedStateHandle,
+    pub(crate) published: watch::Receiver<PublishedState>,
     pub(crate) registry: Registry,
     pub(crate) gateways: Arc<Gateways>,
     pub(crate) observations: mpsc::Sender<AgentObservation>,
@@ -36,35 +36,36 @@
     pub(crate) probes: ProbeQueue,
     pub(crate) age_clock: SuspensionClock,
     pub(crate) metrics: Metrics,
-    /// Cancelled when the replica takes no new work.
+    /// Cancelled once the replica accepts no new work.
     pub(crate) stopping: CancellationToken,
 }
 
 impl Context {
+    /// Whether this replica leads group 0, as far as it knows.
     pub(crate) fn is_leader(&self) -> bool {
         self.published.borrow().is_leader()
     }
 
-    /// Has a quorum confirm that this replica leads, so that what it has applied is current.
-    pub(crate) async fn require_proof(&self) -> Result<(), CallError> {
+    /// Asks a quorum to confirm that this replica leads, which proves that its applied state is current.
+    pub(crate) async fn require_leadership_proof(&self) -> Result<(), CallError> {
         match self.driver.prove_leadership().await {
             Some(_) => Ok(()),
             None => Err(CallError::NotLeader),
         }
     }
 
-    /// What a relay is told when this replica does not lead.
+    /// The message that tells a relay that this replica does not lead, with the leader's address if known.
     pub(crate) fn not_leader(&self) -> ControlToRelay {
         let leader = self.other_leader().map(|addresses| addresses.internal);
         ControlToRelay::NotLeader { leader }
     }
 
-    /// The leader's operators' interface, where another replica leads.
-    pub(crate) fn leader_http(&self) -> Option<SocketAddr> {
+    /// The address of the leader's operator interface, if another replica leads and its addresses are known.
+    pub(crate) fn leader_http_address(&self) -> Option<SocketAddr> {
         self.other_leader().map(|addresses| addresses.http)
     }
 
-    /// The leader's addresses, where another replica leads.
+    /// The addresses of the leader, if another replica leads and its addresses are known.
     pub(crate) fn other_leader(&self) -> Option<ReplicaAddresses> {
         let leader = self.published.borrow().leader?;
         if leader == self.replica {
--- a/crates/sablehaven-control/src/server/start.rs
+++ b/crates/sablehaven-control/src/server/start.rs
@@ -1,4 +1,4 @@
-//! The start of a control replica.
+//! Starts a control replica.
 
 use std::{
     net::SocketAddr,
@@ -20,11 +20,11 @@
 
 use super::{
     accept::accept_connections, context::Context, gauges::refresh_gauges, handle::Handle,
-    tasks::Tasks,
+    tasks::TaskGroup,
 };
 use crate::{
     Config, StartError,
-    driver::{self, Driver, DriverParts, Published, SharedHandle, StoredAddresses},
+    driver::{self, Driver, DriverParts, PublishedState, SharedStateHandle, StoredAddresses},
     gateways::Gateways,
     leader::{self, ServerSource},
     membership::AgentObservation,
@@ -39,30 +39,30 @@
     replicas::ReplicaAddresses,
 };
 
-/// Sockets that listen already.
+/// The listening sockets of a replica.
 #[derive(Debug)]
 pub struct Listeners {
     /// For internal connections.
     pub internal: TcpListener,
-    /// For the operators' interface.
+    /// For the operator interface.
     pub http: TcpListener,
 }
 
-/// What a replica stands on besides its settings.
+/// What a replica needs besides its settings.
 pub struct Environment {
-    /// Sockets that listen already.
+    /// The listening sockets.
     pub listeners: Listeners,
-    /// Holds the data folder.
+    /// The disk that holds the data folder.
     pub disk: Arc<dyn Disk>,
-    /// Lists the servers that gateways send to, where there are gateways.
+    /// Lists the servers to which gateways send requests, if there are gateways.
     pub servers: Option<Arc<dyn ServerSource>>,
 }
 
 impl Listeners {
-    /// Listens where the settings say.
+    /// Listens on the addresses in the settings.
     ///
     /// # Errors
-    /// [`StartError::Listen`] with the address.
+    /// Returns [`StartError::Listen`] with the address that could not be used.
     pub async fn bind(config: &Config) -> Result<Self, StartError> {
         Ok(Self {
             internal: listen(config.internal_listen).await?,
@@ -70,6 +70,7 @@
         })
     }
 
+    /// The addresses that the sockets are bound to, internal and HTTP.
     fn addresses(&self, config: &Config) -> Result<(SocketAddr, SocketAddr), StartError> {
         let internal = local_address(&self.internal, config.internal_listen)?;
         let http = local_address(&self.http, config.http_listen)?;
@@ -91,7 +92,7 @@
     start_in(config, telemetry, environment).await
 }
 
-/// Starts a control replica on sockets that listen already and on a given disk.
+/// Starts a control replica in a given environment.
 ///
 /// # Errors
 /// See [`StartError`].
@@ -107,17 +108,17 @@
         servers,
     } = environment;
     let (internal, http) = listeners.addresses(&config)?;
-    let own = ReplicaAddresses {
+    let own_addresses = ReplicaAddresses {
         internal: config.internal_advertise.unwrap_or(internal),
         http: config.http_advertise.unwrap_or(http),
     };
     let config = Arc::new(config);
     let opened = open_storage(Arc::clone(&config), disk).await?;
-    let (context, driver, observations) = assemble(config, opened, own, &telemetry)?;
+    let (context, driver, observations) = assemble(config, opened, own_addresses, &telemetry)?;
     let stop_driver = CancellationToken::new();
     let driver = tokio::spawn(driver.run(stop_driver.clone()));
-    let background = Tasks::default();
-    let relays = Tasks::default();
+    let background = TaskGroup::default();
+    let relays = TaskGroup::default();
     let (http_handle, http_server) = serve_http(&context, &telemetry, listeners.http, http)?;
     spawn_background(&context, &background, observations);
     if let Some(servers) = servers {
@@ -165,7 +166,7 @@
     local.map_err(|source| StartError::Listen { address, source })
 }
 
-/// Opening reads the whole log, so it runs apart from the tasks.
+/// Opens the storage on a blocking thread, because this reads the whole log.
 async fn open_storage(config: Arc<Config>, disk: Arc<dyn Disk>) -> Result<Opened, StartError> {
     let open = move || Storage::open(&config.data_folder, disk, config.storage());
     match tokio::task::spawn_blocking(open).await {
@@ -174,26 +175,26 @@
     }
 }
 
-type Assembled = (Arc<Context>, Driver, mpsc::Receiver<AgentObservation>);
+type AssembledParts = (Arc<Context>, Driver, mpsc::Receiver<AgentObservation>);
 
-/// Puts the parts together; nothing runs yet.
+/// Creates the components of the replica and connects them. No task runs yet.
 fn assemble(
     config: Arc<Config>,
     opened: Opened,
-    own: ReplicaAddresses,
+    own_addresses: ReplicaAddresses,
     telemetry: &Telemetry,
-) -> Result<Assembled, StartError> {
+) -> Result<AssembledParts, StartError> {
     let replica = opened.identity.replica;
     let metrics = Metrics::register(telemetry);
-    let state = SharedHandle::default();
+    let state = SharedStateHandle::default();
     let (driver_handle, inputs) = driver::channel();
-    let (published, published_receiver) = watch::channel(Published::default());
+    let (published, published_receiver) = watch::channel(PublishedState::default());
     let links = Arc::new(Links::new(metrics.clone()));
     let shared = opened.groups.get(&0);
     let stored = shared.map_or_else(StoredAddresses::default, |group| {
         StoredAddresses::read(&group.restored.entries)
     });
-    let directory = Directory::new(replica, own, stored);
+    let directory = Directory::new(replica, own_addresses, stored);
     let grants = Arc::new(Mutex::new(PartGrants::default()));
     let driver = Driver::new(DriverParts {
         config: Arc::clone(&config),
@@ -211,7 +212,7 @@
     let peers = Arc::new(PeerContext::new(
         Arc::clone(&config),
         replica,
-        own,
+        own_addresses,
         directory,
         driver_handle.clone(),
         Arc::clone(&state),
@@ -251,6 +252,7 @@
     Ok((context, driver, observation_queue))
 }
 
+/// Starts the HTTP server for the operator interface and telemetry.
 fn serve_http(
     context: &Arc<Context>,
     telemetry: &Telemetry,
@@ -266,9 +268,10 @@
     Ok((handle, task))
 }
 
+/// Spawns the background tasks, except for the accept loop and the reading of the server listing.
 fn spawn_background(
     context: &Arc<Context>,
-    background: &Tasks,
+    background: &TaskGroup,
     observations: mpsc::Receiver<AgentObservation>,
 ) {
     let peers = &context.peers;
