--- a/crates/sablehaven-gateway/src/admission.rs
+++ b/crates/sablehaven-gateway/src/admission.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use crate::{resends::CallerTry, servers::KindOfRequest, urgency::Urgency};
+use crate::{resends::CallerTry, servers::RouteId, urgency::Urgency};
 
 /// Fraction of the limit that requests of the most urgent level may use. Each further level may use
 /// [`FRACTION_PER_LEVEL`] less.
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmissionClass {
     pub(crate) urgency: Urgency,
-    pub(crate) kind: KindOfRequest,
+    pub(crate) kind: RouteId,
     /// When its latency target ends.
     pub(crate) due: Duration,
     pub(crate) caller_try: CallerTry,
@@ -58,7 +58,7 @@
 /// The slot of an admitted request, which is released when this is dropped.
 pub(crate) struct Admitted {
     shared: Rc<Shared>,
-    kind: KindOfRequest,
+    kind: RouteId,
     /// `None` for a resend.
     due: Option<(Duration, u64)>,
 }
--- a/crates/sablehaven-gateway/src/admission/tests.rs
+++ b/crates/sablehaven-gateway/src/admission/tests.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use super::{Admission, AdmissionClass, NotAdmitted};
-use crate::{resends::CallerTry, servers::KindOfRequest, urgency::Urgency};
+use crate::{resends::CallerTry, servers::RouteId, urgency::Urgency};
 
-const KIND: KindOfRequest = KindOfRequest(1);
+const KIND: RouteId = RouteId(1);
 const NOW: Duration = Duration::from_secs(10);
 const LATER: Duration = Duration::from_secs(11);
 
-fn first(priority: u32, kind: KindOfRequest, due: Duration) -> AdmissionClass {
+fn first(priority: u32, kind: RouteId, due: Duration) -> AdmissionClass {
     AdmissionClass {
         urgency: Urgency::new(None, priority),
         kind,
@@ -47,7 +47,7 @@
     let after = LATER + Duration::from_millis(1);
     let refused = admission.admit(after, first(1, KIND, after)).err();
     assert_eq!(refused, Some(NotAdmitted::Overdue));
-    let other = KindOfRequest(2);
+    let other = RouteId(2);
     assert!(admission.admit(after, first(2, other, after)).is_ok());
     slots.pop();
     assert!(
--- a/crates/sablehaven-gateway/src/crashes.rs
+++ b/crates/sablehaven-gateway/src/crashes.rs
@@ -12,7 +12,7 @@
 use sablehaven_types::fingerprint_text;
 
 pub(crate) use fingerprint::fingerprint;
-pub(crate) use watch::{CrashWatch, Trial, Turn, WaitingPlace};
+pub(crate) use watch::{CrashWatch, SendDecision, Trial, WaiterGuard};
 
 /// A line about a quarantine that has just begun, if one has. `learned_from` says who saw the last crash.
 pub(crate) fn log_quarantine(begun: Option<Quarantine>, learned_from: &str) {
--- a/crates/sablehaven-gateway/src/crashes/watch.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch.rs
@@ -35,12 +35,12 @@
 }
 
 /// A part's place among those that wait; given back when it is dropped.
-pub(crate) struct WaitingPlace {
+pub(crate) struct WaiterGuard {
     watch: Rc<CrashWatch>,
     spare: usize,
 }
 
-impl Drop for WaitingPlace {
+impl Drop for WaiterGuard {
     fn drop(&mut self) {
         let mut waiting = self.watch.waiting.borrow_mut();
         if let Some(position) = waiting.iter().position(|spare| *spare == self.spare) {
@@ -62,15 +62,15 @@
 }
 
 /// Whether a part may send an attempt.
-pub(crate) enum Turn {
+pub(crate) enum SendDecision {
     /// As usual.
     Send,
     /// The request is suspect: this is its only attempt until it ends.
     Trial(Trial),
     /// The request is suspect, and another part has the only attempt, or is to have it.
-    Wait(WaitingPlace),
+    Wait(WaiterGuard),
     /// No server is to get the request.
-    Never,
+    Refuse,
 }
 
 /// The only attempt of a suspect request. When it is dropped another part may send.
@@ -80,7 +80,7 @@
 
 impl Trial {
     /// The connection ended while the server had the request; `is_gone` when the server was found to have ended.
-    pub(crate) fn lost(&self, now: Duration, is_gone: bool) {
+    pub(crate) fn record_lost_connection(&self, now: Duration, is_gone: bool) {
         let lost_trials = &self.watch.lost_trials;
         lost_trials.set(lost_trials.get() + 1);
         if is_gone {
@@ -146,35 +146,41 @@
         self.changed.notify_waiters();
     }
 
-    /// Whether a part may send now; see [`Turn`]. `spare` counts the servers that its shard could lose; it is only asked
+    /// Whether a part may send now; see [`SendDecision`]. `spare` counts the servers that its shard could lose; it is only asked
     /// where a server was lost.
-    pub(crate) fn turn(self: &Rc<Self>, now: Duration, spare: impl FnOnce() -> usize) -> Turn {
+    pub(crate) fn send_decision(
+        self: &Rc<Self>,
+        now: Duration,
+        spare: impl FnOnce() -> usize,
+    ) -> SendDecision {
         if self.is_answered.get() {
-            return Turn::Send;
+            return SendDecision::Send;
         }
         match self.standing(now) {
-            CrashStatus::Clear if self.is_held(now) => Turn::Wait(self.wait(spare())),
-            CrashStatus::Clear => Turn::Send,
-            CrashStatus::Quarantined { .. } => Turn::Never,
-            CrashStatus::Suspect if self.lost_trials.get() >= MAX_LOST_TRIALS => Turn::Never,
+            CrashStatus::Clear if self.is_held(now) => SendDecision::Wait(self.wait(spare())),
+            CrashStatus::Clear => SendDecision::Send,
+            CrashStatus::Quarantined { .. } => SendDecision::Refuse,
+            CrashStatus::Suspect if self.lost_trials.get() >= MAX_LOST_TRIALS => {
+                SendDecision::Refuse
+            }
             CrashStatus::Suspect => self.trial_or_wait(spare()),
         }
     }
 
     /// A trial is made where most servers are left, or it might take a shard's last one.
-    fn trial_or_wait(self: &Rc<Self>, spare: usize) -> Turn {
+    fn trial_or_wait(self: &Rc<Self>, spare: usize) -> SendDecision {
         if self.is_trial_running.get() || self.has_better(spare) {
-            return Turn::Wait(self.wait(spare));
+            return SendDecision::Wait(self.wait(spare));
         }
         self.is_trial_running.set(true);
         let watch = Rc::clone(self);
-        Turn::Trial(Trial { watch })
+        SendDecision::Trial(Trial { watch })
     }
 
-    fn wait(self: &Rc<Self>, spare: usize) -> WaitingPlace {
+    fn wait(self: &Rc<Self>, spare: usize) -> WaiterGuard {
         self.waiting.borrow_mut().push(spare);
         let watch = Rc::clone(self);
-        WaitingPlace { watch, spare }
+        WaiterGuard { watch, spare }
     }
 
     /// Whether a part that waits has more spare servers.
@@ -200,7 +206,7 @@
     }
 
     /// Whether every part may send at once; no server was lost, or some have answered.
-    pub(crate) fn is_undisturbed(&self, now: Duration) -> bool {
+    pub(crate) fn may_all_parts_send(&self, now: Duration) -> bool {
         self.is_answered.get() || (self.is_clear(now) && !self.is_held(now))
     }
 
@@ -215,7 +221,7 @@
         self.table.borrow().status(now, self.fingerprint)
     }
 
-    /// Waits until [`Self::turn`] may say something else.
+    /// Waits until [`Self::send_decision`] may say something else.
     pub(crate) async fn changed(&self) {
         self.changed.notified().await;
     }
@@ -226,7 +232,7 @@
     }
 
     /// The servers whose connection ended while they had the request, for log lines.
-    pub(crate) fn lost_text(&self) -> String {
+    pub(crate) fn lost_servers_text(&self) -> String {
         let lost = self.lost.borrow();
         let ids: Vec<&str> = lost.iter().map(BackendId::as_str).collect();
         ids.join(", ")
--- a/crates/sablehaven-gateway/src/crashes/watch/tests.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch/tests.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-use super::{CrashStatus, CrashTable, CrashWatch, Turn};
+use super::{CrashStatus, CrashTable, CrashWatch, SendDecision};
 
 const REQUEST: u64 = 7;
 const USUAL: Duration = Duration::from_millis(20);
@@ -27,9 +27,15 @@
     let (watch, _) = watch();
     let _running = watch.begin();
     lose(&watch, ms(100), 1);
-    assert!(matches!(watch.turn(ms(101), || 1), Turn::Wait(_)));
+    assert!(matches!(
+        watch.send_decision(ms(101), || 1),
+        SendDecision::Wait(_)
+    ));
     assert_eq!(watch.held_until(ms(101)), Some(ms(100) + 2 * USUAL));
-    assert!(matches!(watch.turn(ms(100) + 2 * USUAL, || 1), Turn::Send));
+    assert!(matches!(
+        watch.send_decision(ms(100) + 2 * USUAL, || 1),
+        SendDecision::Send
+    ));
 }
 
 #[test]
@@ -37,21 +43,33 @@
     let (watch, _) = watch();
     drop(watch.begin());
     lose(&watch, ms(100), 1);
-    assert!(matches!(watch.turn(ms(100), || 1), Turn::Send));
+    assert!(matches!(
+        watch.send_decision(ms(100), || 1),
+        SendDecision::Send
+    ));
 }
 
 #[test]
 fn a_suspect_request_has_one_attempt_at_a_time_until_a_server_answers() {
     let (watch, table) = watch();
     lose(&watch, ms(100), 3);
-    let Turn::Trial(trial) = watch.turn(ms(100), || 1) else {
+    let SendDecision::Trial(trial) = watch.send_decision(ms(100), || 1) else {
         panic!("not a trial");
     };
-    assert!(matches!(watch.turn(ms(101), || 1), Turn::Wait(_)));
+    assert!(matches!(
+        watch.send_decision(ms(101), || 1),
+        SendDecision::Wait(_)
+    ));
     drop(trial);
-    assert!(matches!(watch.turn(ms(102), || 1), Turn::Trial(_)));
+    assert!(matches!(
+        watch.send_decision(ms(102), || 1),
+        SendDecision::Trial(_)
+    ));
     watch.answered(ms(103));
-    assert!(matches!(watch.turn(ms(103), || 1), Turn::Send));
+    assert!(matches!(
+        watch.send_decision(ms(103), || 1),
+        SendDecision::Send
+    ));
     assert_eq!(table.borrow().status(ms(103), REQUEST), CrashStatus::Clear);
 }
 
@@ -60,14 +78,20 @@
     let (watch, table) = watch();
     lose(&watch, ms(100), 3);
     for _ in 0..2 {
-        let Turn::Trial(trial) = watch.turn(ms(101), || 1) else {
+        let SendDecision::Trial(trial) = watch.send_decision(ms(101), || 1) else {
             panic!("not a trial");
         };
-        trial.lost(ms(101), true);
+        trial.record_lost_connection(ms(101), true);
     }
-    assert!(matches!(watch.turn(ms(102), || 1), Turn::Never));
+    assert!(matches!(
+        watch.send_decision(ms(102), || 1),
+        SendDecision::Refuse
+    ));
     let later = CrashWatch::new(REQUEST, table);
-    assert!(matches!(later.turn(ms(200), || 1), Turn::Never));
+    assert!(matches!(
+        later.send_decision(ms(200), || 1),
+        SendDecision::Refuse
+    ));
 }
 
 #[test]
@@ -75,14 +99,20 @@
     let (watch, table) = watch();
     lose(&watch, ms(100), 3);
     for _ in 0..2 {
-        let Turn::Trial(trial) = watch.turn(ms(101), || 1) else {
+        let SendDecision::Trial(trial) = watch.send_decision(ms(101), || 1) else {
             panic!("not a trial");
         };
-        trial.lost(ms(101), false);
+        trial.record_lost_connection(ms(101), false);
     }
-    assert!(matches!(watch.turn(ms(102), || 1), Turn::Never));
+    assert!(matches!(
+        watch.send_decision(ms(102), || 1),
+        SendDecision::Refuse
+    ));
     let later = CrashWatch::new(REQUEST, table);
-    assert!(matches!(later.turn(ms(200), || 1), Turn::Trial(_)));
+    assert!(matches!(
+        later.send_decision(ms(200), || 1),
+        SendDecision::Trial(_)
+    ));
 }
 
 #[test]
@@ -90,7 +120,10 @@
     let (watch, table) = watch();
     watch.answered(ms(100));
     lose(&watch, ms(101), 5);
-    assert!(matches!(watch.turn(ms(101), || 1), Turn::Send));
+    assert!(matches!(
+        watch.send_decision(ms(101), || 1),
+        SendDecision::Send
+    ));
     assert_eq!(table.borrow().status(ms(101), REQUEST), CrashStatus::Clear);
 }
 
@@ -98,33 +131,45 @@
 fn a_trial_is_made_where_most_servers_are_left() {
     let (watch, _) = watch();
     lose(&watch, ms(100), 3);
-    let Turn::Trial(trial) = watch.turn(ms(100), || 1) else {
+    let SendDecision::Trial(trial) = watch.send_decision(ms(100), || 1) else {
         panic!("not a trial");
     };
-    let Turn::Wait(few) = watch.turn(ms(101), || 1) else {
+    let SendDecision::Wait(few) = watch.send_decision(ms(101), || 1) else {
         panic!("does not wait");
     };
-    let Turn::Wait(many) = watch.turn(ms(101), || 2) else {
+    let SendDecision::Wait(many) = watch.send_decision(ms(101), || 2) else {
         panic!("does not wait");
     };
     drop(trial);
     drop(few);
-    assert!(matches!(watch.turn(ms(102), || 1), Turn::Wait(_)));
+    assert!(matches!(
+        watch.send_decision(ms(102), || 1),
+        SendDecision::Wait(_)
+    ));
     drop(many);
-    assert!(matches!(watch.turn(ms(102), || 2), Turn::Trial(_)));
+    assert!(matches!(
+        watch.send_decision(ms(102), || 2),
+        SendDecision::Trial(_)
+    ));
 }
 
 /// What a query decides for all of its parts must not pass by the order of a request that may take servers down.
 #[test]
 fn a_request_is_undisturbed_exactly_while_every_part_may_send() {
     let (watch, _) = watch();
-    assert!(watch.is_undisturbed(ms(100)));
+    assert!(watch.may_all_parts_send(ms(100)));
     let _running = watch.begin();
     lose(&watch, ms(100), 1);
-    assert!(matches!(watch.turn(ms(101), || 1), Turn::Wait(_)));
-    assert!(!watch.is_undisturbed(ms(101)), "others run");
+    assert!(matches!(
+        watch.send_decision(ms(101), || 1),
+        SendDecision::Wait(_)
+    ));
+    assert!(!watch.may_all_parts_send(ms(101)), "others run");
     lose(&watch, ms(102), 4);
-    assert!(!watch.is_undisturbed(ms(102) + 4 * USUAL), "it is suspect");
+    assert!(
+        !watch.may_all_parts_send(ms(102) + 4 * USUAL),
+        "it is suspect"
+    );
     watch.answered(ms(300));
-    assert!(watch.is_undisturbed(ms(300)));
+    assert!(watch.may_all_parts_send(ms(300)));
 }
--- a/crates/sablehaven-gateway/src/gateway.rs
+++ b/crates/sablehaven-gateway/src/gateway.rs
@@ -171,7 +171,7 @@
         log::info!(event = "routes_in_force", version = document.version, former = held; "applied routes");
         let version = i64::try_from(document.version).unwrap_or(i64::MAX);
         self.metrics.routes_version.set(version);
-        self.registry.take_routes(&document);
+        self.registry.apply_routes(&document);
         let table = RouteTable::new(document, previous.as_deref());
         *self.routes.borrow_mut() = Some(Rc::new(table));
         self.refresh_status();
@@ -200,7 +200,7 @@
 
     /// Applies a reading of the list of servers. A reading that is not newer than the one in force is ignored.
     pub(crate) fn apply_listing(&self, listing: &ServerListing) {
-        if !self.registry.take_listing(listing) {
+        if !self.registry.apply_listing(listing) {
             return;
         }
         let number = listing.number;
@@ -223,7 +223,7 @@
         if change.number <= held {
             return;
         }
-        if !self.registry.take_listing_change(change) {
+        if !self.registry.apply_listing_change(change) {
             log::info!(
                 event = "listing_change_ignored", base_term = change.base.term,
                 base_reading = change.base.reading, held_term = held.term,
@@ -248,7 +248,7 @@
         let revision = evacuated.revision;
         let zones: Vec<&str> = evacuated.zones.iter().map(ZoneName::as_str).collect();
         let zones = zones.join(", ");
-        if self.registry.take_evacuation(evacuated) {
+        if self.registry.apply_evacuation(evacuated) {
             log::info!(event = "evacuation_in_force", revision = revision, zones = zones.as_str(); "applied the evacuated zones");
             self.refresh_status();
         }
@@ -259,7 +259,7 @@
         // A replica that has just started does not know of any gateway yet.
         if !members.gateways.is_empty() {
             self.registry
-                .take_gateways(members.gateways, members.is_sharer);
+                .set_gateways(members.gateways, members.is_sharer);
         }
         self.add_controls(members.controls);
     }
--- a/crates/sablehaven-gateway/src/request/attempt_plan.rs
+++ b/crates/sablehaven-gateway/src/request/attempt_plan.rs
@@ -79,7 +79,7 @@
     let needed = parts.needed();
     let affordable = levels
         .iter()
-        .filter(|level| level.bears(AttemptPurpose::Required.reserve()));
+        .filter(|level| level.allows(AttemptPurpose::Required.reserve()));
     if affordable.count() < needed {
         return vec![PartDecision::GiveUp; levels.len()];
     }
@@ -95,7 +95,7 @@
         } else {
             AttemptPurpose::Optional
         };
-        if levels[position].bears(purpose.reserve()) {
+        if levels[position].allows(purpose.reserve()) {
             decisions[position] = PartDecision::Send;
         }
     }
@@ -104,7 +104,11 @@
 
 fn fullest_first(levels: &[BudgetLevel]) -> Vec<usize> {
     let mut positions: Vec<usize> = (0..levels.len()).collect();
-    positions.sort_by(|one, other| levels[*other].left().total_cmp(&levels[*one].left()));
+    positions.sort_by(|one, other| {
+        levels[*other]
+            .remaining()
+            .total_cmp(&levels[*one].remaining())
+    });
     positions
 }
 
--- a/crates/sablehaven-gateway/src/request/attempt_plan/replay.rs
+++ b/crates/sablehaven-gateway/src/request/attempt_plan/replay.rs
@@ -173,7 +173,7 @@
             is_decision_scheduled: false,
         });
         for part in 0..SHARDS {
-            self.budgets[part].need(Duration::from_millis(now));
+            self.budgets[part].record_request(Duration::from_millis(now));
             self.needed[part].push(now);
             self.send(now, number, part);
         }
@@ -214,7 +214,7 @@
             Decider::Query => purpose.reserve(),
         };
         let at = Duration::from_millis(now);
-        let is_charged = self.budgets[part].take(at, Some(GATEWAYS), reserve);
+        let is_charged = self.budgets[part].try_take(at, Some(GATEWAYS), reserve);
         if is_charged {
             self.extra[part].push(now);
             self.outcome.extra += 1;
--- a/crates/sablehaven-gateway/src/request/attempt_plan/tests.rs
+++ b/crates/sablehaven-gateway/src/request/attempt_plan/tests.rs
@@ -16,7 +16,7 @@
 fn level(allowed: u32, used: u32) -> BudgetLevel {
     let mut budget = budget(allowed);
     for _ in 0..used {
-        assert!(budget.take(NOW, Some(1), 0.0));
+        assert!(budget.try_take(NOW, Some(1), 0.0));
     }
     budget.level(NOW, Some(1))
 }
@@ -95,7 +95,7 @@
     ];
     let taken = purposes.map(|purpose| {
         let mut budget = budget(100);
-        let granted = (0..1_000).take_while(|_| budget.take(NOW, Some(1), purpose.reserve()));
+        let granted = (0..1_000).take_while(|_| budget.try_take(NOW, Some(1), purpose.reserve()));
         granted.count()
     });
     assert_eq!(taken, [75, 75, 100]);
@@ -117,9 +117,9 @@
         prop_assert_eq!(decisions.len(), levels.len());
         let sent = sent(&decisions);
         for position in &sent {
-            prop_assert!(levels[*position].left() >= 1.0);
+            prop_assert!(levels[*position].remaining() >= 1.0);
         }
-        let affordable = levels.iter().filter(|level| level.left() >= 1.0).count();
+        let affordable = levels.iter().filter(|level| level.remaining() >= 1.0).count();
         if affordable < parts.needed() {
             prop_assert!(sent.is_empty());
             prop_assert!(!decisions.contains(&PartDecision::Wait));
@@ -149,12 +149,12 @@
                 1 => AttemptPurpose::Optional,
                 2 => AttemptPurpose::Speculative,
                 _ => {
-                    budgets[gateway].need(now);
+                    budgets[gateway].record_request(now);
                     needed.push(at_ms);
                     continue;
                 }
             };
-            if budgets[gateway].take(now, Some(4), purpose.reserve()) {
+            if budgets[gateway].try_take(now, Some(4), purpose.reserve()) {
                 extra.push(at_ms);
             }
         }
--- a/crates/sablehaven-gateway/src/request/gather.rs
+++ b/crates/sablehaven-gateway/src/request/gather.rs
@@ -144,7 +144,9 @@
     }
     let registry = &accepted.gateway.registry;
     let allowed = accepted.allowed_regions();
-    shards.sort_by_cached_key(|shard| Reverse(registry.service(shard).spare(allowed, &[])));
+    shards.sort_by_cached_key(|shard| {
+        Reverse(registry.service(shard).count_spare_servers(allowed, &[]))
+    });
     shards
 }
 
@@ -237,7 +239,7 @@
         after_ms = elapsed.as_millis() as u64,
         left_ms = accepted.outgoing.deadline.saturating_duration_since(Instant::now()).as_millis() as u64,
         target = accepted.outgoing.crash_watch.fingerprint_text().as_str(),
-        lost = accepted.outgoing.crash_watch.lost_text().as_str(),
+        lost = accepted.outgoing.crash_watch.lost_servers_text().as_str(),
         missing = missing_shards_text(&parts.missing).as_str(),
         awaited = awaited_shards_text(&parts.awaited).as_str();
         "request"
--- a/crates/sablehaven-gateway/src/request/in_flight.rs
+++ b/crates/sablehaven-gateway/src/request/in_flight.rs
@@ -51,7 +51,7 @@
     pub(super) fn hedge_due_at(&self, accepted: &Accepted) -> Instant {
         let server = &self.attempt.server;
         let now = accepted.gateway.clock.now();
-        let stalled_at = server.health.borrow().stands_still_at(now);
+        let stalled_at = server.health.borrow().stalls_at(now);
         let stalled_at = stalled_at.map(|at| Instant::now() + at.saturating_sub(now));
         let sent_at = self.timer.sent_at();
         let tail_at = sent_at + tail_limit(accepted, server);
--- a/crates/sablehaven-gateway/src/request/query_attempts.rs
+++ b/crates/sablehaven-gateway/src/request/query_attempts.rs
@@ -92,7 +92,9 @@
             let decision = *remaining.next().unwrap_or(&PartDecision::Wait);
             match decision {
                 PartDecision::Wait => return true,
-                PartDecision::Send if !part.service.take_extra(now, gateways, 0.0) => return true,
+                PartDecision::Send if !part.service.try_take_extra_attempt(now, gateways, 0.0) => {
+                    return true;
+                }
                 PartDecision::Send | PartDecision::GiveUp => decided.push((part.number, decision)),
             }
             false
@@ -123,7 +125,7 @@
 /// Decides which failed parts of a query get another attempt.
 pub(super) fn decide_failed_parts(accepted: &Accepted, query: &QueryAttempts) {
     let gateway = &accepted.gateway;
-    let gateways = gateway.registry.sharer_count();
+    let gateways = gateway.registry.sharing_gateways();
     query.decide_failed_parts(gateway.clock.now(), gateways);
 }
 
--- a/crates/sablehaven-gateway/src/request/single.rs
+++ b/crates/sablehaven-gateway/src/request/single.rs
@@ -26,7 +26,7 @@
             (Refusal::after_crashes(accepted, part.may_have_run), failure)
         }
         Ok(reply) => return Ok((forward_reply(reply), Outcome::Whole)),
-        Err(PartFailure::Attempt(AttemptFailure::Answered(reply)))
+        Err(PartFailure::Attempt(AttemptFailure::ErrorReply(reply)))
             if !promises_not_run(reply.status) =>
         {
             return Ok((forward_reply(reply), Outcome::ServerFailed));
@@ -38,7 +38,7 @@
         version = accepted.planned.version, status = refusal.status().as_u16(),
         after_ms = accepted.arrived.elapsed().as_millis() as u64,
         target = accepted.outgoing.crash_watch.fingerprint_text().as_str(),
-        lost = accepted.outgoing.crash_watch.lost_text().as_str(),
+        lost = accepted.outgoing.crash_watch.lost_servers_text().as_str(),
         reason:% = failure;
         "request"
     );
--- a/crates/sablehaven-gateway/src/request/sub_request.rs
+++ b/crates/sablehaven-gateway/src/request/sub_request.rs
@@ -16,7 +16,7 @@
     query_attempts::{PartHandle, decide_failed_parts, wait_for_decision},
 };
 use crate::{
-    crashes::{Trial, Turn, WaitingPlace},
+    crashes::{SendDecision, Trial, WaiterGuard},
     servers::{Attempt, AttemptFailure, Server, ServerReply, ServicePool},
 };
 
@@ -91,7 +91,7 @@
 /// An attempt that the crash watch does not allow yet.
 struct DeferredAttempt {
     planned: PlannedAttempt,
-    _place: WaitingPlace,
+    _place: WaiterGuard,
 }
 
 impl<'a> SubRequest<'a> {
@@ -133,7 +133,8 @@
     }
 
     async fn attempt_until_answered(&mut self) -> Result<ServerReply, PartFailure> {
-        self.service.need(self.accepted.gateway.clock.now());
+        self.service
+            .record_request(self.accepted.gateway.clock.now());
         self.send_when_allowed(PlannedAttempt::First)?;
         let deadline = self.accepted.outgoing.deadline;
         loop {
@@ -178,19 +179,20 @@
         let now = self.accepted.gateway.clock.now();
         let spare = || {
             let allowed = self.accepted.allowed_regions();
-            self.service.spare(allowed, &self.tried.borrow())
+            self.service
+                .count_spare_servers(allowed, &self.tried.borrow())
         };
-        let trial = match self.accepted.outgoing.crash_watch.turn(now, spare) {
-            Turn::Send => None,
-            Turn::Trial(trial) => Some(trial),
-            Turn::Wait(place) => {
+        let trial = match self.accepted.outgoing.crash_watch.send_decision(now, spare) {
+            SendDecision::Send => None,
+            SendDecision::Trial(trial) => Some(trial),
+            SendDecision::Wait(place) => {
                 self.deferred = Some(DeferredAttempt {
                     planned,
                     _place: place,
                 });
                 return Ok(());
             }
-            Turn::Never => return Err(PartFailure::Quarantined),
+            SendDecision::Refuse => return Err(PartFailure::Quarantined),
         };
         match planned {
             PlannedAttempt::First => {
@@ -247,8 +249,10 @@
         failure: AttemptFailure,
         trial: Option<Trial>,
     ) -> Result<(), PartFailure> {
-        if let (Some(trial), AttemptFailure::Lost { is_server_gone, .. }) = (&trial, &failure) {
-            trial.lost(self.accepted.gateway.clock.now(), *is_server_gone);
+        if let (Some(trial), AttemptFailure::ConnectionLost { is_server_gone, .. }) =
+            (&trial, &failure)
+        {
+            trial.record_lost_connection(self.accepted.gateway.clock.now(), *is_server_gone);
         }
         drop(trial);
         let is_safe = self.accepted.planned.route().kind == RequestKind::Safe;
@@ -257,8 +261,8 @@
                 self.dispatched -= 1;
                 self.unexecuted_attempts += 1;
             }
-            AttemptFailure::Answered(_)
-            | AttemptFailure::Lost { .. }
+            AttemptFailure::ErrorReply(_)
+            | AttemptFailure::ConnectionLost { .. }
             | AttemptFailure::Unknown { .. } => {
                 self.may_have_run = true;
             }
@@ -281,8 +285,8 @@
     fn is_decided_by_query(&self, failure: &AttemptFailure) -> bool {
         let now = self.accepted.gateway.clock.now();
         let is_uncharged = matches!(failure, AttemptFailure::NotSent { .. });
-        let is_undisturbed = self.accepted.outgoing.crash_watch.is_undisturbed(now);
-        self.handle.is_some() && !is_uncharged && is_undisturbed
+        let may_all_parts_send = self.accepted.outgoing.crash_watch.may_all_parts_send(now);
+        self.handle.is_some() && !is_uncharged && may_all_parts_send
     }
 
     /// Waits for a running attempt, or for the query's decision.
@@ -291,7 +295,10 @@
             return Ok(());
         }
         let allowed = self.accepted.allowed_regions();
-        if !self.service.has_other(allowed, &self.tried.borrow()) {
+        if !self
+            .service
+            .has_untried_server(allowed, &self.tried.borrow())
+        {
             return Err(PartFailure::Attempt(failure));
         }
         if let Some(PartHandle { query, number }) = &self.handle {
@@ -307,7 +314,7 @@
             return Ok(());
         };
         let now = self.accepted.gateway.clock.now();
-        if may_send && !self.accepted.outgoing.crash_watch.is_undisturbed(now) {
+        if may_send && !self.accepted.outgoing.crash_watch.may_all_parts_send(now) {
             // Servers were lost since the query asked for the decision. What may crash more of them is sent one at a
             // time, so the crash watch decides when.
             return self.send_when_allowed(PlannedAttempt::Retry(failure));
@@ -329,9 +336,12 @@
         };
         let gateway = &self.accepted.gateway;
         if let Payment::Budget(purpose) = payment {
-            let gateways = gateway.registry.sharer_count();
+            let gateways = gateway.registry.sharing_gateways();
             let now = gateway.clock.now();
-            if !self.service.take_extra(now, gateways, purpose.reserve()) {
+            if !self
+                .service
+                .try_take_extra_attempt(now, gateways, purpose.reserve())
+            {
                 self.unaffordable += 1;
                 gateway.metrics.unaffordable_attempts.inc();
                 return false;
@@ -368,7 +378,7 @@
     fn hedge_purpose(&self) -> AttemptPurpose {
         let now = self.accepted.gateway.clock.now();
         let server = &self.in_flight[0].attempt.server;
-        let stalled_at = server.health.borrow().stands_still_at(now);
+        let stalled_at = server.health.borrow().stalls_at(now);
         let is_stalled = stalled_at.is_some_and(|at| at <= now);
         if self.handle.is_none() || is_stalled {
             return AttemptPurpose::Required;
@@ -388,7 +398,7 @@
             .server
             .health
             .borrow_mut()
-            .suspect();
+            .mark_suspected();
         let now = self.accepted.gateway.clock.now();
         let may_send = self.accepted.outgoing.crash_watch.is_clear(now);
         let payment = Payment::Budget(self.hedge_purpose());
--- a/crates/sablehaven-gateway/src/route_table.rs
+++ b/crates/sablehaven-gateway/src/route_table.rs
@@ -11,7 +11,7 @@
 use sablehaven_types::{Route, RouteDocument};
 
 use crate::{
-    answer_margin::AnswerMargin, servers::KindOfRequest, serving_regions::ServingRegions,
+    answer_margin::AnswerMargin, servers::RouteId, serving_regions::ServingRegions,
     tenant_table::TenantTable,
 };
 
@@ -37,7 +37,7 @@
 
 /// Statistics of a route's requests, which are kept when the configuration changes.
 pub(crate) struct RouteProfile {
-    kind: KindOfRequest,
+    kind: RouteId,
     /// Moving average of the service time, excluding the network round trip, in milliseconds.
     service_time_ms: Cell<f64>,
     /// How much later than planned its recent responses were sent.
@@ -54,7 +54,7 @@
 const MIN_SERVICE_TIME_MS: f64 = 0.5;
 
 impl RouteProfile {
-    fn new(route: &Route, kind: KindOfRequest) -> Self {
+    fn new(route: &Route, kind: RouteId) -> Self {
         let initial_ms = route.aim_ms as f64 * INITIAL_TARGET_FRACTION;
         Self {
             kind,
@@ -64,7 +64,7 @@
     }
 
     /// The kind of request. It is the same in all versions, and differs from that of any other route.
-    pub(crate) fn kind(&self) -> KindOfRequest {
+    pub(crate) fn kind(&self) -> RouteId {
         self.kind
     }
 
@@ -107,7 +107,7 @@
             let existing = previous.and_then(|previous| previous.find_profile(route));
             let profile = existing.unwrap_or_else(|| {
                 kind_count += 1;
-                Rc::new(RouteProfile::new(route, KindOfRequest(kind_count)))
+                Rc::new(RouteProfile::new(route, RouteId(kind_count)))
             });
             let planned = Rc::new(PlannedRoute {
                 document: Arc::clone(&document),
--- a/crates/sablehaven-gateway/src/servers/attempt.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt.rs
@@ -77,9 +77,9 @@
         status: StatusCode,
     },
     /// the server failed
-    Answered(Box<ServerReply>),
+    ErrorReply(Box<ServerReply>),
     /// connection lost: {reason}
-    Lost {
+    ConnectionLost {
         /// The step, the server and the cause.
         reason: String,
         /// Whether the server was found to have ended; looked for only where that was asked for.
@@ -219,8 +219,8 @@
     let mut result = exchange(&gateway, &server, &request).await;
     let now = gateway.clock.now();
     match &mut result {
-        Ok(_) | Err(AttemptFailure::Answered(_)) => request.crash_watch.answered(now),
-        Err(AttemptFailure::Lost { is_server_gone, .. }) => {
+        Ok(_) | Err(AttemptFailure::ErrorReply(_)) => request.crash_watch.answered(now),
+        Err(AttemptFailure::ConnectionLost { is_server_gone, .. }) => {
             let usual = request.profile.typical_service_time();
             request.crash_watch.lost(now, &server.id, usual);
             if looks_for_crash {
@@ -232,10 +232,10 @@
     let ending = match &result {
         Ok(_) => Ending::Answered,
         Err(AttemptFailure::NotExecuted { .. }) => Ending::TurnedAway,
-        Err(AttemptFailure::Answered(_)) => Ending::ServerFailed,
+        Err(AttemptFailure::ErrorReply(_)) => Ending::ServerFailed,
         Err(
             AttemptFailure::NotSent { .. }
-            | AttemptFailure::Lost { .. }
+            | AttemptFailure::ConnectionLost { .. }
             | AttemptFailure::Unknown { .. },
         ) => Ending::Failed,
     };
--- a/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
@@ -45,7 +45,7 @@
 }
 
 fn lost(reason: String) -> AttemptFailure {
-    AttemptFailure::Lost {
+    AttemptFailure::ConnectionLost {
         reason,
         is_server_gone: false,
     }
@@ -144,7 +144,7 @@
     if reply.status.is_success() {
         Ok(reply)
     } else {
-        Err(AttemptFailure::Answered(Box::new(reply)))
+        Err(AttemptFailure::ErrorReply(Box::new(reply)))
     }
 }
 
--- a/crates/sablehaven-gateway/src/servers/budget.rs
+++ b/crates/sablehaven-gateway/src/servers/budget.rs
@@ -28,12 +28,12 @@
 
 impl BudgetLevel {
     /// Extra attempts that are left, with a fraction.
-    pub(crate) fn left(&self) -> f64 {
+    pub(crate) fn remaining(&self) -> f64 {
         self.allowed - self.used
     }
 
     /// Whether the budget bears one more attempt that leaves this share (0 to 1) of it to others.
-    pub(crate) fn bears(&self, reserve: f64) -> bool {
+    pub(crate) fn allows(&self, reserve: f64) -> bool {
         self.used + 1.0 <= self.allowed * (1.0 - reserve)
     }
 }
@@ -58,7 +58,7 @@
     }
 
     /// Counts a request that needs the service. `now` is the time since the gateway started.
-    pub(crate) fn need(&mut self, now: Duration) {
+    pub(crate) fn record_request(&mut self, now: Duration) {
         self.part(now).needed += 1;
         self.needed += 1;
     }
@@ -79,8 +79,8 @@
 
     /// Takes one extra attempt that leaves the share `reserve` of the budget; `false` means that the budget does
     /// not bear it.
-    pub(crate) fn take(&mut self, now: Duration, gateways: Option<u32>, reserve: f64) -> bool {
-        if !self.level(now, gateways).bears(reserve) {
+    pub(crate) fn try_take(&mut self, now: Duration, gateways: Option<u32>, reserve: f64) -> bool {
+        if !self.level(now, gateways).allows(reserve) {
             return false;
         }
         self.part(now).extra += 1;
--- a/crates/sablehaven-gateway/src/servers/budget/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/budget/tests.rs
@@ -21,7 +21,7 @@
 
 fn taken(budget: &mut RetryBudget, now: Duration, gateways: u32) -> u32 {
     (0..10_000)
-        .take_while(|_| budget.take(now, Some(gateways), 0.0))
+        .take_while(|_| budget.try_take(now, Some(gateways), 0.0))
         .count() as u32
 }
 
@@ -29,7 +29,7 @@
 fn extra_attempts_stay_under_the_share_of_requests_and_of_the_slack() {
     let mut budget = RetryBudget::new(BOUNDS);
     for _ in 0..100 {
-        budget.need(seconds(1.0));
+        budget.record_request(seconds(1.0));
     }
     // 0.85 of 0.2 * 100 + 40 / 8.
     assert_eq!(taken(&mut budget, seconds(1.1), 8), 21);
@@ -39,7 +39,7 @@
 fn what_is_older_than_the_window_neither_earns_nor_costs() {
     let mut budget = RetryBudget::new(BOUNDS);
     for _ in 0..100 {
-        budget.need(seconds(1.0));
+        budget.record_request(seconds(1.0));
     }
     taken(&mut budget, seconds(1.0), 8);
     assert_eq!(taken(&mut budget, seconds(9.0), 8), 0);
@@ -56,10 +56,10 @@
         let at = f64::from(step) * 0.01;
         let busy = (step / 500) % 3;
         if step % (1 + busy * 4) == 0 {
-            budget.need(seconds(at));
+            budget.record_request(seconds(at));
             needed.push(at);
         }
-        if step % 2 == 0 && budget.take(seconds(at), Some(1), 0.0) {
+        if step % 2 == 0 && budget.try_take(seconds(at), Some(1), 0.0) {
             extra.push(at);
         }
     }
@@ -82,11 +82,11 @@
 #[test]
 fn the_slack_is_not_used_while_the_number_of_gateways_is_not_known() {
     let mut budget = RetryBudget::new(BOUNDS);
-    assert!(!budget.take(seconds(1.0), None, 0.0));
+    assert!(!budget.try_take(seconds(1.0), None, 0.0));
     for _ in 0..100 {
-        budget.need(seconds(1.0));
+        budget.record_request(seconds(1.0));
     }
-    let taken = (0..100).take_while(|_| budget.take(seconds(1.0), None, 0.0));
+    let taken = (0..100).take_while(|_| budget.try_take(seconds(1.0), None, 0.0));
     assert_eq!(taken.count(), 17);
 }
 
@@ -96,7 +96,7 @@
     let mut budget = RetryBudget::new(BOUNDS);
     let just_before = WINDOW - Duration::from_millis(1);
     for _ in 0..100 {
-        budget.need(just_before);
+        budget.record_request(just_before);
     }
     assert_eq!(taken(&mut budget, just_before, 8), 17);
     assert_eq!(taken(&mut budget, WINDOW, 8), 4);
--- a/crates/sablehaven-gateway/src/servers/health.rs
+++ b/crates/sablehaven-gateway/src/servers/health.rs
@@ -82,7 +82,7 @@
 
 /// Names a kind of request: those of one route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct KindOfRequest(pub(crate) usize);
+pub(crate) struct RouteId(pub(crate) usize);
 
 /// What an attempt took, and what it is to be measured against; both without the way there.
 #[derive(Clone, Copy, Debug)]
@@ -282,7 +282,7 @@
 
     /// When the server will count as standing still, if nothing comes before: it owes answers and
     /// has given none since the oldest of them was asked for, for longer than it should need.
-    pub(crate) fn stands_still_at(&self, now: Duration) -> Option<Duration> {
+    pub(crate) fn stalls_at(&self, now: Duration) -> Option<Duration> {
         let oldest = self.outstanding.values().min_by_key(|each| each.sent_at)?;
         let heard_at = self.last_answer.max(oldest.sent_at);
         let slowness = self.slowness(now).clamp(1.0, 3.0);
@@ -294,14 +294,14 @@
     }
 
     /// An attempt takes longer than it should: the server stands still until it answers something.
-    pub(crate) fn suspect(&mut self) {
+    pub(crate) fn mark_suspected(&mut self) {
         self.is_suspected = true;
     }
 
     /// Whether the server stands still.
     pub(crate) fn stands_still(&self, now: Duration) -> bool {
         let is_suspected = self.is_suspected && !self.outstanding.is_empty();
-        is_suspected || self.stands_still_at(now).is_some_and(|at| at <= now)
+        is_suspected || self.stalls_at(now).is_some_and(|at| at <= now)
     }
 }
 
--- a/crates/sablehaven-gateway/src/servers/health/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/health/tests.rs
@@ -82,7 +82,7 @@
 fn a_suspected_server_stands_still_until_it_answers_or_owes_nothing() {
     let mut health = ServerHealth::default();
     let first = health.sent(ms(0), ms(20));
-    health.suspect();
+    health.mark_suspected();
     assert!(health.stands_still(ms(1)));
     health.ended(ms(5), first, Ending::Cancelled, &took(0));
     assert!(!health.stands_still(ms(6)));
--- a/crates/sablehaven-gateway/src/servers/mod.rs
+++ b/crates/sablehaven-gateway/src/servers/mod.rs
@@ -14,7 +14,7 @@
 mod zone_map;
 
 pub(crate) use attempt::{Attempt, AttemptFailure, OutgoingRequest, ServerReply};
-pub(crate) use health::KindOfRequest;
+pub(crate) use health::RouteId;
 pub(crate) use registry::Registry;
 pub(crate) use server::Server;
 pub(crate) use service_pool::ServicePool;
--- a/crates/sablehaven-gateway/src/servers/registry.rs
+++ b/crates/sablehaven-gateway/src/servers/registry.rs
@@ -62,7 +62,7 @@
     }
 
     /// Takes a reading of the list; `false` for one that is not newer than the one in force.
-    pub(crate) fn take_listing(&self, listing: &ServerListing) -> bool {
+    pub(crate) fn apply_listing(&self, listing: &ServerListing) -> bool {
         if listing.number <= self.number.get() {
             return false;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Takes what a reading says otherwise than the one in force; `false` when it changes another one.
-    pub(crate) fn take_listing_change(&self, change: &ListingChange) -> bool {
+    pub(crate) fn apply_listing_change(&self, change: &ListingChange) -> bool {
         if change.base != self.number.get() {
             return false;
         }
@@ -118,7 +118,7 @@
     }
 
     /// Takes what the routes say of the services.
-    pub(crate) fn take_routes(&self, document: &RouteDocument) {
+    pub(crate) fn apply_routes(&self, document: &RouteDocument) {
         for (name, service) in &document.services {
             self.service(name).describe(service);
         }
@@ -131,7 +131,7 @@
     }
 
     /// Takes the evacuated zones; `false` for a revision that is not newer than the one in force.
-    pub(crate) fn take_evacuation(&self, evacuated: EvacuatedZones) -> bool {
+    pub(crate) fn apply_evacuation(&self, evacuated: EvacuatedZones) -> bool {
         if evacuated.revision <= self.evacuation_revision() {
             return false;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Takes the number of gateways of each zone that share what servers bear, and whether this is one.
-    pub(crate) fn take_gateways(&self, gateways: BTreeMap<ZoneName, u32>, is_sharer: bool) {
+    pub(crate) fn set_gateways(&self, gateways: BTreeMap<ZoneName, u32>, is_sharer: bool) {
         *self.gateways.borrow_mut() = gateways;
         self.is_sharer.set(is_sharer);
         self.refresh_servers();
@@ -150,7 +150,7 @@
     /// The gateways with which this one shares what servers bear, itself included. `None` while it has no part:
     /// before the control replicas have said, and while callers are told of others. Such a gateway may still
     /// get single requests, and on a large fleet all of them together would be many times the whole.
-    pub(crate) fn sharer_count(&self) -> Option<u32> {
+    pub(crate) fn sharing_gateways(&self) -> Option<u32> {
         if !self.is_sharer.get() {
             return None;
         }
@@ -173,7 +173,7 @@
     /// gateways of its own region have most.
     fn refresh_servers(&self) {
         let sharers = self.sharers();
-        let gateways = self.sharer_count();
+        let gateways = self.sharing_gateways();
         let evacuated = self.evacuated.borrow();
         for service in self.services.borrow().values() {
             service.refresh_servers(&evacuated, sharers, gateways);
--- a/crates/sablehaven-gateway/src/servers/registry/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/registry/tests.rs
@@ -67,13 +67,13 @@
     let mut next_id = 0;
     let (whole, changed) = (registry(), registry());
     let mut held = listing(1, Vec::new());
-    assert!(whole.take_listing(&held));
-    assert!(changed.take_listing(&held));
+    assert!(whole.apply_listing(&held));
+    assert!(changed.apply_listing(&held));
     for reading in 2..200 {
         let servers = next_servers(&held.servers, &mut rng, &mut next_id);
         let next = listing(reading, servers);
-        assert!(whole.take_listing(&next));
-        assert!(changed.take_listing_change(&ListingChange::between(&held, &next)));
+        assert!(whole.apply_listing(&next));
+        assert!(changed.apply_listing_change(&ListingChange::between(&held, &next)));
         assert_eq!(state(&whole), state(&changed));
         assert_eq!(changed.number(), next.number);
         assert_eq!(changed.server_count(), next.servers.len());
@@ -87,9 +87,9 @@
     let first = listing(1, vec![listed(1, 1, false)]);
     let second = listing(2, vec![listed(2, 1, false)]);
     let third = listing(3, vec![listed(3, 1, false)]);
-    assert!(registry.take_listing(&first));
+    assert!(registry.apply_listing(&first));
     let before = state(&registry);
-    assert!(!registry.take_listing_change(&ListingChange::between(&second, &third)));
+    assert!(!registry.apply_listing_change(&ListingChange::between(&second, &third)));
     assert_eq!(state(&registry), before);
     assert_eq!(registry.number(), first.number);
 }
@@ -116,15 +116,15 @@
 fn another_start_under_the_same_id_is_another_server() {
     let registry = Registry::new(&Config::default());
     let first = listing(1, vec![started(1_000, false)]);
-    assert!(registry.take_listing(&first));
+    assert!(registry.apply_listing(&first));
     let service = registry.service(&"s-1".into());
     let former = std::rc::Rc::clone(&service.servers.borrow()[0]);
     // It leaves, and starts again before the list was read without it.
     let (second, leaving) = change(&first, vec![started(1_000, true)]);
-    assert!(registry.take_listing_change(&leaving));
+    assert!(registry.apply_listing_change(&leaving));
     assert!(!former.takes_work());
     let (_, again) = change(&second, vec![started(2_000, false)]);
-    assert!(registry.take_listing_change(&again));
+    assert!(registry.apply_listing_change(&again));
     let servers = service.servers.borrow();
     assert_eq!(servers.len(), 1);
     assert!(servers[0].takes_work());
@@ -134,10 +134,10 @@
 #[test]
 fn a_start_under_the_same_id_at_another_address_is_another_server() {
     let registry = Registry::new(&Config::default());
-    registry.take_listing(&listing(1, vec![listed(1, 1, false)]));
+    registry.apply_listing(&listing(1, vec![listed(1, 1, false)]));
     let mut moved = listed(1, 1, false);
     moved.address = ([127, 0, 0, 1], 9_000).into();
-    registry.take_listing(&listing(2, vec![moved.clone()]));
+    registry.apply_listing(&listing(2, vec![moved.clone()]));
     let service = registry.service(&"s-1".into());
     let servers = service.servers.borrow();
     let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
@@ -148,9 +148,9 @@
 fn a_server_that_another_service_has_now_is_left() {
     let registry = Registry::new(&Config::default());
     let first = listing(1, vec![listed(1, 1, false)]);
-    registry.take_listing(&first);
+    registry.apply_listing(&first);
     let (_, moved) = change(&first, vec![listed(1, 2, false)]);
-    assert!(registry.take_listing_change(&moved));
+    assert!(registry.apply_listing_change(&moved));
     assert_eq!(
         state(&registry),
         [("s-2".to_owned(), "i-1".to_owned(), true)]
--- a/crates/sablehaven-gateway/src/servers/service_pool.rs
+++ b/crates/sablehaven-gateway/src/servers/service_pool.rs
@@ -145,7 +145,11 @@
     }
 
     /// The servers that may take a request, without those of `tried` and those that failed last.
-    pub(crate) fn spare(&self, allowed: &ServingRegions, tried: &[BackendId]) -> usize {
+    pub(crate) fn count_spare_servers(
+        &self,
+        allowed: &ServingRegions,
+        tried: &[BackendId],
+    ) -> usize {
         let servers = self.servers.borrow();
         let spare = servers.iter().filter(|server| {
             let has_failed = server.health.borrow().has_failed_last();
@@ -155,8 +159,8 @@
     }
 
     /// Counts a request that needs this service.
-    pub(crate) fn need(&self, now: Duration) {
-        self.budget.borrow_mut().need(now);
+    pub(crate) fn record_request(&self, now: Duration) {
+        self.budget.borrow_mut().record_request(now);
     }
 
     /// How much of the budget of extra attempts is used.
@@ -165,12 +169,17 @@
     }
 
     /// Takes one extra attempt that leaves the share `reserve` of the budget to others.
-    pub(crate) fn take_extra(&self, now: Duration, gateways: Option<u32>, reserve: f64) -> bool {
-        self.budget.borrow_mut().take(now, gateways, reserve)
+    pub(crate) fn try_take_extra_attempt(
+        &self,
+        now: Duration,
+        gateways: Option<u32>,
+        reserve: f64,
+    ) -> bool {
+        self.budget.borrow_mut().try_take(now, gateways, reserve)
     }
 
     /// Whether a server beside those of `tried` may take the request.
-    pub(crate) fn has_other(&self, allowed: &ServingRegions, tried: &[BackendId]) -> bool {
+    pub(crate) fn has_untried_server(&self, allowed: &ServingRegions, tried: &[BackendId]) -> bool {
         let servers = self.servers.borrow();
         let mut open = servers.iter().filter(|server| server.may_serve(allowed));
         open.any(|server| !tried.contains(&server.id))
--- a/crates/sablehaven-gateway/src/throttle.rs
+++ b/crates/sablehaven-gateway/src/throttle.rs
@@ -13,7 +13,7 @@
 
 use sablehaven_types::ServiceName;
 
-use crate::{servers::KindOfRequest, urgency::Urgency};
+use crate::{servers::RouteId, urgency::Urgency};
 
 /// Number of responses that are accepted as normal for each useful one.
 const ANSWERED_PER_USEFUL: f64 = 2.0;
@@ -29,7 +29,7 @@
 /// The properties of a request that the throttle uses.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ThrottleClass<'a> {
-    pub(crate) kind: KindOfRequest,
+    pub(crate) kind: RouteId,
     pub(crate) urgency: Urgency,
     /// A service that the request needs. Kinds with the same service need the same servers.
     pub(crate) service: &'a ServiceName,
@@ -40,7 +40,7 @@
 pub(crate) struct RequestThrottle {
     /// Maximum share of requests that is refused. The rest shows when the servers have recovered.
     max_shed_share: f64,
-    counts: HashMap<(KindOfRequest, Urgency), ClassCount>,
+    counts: HashMap<(RouteId, Urgency), ClassCount>,
 }
 
 #[derive(Clone, Debug)]
--- a/crates/sablehaven-gateway/src/throttle/tests.rs
+++ b/crates/sablehaven-gateway/src/throttle/tests.rs
@@ -5,10 +5,10 @@
 use sablehaven_types::ServiceName;
 
 use super::{RequestThrottle, ThrottleClass};
-use crate::{servers::KindOfRequest, urgency::Urgency};
+use crate::{servers::RouteId, urgency::Urgency};
 
-const URGENT: KindOfRequest = KindOfRequest(1);
-const OTHER: KindOfRequest = KindOfRequest(2);
+const URGENT: RouteId = RouteId(1);
+const OTHER: RouteId = RouteId(2);
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -19,7 +19,7 @@
 fn refused_share(
     throttle: &mut RequestThrottle,
     from: u64,
-    kind: KindOfRequest,
+    kind: RouteId,
     service: &str,
     requests_per_useful: u64,
 ) -> f64 {
@@ -96,7 +96,7 @@
     let service = ServiceName::from("s");
     for kind in 0..10_000 {
         let class = ThrottleClass {
-            kind: KindOfRequest(kind),
+            kind: RouteId(kind),
             urgency: Urgency::new(None, 1),
             service: &service,
         };
