--- a/crates/sablehaven-gateway/src/crashes.rs
+++ b/crates/sablehaven-gateway/src/crashes.rs
@@ -1,9 +1,11 @@
-//! Requests that take their servers down: noticed, tried with one server at a time, and quarantined.
+//! Handling of requests that crash their servers: such a request is detected, then sent to one server at a time, and
+//! finally quarantined.
 //!
-//! What is known of them is in [`sablehaven_routing::crash_table`]; this is what one request's parts do by it.
+//! [`sablehaven_routing::crash_table`] stores what is known about these requests. The modules here apply it to the parts of
+//! one request.
 //!
-//! - `fingerprint`: what a request asks for, in one number.
-//! - `watch`: what became of the servers of one request, and which of its parts may send.
+//! - `fingerprint`: identifies requests with the same content by a hash.
+//! - `watch`: tracks the attempts of one request and decides which of its parts may send.
 
 mod fingerprint;
 mod watch;
@@ -14,14 +16,14 @@
 pub(crate) use fingerprint::fingerprint;
 pub(crate) use watch::{CrashWatch, SendDecision, Trial, WaiterGuard};
 
-/// A line about a quarantine that has just begun, if one has. `learned_from` says who saw the last crash.
-pub(crate) fn log_quarantine(begun: Option<Quarantine>, learned_from: &str) {
-    let Some(Quarantine { report, duration }) = begun else {
+/// Logs the start of a quarantine, if there is one. `learned_from` names who reported the last crash.
+pub(crate) fn log_quarantine(quarantine: Option<Quarantine>, learned_from: &str) {
+    let Some(Quarantine { report, duration }) = quarantine else {
         return;
     };
     log::warn!(
         event = "request_quarantined", target:% = fingerprint_text(report.fingerprint),
         lost = report.lost, crashes = report.crashes, for_s = duration.as_secs(), learned_from = learned_from;
-        "servers end when they run this request"
+        "request quarantined because servers crash when they run it"
     );
 }
--- a/crates/sablehaven-gateway/src/crashes/fingerprint.rs
+++ b/crates/sablehaven-gateway/src/crashes/fingerprint.rs
@@ -1,11 +1,12 @@
-//! What a request asks for, in one number: the same for each try of it, at every gateway.
+//! The fingerprint of a request: a hash of its content that is the same for each try of it and at every gateway.
 
 use hyper::http::request::Parts;
 use sablehaven_routing::crash_table;
 use sablehaven_types::RequestFingerprint;
 
-/// The fingerprint of a request's method, host, path, query and body. What changes from one try to the next (its
-/// id, the time left) and who sends it stays out: servers see the same request.
+/// Computes the fingerprint of a request's method, host, path, query and body. It excludes the sender and
+/// whatever changes from one try to the next, such as the request ID and the remaining time: to the servers, all of these
+/// are the same request.
 pub(crate) fn fingerprint(head: &Parts, host: &str, body: &[u8]) -> RequestFingerprint {
     let target = head
         .uri
--- a/crates/sablehaven-gateway/src/crashes/watch.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch.rs
@@ -1,4 +1,7 @@
-//! What becomes of the servers that run one request, and which of its parts may send next.
+//! Tracks the attempts of one request and decides which of its parts may send next.
+//!
+//! A clear request is sent without restriction. A suspect request, which may be crashing its servers, has one attempt (a
+//! trial) at a time. A quarantined request has none.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,81 +15,90 @@
 
 use super::log_quarantine;
 
-/// Usual times for which a part that lost its server waits for another part's answer.
-const HELD_TIMES: u32 = 2;
+/// How long a part that lost its server waits for a reply to another part, as a multiple of the request's typical time.
+const HOLD_TYPICAL_TIMES: u32 = 2;
 
-/// The attempts of one request; shared by its parts.
+/// The state of one request, shared by its parts.
 pub(crate) struct CrashWatch {
     fingerprint: RequestFingerprint,
     table: Rc<RefCell<CrashTable>>,
-    /// Servers whose connection ended while they had the request.
-    lost: RefCell<Vec<BackendId>>,
-    /// Whether any server has answered this request.
-    is_answered: Cell<bool>,
-    /// Attempts under way.
-    running: Cell<u32>,
-    /// Until when a part that has lost its server waits for the others: they tell sooner than another server would.
-    held_until: Cell<Duration>,
+    /// Servers whose connection was lost while they had the request.
+    lost_servers: RefCell<Vec<BackendId>>,
+    /// Whether any server has replied to this request.
+    has_reply: Cell<bool>,
+    /// The number of attempts in progress.
+    running_attempts: Cell<u32>,
+    /// Until when parts that lost their server wait for the other parts, which are already running and so give evidence
+    /// sooner than another server would.
+    hold_until: Cell<Duration>,
     is_trial_running: Cell<bool>,
     lost_trials: Cell<u32>,
-    /// Spare servers of each part that waits for its turn.
-    waiting: RefCell<Vec<usize>>,
+    /// The number of spare servers of each waiting part.
+    waiters: RefCell<Vec<usize>>,
+    /// Notified when a decision may change.
     changed: Notify,
 }
 
-/// A part's place among those that wait; given back when it is dropped.
+/// Registers a part as waiting; dropping it removes the registration.
 pub(crate) struct WaiterGuard {
     watch: Rc<CrashWatch>,
-    spare: usize,
+    spare_servers: usize,
 }
 
 impl Drop for WaiterGuard {
     fn drop(&mut self) {
-        let mut waiting = self.watch.waiting.borrow_mut();
-        if let Some(position) = waiting.iter().position(|spare| *spare == self.spare) {
-            waiting.swap_remove(position);
+        let mut waiters = self.watch.waiters.borrow_mut();
+        if let Some(position) = waiters
+            .iter()
+            .position(|spare_servers| *spare_servers == self.spare_servers)
+        {
+            waiters.swap_remove(position);
         }
     }
 }
 
-/// An attempt under way; it has ended when this is dropped.
+/// Counts an attempt as running until it is dropped.
 pub(crate) struct RunningAttempt {
     watch: Rc<CrashWatch>,
 }
 
 impl Drop for RunningAttempt {
     fn drop(&mut self) {
-        self.watch.running.set(self.watch.running.get() - 1);
+        self.watch
+            .running_attempts
+            .set(self.watch.running_attempts.get() - 1);
         self.watch.changed.notify_waiters();
     }
 }
 
-/// Whether a part may send an attempt.
+/// Whether a part may send an attempt now.
 pub(crate) enum SendDecision {
-    /// As usual.
+    /// It may send, without restriction.
     Send,
-    /// The request is suspect: this is its only attempt until it ends.
+    /// The request is suspect. The part may send, and its attempt is the only one of the request until it ends.
     Trial(Trial),
-    /// The request is suspect, and another part has the only attempt, or is to have it.
+    /// The part must wait: for replies to the other parts, or because the request is suspect and another part has the only
+    /// attempt or is to have it.
     Wait(WaiterGuard),
-    /// No server is to get the request.
+    /// No server may get the request.
     Refuse,
 }
 
-/// The only attempt of a suspect request. When it is dropped another part may send.
+/// The only attempt of a suspect request. Once it is dropped, another part may send.
 pub(crate) struct Trial {
     watch: Rc<CrashWatch>,
 }
 
 impl Trial {
-    /// The connection ended while the server had the request; `is_gone` when the server was found to have ended.
+    /// Records that the connection was lost while the server had the request. `is_gone` tells whether the server was found to
+    /// have ended.
     pub(crate) fn record_lost_connection(&self, now: Duration, is_gone: bool) {
         let lost_trials = &self.watch.lost_trials;
         lost_trials.set(lost_trials.get() + 1);
         if is_gone {
             let mut table = self.watch.table.borrow_mut();
-            let begun = table.record_crash(now, self.watch.fingerprint);
-            log_quarantine(begun, "this gateway");
+            let quarantine = table.record_crash(now, self.watch.fingerprint);
+            log_quarantine(quarantine, "this gateway");
         }
     }
 }
@@ -103,13 +115,13 @@
         Rc::new(Self {
             fingerprint,
             table,
-            lost: RefCell::default(),
-            is_answered: Cell::default(),
-            running: Cell::default(),
-            held_until: Cell::default(),
+            lost_servers: RefCell::default(),
+            has_reply: Cell::default(),
+            running_attempts: Cell::default(),
+            hold_until: Cell::default(),
             is_trial_running: Cell::default(),
             lost_trials: Cell::default(),
-            waiting: RefCell::default(),
+            waiters: RefCell::default(),
             changed: Notify::new(),
         })
     }
@@ -118,123 +130,134 @@
         self.fingerprint
     }
 
-    /// An attempt begins.
-    pub(crate) fn begin(self: &Rc<Self>) -> RunningAttempt {
-        self.running.set(self.running.get() + 1);
+    /// Counts an attempt as running until the result is dropped.
+    pub(crate) fn start_attempt(self: &Rc<Self>) -> RunningAttempt {
+        self.running_attempts.set(self.running_attempts.get() + 1);
         let watch = Rc::clone(self);
         RunningAttempt { watch }
     }
 
-    /// The connection of an attempt ended while its server had the request. `usual` is what the request usually
-    /// takes at a server.
-    pub(crate) fn lost(&self, now: Duration, server: &BackendId, usual: Duration) {
-        if self.lost.borrow().is_empty() {
-            self.held_until.set(now + HELD_TIMES * usual);
+    /// Records that the connection of an attempt was lost while the server had the request. `typical` is how long the
+    /// request typically takes at a server.
+    pub(crate) fn record_lost_connection(
+        &self,
+        now: Duration,
+        server: &BackendId,
+        typical: Duration,
+    ) {
+        if self.lost_servers.borrow().is_empty() {
+            self.hold_until.set(now + HOLD_TYPICAL_TIMES * typical);
         }
-        self.lost.borrow_mut().push(server.clone());
-        if !self.is_answered.get() {
+        self.lost_servers.borrow_mut().push(server.clone());
+        if !self.has_reply.get() {
             self.table.borrow_mut().record_loss(now, self.fingerprint);
         }
     }
 
-    /// A server has answered, with success or not: it has outlived the request.
-    pub(crate) fn answered(&self, now: Duration) {
-        if self.is_answered.replace(true) {
+    /// Records that a server has replied, with success or an error, and so has survived the request.
+    pub(crate) fn record_reply(&self, now: Duration) {
+        if self.has_reply.replace(true) {
             return;
         }
         self.table.borrow_mut().record_answer(now, self.fingerprint);
         self.changed.notify_waiters();
     }
 
-    /// Whether a part may send now; see [`SendDecision`]. `spare` counts the servers that its shard could lose; it is only asked
-    /// where a server was lost.
+    /// Decides whether a part may send now. `spare_servers` counts the servers that the part's shard could lose; it is
+    /// called only after a server was lost.
     pub(crate) fn send_decision(
         self: &Rc<Self>,
         now: Duration,
-        spare: impl FnOnce() -> usize,
+        spare_servers: impl FnOnce() -> usize,
     ) -> SendDecision {
-        if self.is_answered.get() {
+        if self.has_reply.get() {
             return SendDecision::Send;
         }
         match self.standing(now) {
-            CrashStatus::Clear if self.is_held(now) => SendDecision::Wait(self.wait(spare())),
+            CrashStatus::Clear if self.is_on_hold(now) => {
+                SendDecision::Wait(self.add_waiter(spare_servers()))
+            }
             CrashStatus::Clear => SendDecision::Send,
             CrashStatus::Quarantined { .. } => SendDecision::Refuse,
             CrashStatus::Suspect if self.lost_trials.get() >= MAX_LOST_TRIALS => {
                 SendDecision::Refuse
             }
-            CrashStatus::Suspect => self.trial_or_wait(spare()),
+            CrashStatus::Suspect => self.start_trial_or_wait(spare_servers()),
         }
     }
 
-    /// A trial is made where most servers are left, or it might take a shard's last one.
-    fn trial_or_wait(self: &Rc<Self>, spare: usize) -> SendDecision {
-        if self.is_trial_running.get() || self.has_better(spare) {
-            return SendDecision::Wait(self.wait(spare));
+    /// Starts a trial for the part with the most spare servers, because elsewhere it might crash a shard's last server.
+    fn start_trial_or_wait(self: &Rc<Self>, spare_servers: usize) -> SendDecision {
+        if self.is_trial_running.get() || self.has_waiter_with_more_spare_servers(spare_servers) {
+            return SendDecision::Wait(self.add_waiter(spare_servers));
         }
         self.is_trial_running.set(true);
         let watch = Rc::clone(self);
         SendDecision::Trial(Trial { watch })
     }
 
-    fn wait(self: &Rc<Self>, spare: usize) -> WaiterGuard {
-        self.waiting.borrow_mut().push(spare);
+    fn add_waiter(self: &Rc<Self>, spare_servers: usize) -> WaiterGuard {
+        self.waiters.borrow_mut().push(spare_servers);
         let watch = Rc::clone(self);
-        WaiterGuard { watch, spare }
+        WaiterGuard {
+            watch,
+            spare_servers,
+        }
     }
 
-    /// Whether a part that waits has more spare servers.
-    fn has_better(&self, spare: usize) -> bool {
-        let waiting = self.waiting.borrow();
-        waiting.iter().any(|other| *other > spare)
+    /// Whether a waiting part has more spare servers.
+    fn has_waiter_with_more_spare_servers(&self, spare_servers: usize) -> bool {
+        let waiters = self.waiters.borrow();
+        waiters.iter().any(|other| *other > spare_servers)
     }
 
-    /// Whether a server was lost and the others that run the request have not answered yet.
-    fn is_held(&self, now: Duration) -> bool {
-        let has_lost = !self.lost.borrow().is_empty();
-        has_lost && self.running.get() > 0 && now < self.held_until.get()
+    /// Whether parts that lost their server wait because other servers run the request and have not replied yet.
+    fn is_on_hold(&self, now: Duration) -> bool {
+        let has_lost = !self.lost_servers.borrow().is_empty();
+        has_lost && self.running_attempts.get() > 0 && now < self.hold_until.get()
     }
 
-    /// When a part that waits is to look again, whatever the others do.
-    pub(crate) fn held_until(&self, now: Duration) -> Option<Duration> {
-        self.is_held(now).then(|| self.held_until.get())
+    /// When a waiting part must ask for a decision again even if nothing else changes.
+    pub(crate) fn hold_until(&self, now: Duration) -> Option<Duration> {
+        self.is_on_hold(now).then(|| self.hold_until.get())
     }
 
-    /// Whether attempts may be sent beside others.
+    /// Whether the request may have several attempts at the same time.
     pub(crate) fn is_clear(&self, now: Duration) -> bool {
-        self.is_answered.get() || self.standing(now) == CrashStatus::Clear
+        self.has_reply.get() || self.standing(now) == CrashStatus::Clear
     }
 
-    /// Whether every part may send at once; no server was lost, or some have answered.
+    /// Whether every part may send now: a server has replied, or the request is clear and no part is on hold.
     pub(crate) fn may_all_parts_send(&self, now: Duration) -> bool {
-        self.is_answered.get() || (self.is_clear(now) && !self.is_held(now))
+        self.has_reply.get() || (self.is_clear(now) && !self.is_on_hold(now))
     }
 
-    /// Whether servers were found gone after the request, in this try or an earlier one, and none has answered it.
+    /// Whether servers were found to have ended after this request, in this try or an earlier one, and none has replied to
+    /// it.
     pub(crate) fn has_crashed_servers(&self, now: Duration) -> bool {
         let table = self.table.borrow();
         table.has_crashed_servers(now, self.fingerprint)
     }
 
-    /// What is known of the request, from its earlier tries too.
+    /// The standing of the request in the crash table, which includes its earlier tries.
     pub(crate) fn standing(&self, now: Duration) -> CrashStatus {
         self.table.borrow().status(now, self.fingerprint)
     }
 
-    /// Waits until [`Self::send_decision`] may say something else.
+    /// Waits until the result of [`Self::send_decision`] may have changed.
     pub(crate) async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// The fingerprint as log lines show it.
+    /// The fingerprint in the format of log lines.
     pub(crate) fn fingerprint_text(&self) -> String {
         fingerprint_text(self.fingerprint)
     }
 
-    /// The servers whose connection ended while they had the request, for log lines.
+    /// The servers whose connection was lost while they had the request, in the format of log lines.
     pub(crate) fn lost_servers_text(&self) -> String {
-        let lost = self.lost.borrow();
-        let ids: Vec<&str> = lost.iter().map(BackendId::as_str).collect();
+        let lost_servers = self.lost_servers.borrow();
+        let ids: Vec<&str> = lost_servers.iter().map(BackendId::as_str).collect();
         ids.join(", ")
     }
 }
--- a/crates/sablehaven-gateway/src/crashes/watch/tests.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch/tests.rs
@@ -5,7 +5,7 @@
 use super::{CrashStatus, CrashTable, CrashWatch, SendDecision};
 
 const REQUEST: u64 = 7;
-const USUAL: Duration = Duration::from_millis(20);
+const TYPICAL: Duration = Duration::from_millis(20);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -18,30 +18,30 @@
 
 fn lose(watch: &CrashWatch, now: Duration, servers: u32) {
     for server in 0..servers {
-        watch.lost(now, &format!("server-{server}").into(), USUAL);
+        watch.record_lost_connection(now, &format!("server-{server}").into(), TYPICAL);
     }
 }
 
 #[test]
-fn a_part_that_lost_its_server_waits_for_the_others_but_not_for_long() {
+fn a_part_that_lost_its_server_waits_for_other_parts_for_a_limited_time() {
     let (watch, _) = watch();
-    let _running = watch.begin();
+    let _running = watch.start_attempt();
     lose(&watch, ms(100), 1);
     assert!(matches!(
         watch.send_decision(ms(101), || 1),
         SendDecision::Wait(_)
     ));
-    assert_eq!(watch.held_until(ms(101)), Some(ms(100) + 2 * USUAL));
+    assert_eq!(watch.hold_until(ms(101)), Some(ms(100) + 2 * TYPICAL));
     assert!(matches!(
-        watch.send_decision(ms(100) + 2 * USUAL, || 1),
+        watch.send_decision(ms(100) + 2 * TYPICAL, || 1),
         SendDecision::Send
     ));
 }
 
 #[test]
-fn a_part_that_lost_its_server_does_not_wait_when_no_other_runs() {
+fn a_part_that_lost_its_server_does_not_wait_if_no_other_part_runs() {
     let (watch, _) = watch();
-    drop(watch.begin());
+    drop(watch.start_attempt());
     lose(&watch, ms(100), 1);
     assert!(matches!(
         watch.send_decision(ms(100), || 1),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_suspect_request_has_one_attempt_at_a_time_until_a_server_answers() {
+fn a_suspect_request_has_one_attempt_at_a_time_until_a_server_replies() {
     let (watch, table) = watch();
     lose(&watch, ms(100), 3);
     let SendDecision::Trial(trial) = watch.send_decision(ms(100), || 1) else {
@@ -65,7 +65,7 @@
         watch.send_decision(ms(102), || 1),
         SendDecision::Trial(_)
     ));
-    watch.answered(ms(103));
+    watch.record_reply(ms(103));
     assert!(matches!(
         watch.send_decision(ms(103), || 1),
         SendDecision::Send
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn crashes_under_trials_end_the_request_and_its_later_tries() {
+fn crashes_during_trials_refuse_the_request_and_its_later_tries() {
     let (watch, table) = watch();
     lose(&watch, ms(100), 3);
     for _ in 0..2 {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn lost_trials_whose_servers_go_on_end_only_this_try() {
+fn lost_trials_whose_servers_keep_running_refuse_only_this_try() {
     let (watch, table) = watch();
     lose(&watch, ms(100), 3);
     for _ in 0..2 {
@@ -116,9 +116,9 @@
 }
 
 #[test]
-fn what_is_lost_after_an_answer_says_nothing_of_the_request() {
+fn lost_connections_after_a_reply_are_ignored() {
     let (watch, table) = watch();
-    watch.answered(ms(100));
+    watch.record_reply(ms(100));
     lose(&watch, ms(101), 5);
     assert!(matches!(
         watch.send_decision(ms(101), || 1),
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_trial_is_made_where_most_servers_are_left() {
+fn the_part_with_the_most_spare_servers_gets_the_trial() {
     let (watch, _) = watch();
     lose(&watch, ms(100), 3);
     let SendDecision::Trial(trial) = watch.send_decision(ms(100), || 1) else {
@@ -153,23 +153,27 @@
     ));
 }
 
-/// What a query decides for all of its parts must not pass by the order of a request that may take servers down.
+/// Guards against a query sending attempts for all of its parts at once although the request may crash servers and has to
+/// send one at a time.
 #[test]
-fn a_request_is_undisturbed_exactly_while_every_part_may_send() {
+fn all_parts_may_send_exactly_while_each_part_may_send() {
     let (watch, _) = watch();
     assert!(watch.may_all_parts_send(ms(100)));
-    let _running = watch.begin();
+    let _running = watch.start_attempt();
     lose(&watch, ms(100), 1);
     assert!(matches!(
         watch.send_decision(ms(101), || 1),
         SendDecision::Wait(_)
     ));
-    assert!(!watch.may_all_parts_send(ms(101)), "others run");
+    assert!(
+        !watch.may_all_parts_send(ms(101)),
+        "other attempts are running"
+    );
     lose(&watch, ms(102), 4);
     assert!(
-        !watch.may_all_parts_send(ms(102) + 4 * USUAL),
-        "it is suspect"
+        !watch.may_all_parts_send(ms(102) + 4 * TYPICAL),
+        "the request is suspect"
     );
-    watch.answered(ms(300));
+    watch.record_reply(ms(300));
     assert!(watch.may_all_parts_send(ms(300)));
 }
--- a/crates/sablehaven-gateway/src/gateway.rs
+++ b/crates/sablehaven-gateway/src/gateway.rs
@@ -145,7 +145,7 @@
         let routes = self.routes.borrow();
         StateVersions {
             routes: routes.as_ref().map_or(0, |table| table.document().version),
-            listing: self.registry.number(),
+            listing: self.registry.listing_number(),
         }
     }
 
@@ -156,7 +156,7 @@
 
     /// Whether there are routes, and the list of servers has been read at least once.
     pub(crate) fn has_routes(&self) -> bool {
-        self.routes.borrow().is_some() && self.registry.number() > ListingNumber::default()
+        self.routes.borrow().is_some() && self.registry.listing_number() > ListingNumber::default()
     }
 
     /// Applies a version of the routes. A version that is not newer than the one in force is ignored.
@@ -219,7 +219,7 @@
     /// change was requested and a newer reading. If a reply of another replica has been applied in the meantime,
     /// the change no longer fits and is ignored, and what is still missing is fetched again.
     pub(crate) fn apply_listing_change(&self, change: &ListingChange) {
-        let held = self.registry.number();
+        let held = self.registry.listing_number();
         if change.number <= held {
             return;
         }
--- a/crates/sablehaven-gateway/src/request/query_attempts.rs
+++ b/crates/sablehaven-gateway/src/request/query_attempts.rs
@@ -125,7 +125,7 @@
 /// Decides which failed parts of a query get another attempt.
 pub(super) fn decide_failed_parts(accepted: &Accepted, query: &QueryAttempts) {
     let gateway = &accepted.gateway;
-    let gateways = gateway.registry.sharing_gateways();
+    let gateways = gateway.registry.sharing_gateway_count();
     query.decide_failed_parts(gateway.clock.now(), gateways);
 }
 
--- a/crates/sablehaven-gateway/src/request/sub_request.rs
+++ b/crates/sablehaven-gateway/src/request/sub_request.rs
@@ -336,7 +336,7 @@
         };
         let gateway = &self.accepted.gateway;
         if let Payment::Budget(purpose) = payment {
-            let gateways = gateway.registry.sharing_gateways();
+            let gateways = gateway.registry.sharing_gateway_count();
             let now = gateway.clock.now();
             if !self
                 .service
@@ -359,8 +359,8 @@
     fn next_check_at(&self) -> Option<Instant> {
         if self.deferred.is_some() {
             let now = self.accepted.gateway.clock.now();
-            let held_until = self.accepted.outgoing.crash_watch.held_until(now)?;
-            return Some(Instant::now() + held_until.saturating_sub(now));
+            let hold_until = self.accepted.outgoing.crash_watch.hold_until(now)?;
+            return Some(Instant::now() + hold_until.saturating_sub(now));
         }
         let route = self.accepted.planned.route();
         let may_hedge = route.kind == RequestKind::Safe
--- a/crates/sablehaven-gateway/src/role.rs
+++ b/crates/sablehaven-gateway/src/role.rs
@@ -202,7 +202,7 @@
     let mut ticker = interval(CONNECTION_SWEEP_INTERVAL);
     loop {
         ticker.tick().await;
-        gateway.registry.drop_stale_connections();
+        gateway.registry.close_expired_connections();
     }
 }
 
--- a/crates/sablehaven-gateway/src/servers/attempt.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt.rs
@@ -1,4 +1,7 @@
-//! One attempt at one server: sent, answered, checked.
+//! One attempt to send a request to one server.
+//!
+//! An attempt runs in its own task. When it ends or is cancelled, its outcome and timing are recorded in the server's
+//! health and in the attempt metrics.
 
 mod exchange;
 
@@ -24,37 +27,37 @@
 use self::exchange::exchange;
 use super::{
     Server,
-    health::{Ending, Taken},
+    health::{AttemptOutcome, AttemptTiming},
 };
 use crate::{
     caller::Caller, crashes::CrashWatch, gateway::Gateway, pace::ServiceTimeEstimate,
     route_table::RouteProfile,
 };
 
-/// The least time that opening a connection may take.
-const LEAST_CONNECT_LIMIT: Duration = Duration::from_millis(150);
-/// Round trips that opening a connection may take.
+/// Lower bound of the connect timeout.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Connect timeout in round trips, where that exceeds [`MIN_CONNECT_TIMEOUT`].
 const CONNECT_ROUND_TRIPS: u32 = 5;
-/// Time that sent bytes may stay unacknowledged on a connection that only shows whether the server is there.
-const LOOK_TIMEOUT: Duration = Duration::from_secs(1);
+/// TCP user timeout of a connection that is opened only to see whether the server still listens.
+const PROBE_USER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is sent to servers for one request of a caller; shared by its attempts.
+/// The request as it is sent to servers; all attempts of one caller's request share it.
 pub(crate) struct OutgoingRequest {
     pub(crate) caller: Caller,
     pub(crate) method: Method,
     pub(crate) target: Uri,
-    /// The caller's headers but for those of its connection.
+    /// The caller's headers, without the hop-by-hop ones.
     pub(crate) headers: HeaderMap,
     pub(crate) request_id: HeaderValue,
     pub(crate) body: Bytes,
-    /// When the caller or the route gives up.
+    /// The earlier of the caller's deadline and the route's.
     pub(crate) deadline: Instant,
     pub(crate) profile: Rc<RouteProfile>,
     pub(crate) pace: ServiceTimeEstimate,
     pub(crate) crash_watch: Rc<CrashWatch>,
 }
 
-/// A server's whole answer.
+/// A complete reply of a server.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerReply {
     pub(crate) status: StatusCode,
@@ -63,7 +66,7 @@
     pub(crate) stamp: Option<HeaderValue>,
 }
 
-/// Why an attempt gave no success.
+/// Why an attempt did not succeed.
 #[derive(Clone, Debug, displaydoc::Display)]
 pub(crate) enum AttemptFailure {
     /// not sent: {reason}
@@ -71,29 +74,29 @@
         /// The step, the server and the cause.
         reason: String,
     },
-    /// the server did not run it, status {status}
+    /// the server did not execute the request, status {status}
     NotExecuted {
-        /// The server's status.
+        /// The status of the server's reply.
         status: StatusCode,
     },
-    /// the server failed
+    /// the server returned an error reply
     ErrorReply(Box<ServerReply>),
     /// connection lost: {reason}
     ConnectionLost {
         /// The step, the server and the cause.
         reason: String,
-        /// Whether the server was found to have ended; looked for only where that was asked for.
+        /// Whether the server was found to have ended. Checked only for attempts with `check_for_crash`.
         is_server_gone: bool,
     },
-    /// not known: {reason}
+    /// outcome unknown: {reason}
     Unknown {
         /// The step, the server and the cause.
         reason: String,
     },
 }
 
-/// An attempt under way. Dropping it cancels it and closes its connection: a server that is behind then
-/// leaves the request out, which saves it more work than the next connection costs.
+/// An attempt in progress. Dropping it cancels it and closes its connection. An overloaded server then skips the
+/// request, which saves it more work than opening the next connection costs.
 pub(crate) struct Attempt {
     pub(crate) server: Rc<Server>,
     result: oneshot::Receiver<Result<ServerReply, AttemptFailure>>,
@@ -101,12 +104,12 @@
 }
 
 impl Attempt {
-    /// Starts an attempt. `looks_for_crash` when a lost connection must be told from a server that has ended.
+    /// Starts an attempt. With `check_for_crash`, a lost connection is followed by a check whether the server has ended.
     pub(crate) fn start(
         gateway: &Rc<Gateway>,
         server: Rc<Server>,
         request: Rc<OutgoingRequest>,
-        looks_for_crash: bool,
+        check_for_crash: bool,
     ) -> Self {
         gateway.load.count_attempt();
         let (respond, result) = oneshot::channel();
@@ -114,10 +117,10 @@
             Rc::clone(gateway),
             Rc::clone(&server),
             request,
-            looks_for_crash,
+            check_for_crash,
         );
         let task = spawn_local(async move {
-            // Whoever asked may have gone; the server's health has been noted all the same.
+            // The receiver may have been dropped. The server's health has been updated regardless.
             let _ = respond.send(running.await);
         });
         Self {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Looks whether the attempt has a result.
+    /// Polls for the result of the attempt.
     pub(crate) fn poll_result(
         &mut self,
         context: &mut Context<'_>,
@@ -135,7 +138,7 @@
         Pin::new(&mut self.result).poll(context).map(|received| {
             received.unwrap_or_else(|_| {
                 Err(AttemptFailure::Unknown {
-                    reason: format!("attempt at {}: it was cancelled", self.server.address),
+                    reason: format!("attempt at {}: cancelled", self.server.address),
                 })
             })
         })
@@ -148,63 +151,63 @@
     }
 }
 
-/// Notes the end of an attempt in the server's health, also when it is cancelled.
-struct Noted {
+/// Records the outcome and timing of an attempt when it is dropped, so that cancelled attempts are recorded too.
+struct AttemptRecorder {
     gateway: Rc<Gateway>,
     server: Rc<Server>,
     request: Rc<OutgoingRequest>,
-    attempt: u64,
+    attempt_number: u64,
     sent_at: Duration,
-    ending: Ending,
+    outcome: AttemptOutcome,
 }
 
-impl Noted {
-    fn begin(gateway: Rc<Gateway>, server: Rc<Server>, request: Rc<OutgoingRequest>) -> Self {
+impl AttemptRecorder {
+    fn start(gateway: Rc<Gateway>, server: Rc<Server>, request: Rc<OutgoingRequest>) -> Self {
         let now = gateway.clock.now();
         let profile = &request.profile;
         let expected = profile.typical_service_time() + server.round_trip();
         let mut health = server.health.borrow_mut();
-        let attempt = health.sent(now, expected);
+        let attempt_number = health.record_sent(now, expected);
         drop(health);
         Self {
             gateway,
             server,
             request,
-            attempt,
+            attempt_number,
             sent_at: now,
-            ending: Ending::Cancelled,
+            outcome: AttemptOutcome::Cancelled,
         }
     }
 
-    fn end(mut self, ending: Ending) {
-        self.ending = ending;
+    fn finish(mut self, outcome: AttemptOutcome) {
+        self.outcome = outcome;
     }
 }
 
-impl Drop for Noted {
+impl Drop for AttemptRecorder {
     fn drop(&mut self) {
         let now = self.gateway.clock.now();
-        let whole = now.saturating_sub(self.sent_at);
-        let taken = whole.saturating_sub(self.server.round_trip());
+        let elapsed = now.saturating_sub(self.sent_at);
+        let server_time = elapsed.saturating_sub(self.server.round_trip());
         let profile = &self.request.profile;
-        let usual = profile.typical_service_time();
-        let mut ending = self.ending;
-        // An attempt that was cancelled after a long silence is a sign of its own.
-        let patience = 4 * usual + self.server.round_trip() + Duration::from_millis(250);
-        if ending == Ending::Cancelled && whole > patience {
-            ending = Ending::Silent;
+        let typical = profile.typical_service_time();
+        let mut outcome = self.outcome;
+        // An attempt that was cancelled only after a long wait without a reply counts against the server.
+        let silence_limit = 4 * typical + self.server.round_trip() + Duration::from_millis(250);
+        if outcome == AttemptOutcome::Cancelled && elapsed > silence_limit {
+            outcome = AttemptOutcome::TimedOut;
         }
-        if ending == Ending::Answered {
-            profile.record_service_time(taken);
+        if outcome == AttemptOutcome::Succeeded {
+            profile.record_service_time(server_time);
         }
-        self.gateway.metrics.attempt_ended(ending.name());
-        let taken = Taken {
-            taken,
-            usual,
-            pace: self.request.pace.median(),
+        self.gateway.metrics.attempt_ended(outcome.metric_label());
+        let timing = AttemptTiming {
+            server_time,
+            typical,
+            query_median: self.request.pace.median(),
         };
         let mut health = self.server.health.borrow_mut();
-        health.ended(now, self.attempt, ending, &taken);
+        health.record_end(now, self.attempt_number, outcome, &timing);
     }
 }
 
@@ -212,48 +215,58 @@
     gateway: Rc<Gateway>,
     server: Rc<Server>,
     request: Rc<OutgoingRequest>,
-    looks_for_crash: bool,
+    check_for_crash: bool,
 ) -> Result<ServerReply, AttemptFailure> {
-    let noted = Noted::begin(Rc::clone(&gateway), Rc::clone(&server), Rc::clone(&request));
-    let _running = request.crash_watch.begin();
+    let recorder =
+        AttemptRecorder::start(Rc::clone(&gateway), Rc::clone(&server), Rc::clone(&request));
+    let _running = request.crash_watch.start_attempt();
     let mut result = exchange(&gateway, &server, &request).await;
     let now = gateway.clock.now();
     match &mut result {
-        Ok(_) | Err(AttemptFailure::ErrorReply(_)) => request.crash_watch.answered(now),
+        Ok(_) | Err(AttemptFailure::ErrorReply(_)) => request.crash_watch.record_reply(now),
         Err(AttemptFailure::ConnectionLost { is_server_gone, .. }) => {
-            let usual = request.profile.typical_service_time();
-            request.crash_watch.lost(now, &server.id, usual);
-            if looks_for_crash {
+            let typical = request.profile.typical_service_time();
+            request
+                .crash_watch
+                .record_lost_connection(now, &server.id, typical);
+            if check_for_crash {
                 *is_server_gone = is_gone(&gateway, &server).await;
             }
         }
         Err(_) => {}
     }
-    let ending = match &result {
-        Ok(_) => Ending::Answered,
-        Err(AttemptFailure::NotExecuted { .. }) => Ending::TurnedAway,
-        Err(AttemptFailure::ErrorReply(_)) => Ending::ServerFailed,
+    let outcome = match &result {
+        Ok(_) => AttemptOutcome::Succeeded,
+        Err(AttemptFailure::NotExecuted { .. }) => AttemptOutcome::Rejected,
+        Err(AttemptFailure::ErrorReply(_)) => AttemptOutcome::ErrorReply,
         Err(
             AttemptFailure::NotSent { .. }
             | AttemptFailure::ConnectionLost { .. }
             | AttemptFailure::Unknown { .. },
-        ) => Ending::Failed,
+        ) => AttemptOutcome::TransportFailed,
     };
-    noted.end(ending);
+    recorder.finish(outcome);
     result
 }
 
-/// Whether a server has ended: its address refuses connections. A lost connection alone does not show that, since
-/// networks and servers that go on reset connections too.
+/// Whether the server has ended, that is, its address refuses connections. A lost connection alone does not show
+/// that: networks reset connections too, and so do servers that keep running.
 async fn is_gone(gateway: &Gateway, server: &Server) -> bool {
     let source = gateway.config.connect_from;
-    match open(source, server.address, connect_limit(server), LOOK_TIMEOUT).await {
+    match open(
+        source,
+        server.address,
+        connect_timeout(server),
+        PROBE_USER_TIMEOUT,
+    )
+    .await
+    {
         Err(ConnectError::Failed { source, .. }) => source.kind() == ErrorKind::ConnectionRefused,
         Ok(_) | Err(ConnectError::TimedOut { .. } | ConnectError::Handshake { .. }) => false,
     }
 }
 
-/// Time that opening a connection to a server may take.
-fn connect_limit(server: &Server) -> Duration {
-    LEAST_CONNECT_LIMIT.max(server.round_trip() * CONNECT_ROUND_TRIPS)
+/// The connect timeout for a server.
+fn connect_timeout(server: &Server) -> Duration {
+    MIN_CONNECT_TIMEOUT.max(server.round_trip() * CONNECT_ROUND_TRIPS)
 }
--- a/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a server: its connection, the request, the answer and its checks.
+//! One request-reply exchange with a server: connects, sends the request, reads the reply and validates it.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -12,14 +12,14 @@
 };
 use sablehaven_http::WholeBody;
 
-use super::{AttemptFailure, OutgoingRequest, Server, ServerReply, connect_limit};
-use crate::{caller::CallerValidity, gateway::Gateway, servers::connection_pool::InUse};
+use super::{AttemptFailure, OutgoingRequest, Server, ServerReply, connect_timeout};
+use crate::{caller::CallerValidity, gateway::Gateway, servers::connection_pool::PooledConnection};
 
-/// The largest body of an answer, in bytes.
-const MAXIMUM_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Size limit for the body of a reply.
+const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Sends the request and takes the answer in four phases: a connection, the head, the body, the
-/// checks. Only an answer that ended as it must gives its connection back.
+/// Sends the request and reads the reply in four phases: connect, read the head, read the body, validate. The
+/// connection returns to the pool only after a complete and valid reply.
 pub(super) async fn exchange(
     gateway: &Gateway,
     server: &Server,
@@ -27,80 +27,85 @@
 ) -> Result<ServerReply, AttemptFailure> {
     let address = server.address;
     let mut connection = connect(gateway, server).await?;
-    check_still_wanted(gateway, server, request)?;
-    let Some(outgoing) = build(gateway, server, request) else {
-        return Err(not_sent(format!("send to {address}: no time is left")));
+    check_still_sendable(gateway, server, request)?;
+    let Some(outgoing) = build_request(gateway, server, request) else {
+        return Err(not_sent(format!(
+            "send to {address}: the deadline has passed"
+        )));
     };
     let response = send(address, &mut connection, outgoing).await?;
     let (head, body) = response.into_parts();
     let body = read_body(address, body).await?;
-    let checked = check(gateway, server, request, &head.headers, head.status);
-    checked.map_err(|reason| unknown(format!("answer of {address}: {reason}")))?;
-    connection.give_back(&head.headers);
-    reply(gateway, server, head, body)
+    let validated = validate(gateway, server, request, &head.headers, head.status);
+    validated.map_err(|reason| outcome_unknown(format!("reply from {address}: {reason}")))?;
+    connection.release(&head.headers);
+    into_result(gateway, server, head, body)
 }
 
 fn not_sent(reason: String) -> AttemptFailure {
     AttemptFailure::NotSent { reason }
 }
 
-fn lost(reason: String) -> AttemptFailure {
+fn connection_lost(reason: String) -> AttemptFailure {
     AttemptFailure::ConnectionLost {
         reason,
         is_server_gone: false,
     }
 }
 
-fn unknown(reason: String) -> AttemptFailure {
+fn outcome_unknown(reason: String) -> AttemptFailure {
     AttemptFailure::Unknown { reason }
 }
 
-/// A connection to the server, of its pool or a new one.
-async fn connect(gateway: &Gateway, server: &Server) -> Result<InUse, AttemptFailure> {
+/// Takes a connection from the server's pool, which may open a new one.
+async fn connect(gateway: &Gateway, server: &Server) -> Result<PooledConnection, AttemptFailure> {
     let source = gateway.config.connect_from;
-    let taken = server.pool.take(source, connect_limit(server)).await;
-    let connection = taken.map_err(|error| not_sent(error.to_string()))?;
+    let acquired = server.pool.acquire(source, connect_timeout(server)).await;
+    let connection = acquired.map_err(|error| not_sent(error.to_string()))?;
     if let Some(round_trip) = connection.round_trip {
         server.record_round_trip(round_trip);
     }
     Ok(connection)
 }
 
-/// Refuses to send what must not reach the server any more, since things changed while it waited for a connection: the
-/// server began to leave, its zone was evacuated, or the caller's key was taken away.
-fn check_still_wanted(
+/// Fails if the request must no longer be sent. While it waited for a connection the server may have started to drain,
+/// its zone may have been evacuated, or the caller's key may have been revoked.
+fn check_still_sendable(
     gateway: &Gateway,
     server: &Server,
     request: &OutgoingRequest,
 ) -> Result<(), AttemptFailure> {
     let address = server.address;
-    if !server.takes_work() {
+    if !server.accepts_requests() {
         return Err(not_sent(format!(
-            "send to {address}: the server is to get nothing new"
+            "send to {address}: the server no longer accepts new requests"
         )));
     }
     if gateway.caller_validity(&request.caller) != CallerValidity::Valid {
         return Err(not_sent(format!(
-            "send to {address}: the caller's key does not hold any more"
+            "send to {address}: the caller's key is no longer valid"
         )));
     }
     Ok(())
 }
 
-/// Sends the request, and waits for the head of the answer.
+/// Sends the request and waits for the head of the reply.
 async fn send(
     address: SocketAddr,
-    connection: &mut InUse,
+    connection: &mut PooledConnection,
     outgoing: Request<WholeBody>,
 ) -> Result<Response<Incoming>, AttemptFailure> {
     let is_reused = connection.is_reused;
-    let sent = connection.sender.try_send_request(outgoing).await;
-    sent.map_err(|mut error| {
-        // hyper gives the request back when it has not begun to write it.
-        let reason = format!("send to {address} (reused {is_reused}): {}", error.error());
+    let result = connection.sender.try_send_request(outgoing).await;
+    result.map_err(|mut error| {
+        // hyper returns the request if it has not started to write it.
+        let reason = format!(
+            "send to {address} (reused connection: {is_reused}): {}",
+            error.error()
+        );
         let was_sent = error.take_message().is_none();
         if was_sent {
-            lost(reason)
+            connection_lost(reason)
         } else {
             not_sent(reason)
         }
@@ -108,17 +113,19 @@
 }
 
 async fn read_body(address: SocketAddr, body: Incoming) -> Result<Bytes, AttemptFailure> {
-    match Limited::new(body, MAXIMUM_ANSWER_BYTES).collect().await {
+    match Limited::new(body, MAX_REPLY_BYTES).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => {
-            Err(unknown(format!("body of {address}: {error}")))
-        }
-        Err(error) => Err(lost(format!("body of {address}: {error}"))),
+        Err(error) if error.is::<LengthLimitError>() => Err(outcome_unknown(format!(
+            "reply body from {address}: {error}"
+        ))),
+        Err(error) => Err(connection_lost(format!(
+            "reply body from {address}: {error}"
+        ))),
     }
 }
 
-/// What a whole and checked answer comes to.
-fn reply(
+/// Converts a complete and valid reply into the result of the attempt.
+fn into_result(
     gateway: &Gateway,
     server: &Server,
     head: Parts,
@@ -128,8 +135,8 @@
     let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
     if is_misdirected || head.headers.contains_key(&names.not_executed) {
         if is_misdirected {
-            // Another server has the address by now.
-            server.leave();
+            // Another server uses the address now.
+            server.start_draining();
         }
         return Err(AttemptFailure::NotExecuted {
             status: head.status,
@@ -148,15 +155,15 @@
     }
 }
 
-/// The request as it goes to a server; `None` when no time is left.
-fn build(
+/// Builds the request for a server; `None` if the deadline has passed.
+fn build_request(
     gateway: &Gateway,
     server: &Server,
     request: &OutgoingRequest,
 ) -> Option<Request<WholeBody>> {
-    let left = request.deadline.checked_duration_since(Instant::now())?;
-    let left_ms = left.as_millis();
-    if left_ms == 0 {
+    let remaining = request.deadline.checked_duration_since(Instant::now())?;
+    let remaining_ms = remaining.as_millis();
+    if remaining_ms == 0 {
         return None;
     }
     let mut outgoing = Request::new(WholeBody::new(request.body.clone()));
@@ -166,15 +173,15 @@
     *headers = request.headers.clone();
     let names = &gateway.names;
     headers.insert(&names.request_id, request.request_id.clone());
-    let left_ms = HeaderValue::from_str(&left_ms.to_string()).ok()?;
-    headers.insert(&names.deadline_ms, left_ms);
+    let remaining_ms = HeaderValue::from_str(&remaining_ms.to_string()).ok()?;
+    headers.insert(&names.deadline_ms, remaining_ms);
     let instance = HeaderValue::from_str(server.id.as_str()).ok()?;
     headers.insert(&names.expect_instance, instance);
     Some(outgoing)
 }
 
-/// Whether an answer can be this server's answer to this request.
-fn check(
+/// Validates that a reply is this server's reply to this request.
+fn validate(
     gateway: &Gateway,
     server: &Server,
     request: &OutgoingRequest,
@@ -185,22 +192,22 @@
     if let Some(echoed) = headers.get(&names.request_id)
         && *echoed != request.request_id
     {
-        return Err("it is to another request".to_owned());
+        return Err("the request ID does not match".to_owned());
     }
     if let Some(instance) = headers.get(&names.instance)
         && status != StatusCode::MISDIRECTED_REQUEST
         && instance.as_bytes() != server.id.as_str().as_bytes()
     {
-        return Err("it is of another start of the server".to_owned());
+        return Err("the instance ID does not match".to_owned());
     }
     if !status.is_success() {
         return Ok(());
     }
     if headers.contains_key(CONTENT_ENCODING) {
-        return Err("its body is encoded".to_owned());
+        return Err("the body has a content encoding".to_owned());
     }
     if !headers.contains_key(&names.stamp) {
-        return Err("it is not signed".to_owned());
+        return Err("the server stamp header is missing".to_owned());
     }
     Ok(())
 }
--- a/crates/sablehaven-gateway/src/servers/budget.rs
+++ b/crates/sablehaven-gateway/src/servers/budget.rs
@@ -1,120 +1,126 @@
-//! The budget of extra attempts of one service: a gateway's part of what all gateways share.
+//! The retry budget of one service: this gateway's share of the extra attempts that all gateways together may send.
+//!
+//! Extra attempts are those beyond the first one of a request, that is, retries and hedges.
 
 use std::{collections::VecDeque, time::Duration};
 
 use crate::RetryBounds;
 
-/// Parts of the window that are counted apart; a part is forgotten as a whole.
-const PARTS: u32 = 20;
-/// Share of the bound that is used: a window of the judges may begin inside a part.
-const USED_SHARE: f64 = 0.85;
+/// Buckets of the sliding window. A bucket expires as a whole.
+const BUCKETS: u32 = 20;
+/// Fraction of the bound that is used, because the window over which the bound is checked may start inside a bucket.
+const USABLE_FRACTION: f64 = 0.85;
 
-/// Counts of one part of the window.
+/// Counts of one bucket of the window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     number: u64,
-    needed: u32,
-    extra: u32,
+    requests: u32,
+    extra_attempts: u32,
 }
 
-/// How much of a budget is used at one moment.
+/// The limit and the use of a budget at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct BudgetLevel {
-    /// Extra attempts that the window bears.
+    /// Extra attempts that are allowed in the window.
     allowed: f64,
-    /// Extra attempts that were taken in the window.
+    /// Extra attempts that were sent in the window.
     used: f64,
 }
 
 impl BudgetLevel {
-    /// Extra attempts that are left, with a fraction.
+    /// Extra attempts that remain; may be fractional.
     pub(crate) fn remaining(&self) -> f64 {
         self.allowed - self.used
     }
 
-    /// Whether the budget bears one more attempt that leaves this share (0 to 1) of it to others.
+    /// Whether one more attempt is allowed that leaves the fraction `reserve` (0 to 1) of the budget to other attempts.
     pub(crate) fn allows(&self, reserve: f64) -> bool {
         self.used + 1.0 <= self.allowed * (1.0 - reserve)
     }
 }
 
-/// The budget of one service in one gateway.
+/// One gateway's retry budget for one service.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     bounds: RetryBounds,
-    parts: VecDeque<Part>,
-    needed: u32,
-    extra: u32,
+    buckets: VecDeque<Bucket>,
+    requests: u32,
+    extra_attempts: u32,
 }
 
 impl RetryBudget {
     pub(crate) fn new(bounds: RetryBounds) -> Self {
         Self {
             bounds,
-            parts: VecDeque::new(),
-            needed: 0,
-            extra: 0,
+            buckets: VecDeque::new(),
+            requests: 0,
+            extra_attempts: 0,
         }
     }
 
-    /// Counts a request that needs the service. `now` is the time since the gateway started.
+    /// Counts a request to the service. `now` is the time since the gateway started.
     pub(crate) fn record_request(&mut self, now: Duration) {
-        self.part(now).needed += 1;
-        self.needed += 1;
+        self.current_bucket(now).requests += 1;
+        self.requests += 1;
     }
 
-    /// How much of it is used. `gateways` is the number of gateways that share the slack; a gateway that has no
-    /// part of it has `None`.
+    /// The current limit and use. `gateways` is the number of gateways that share the slack; `None` gives this gateway
+    /// no share of it.
     pub(crate) fn level(&mut self, now: Duration, gateways: Option<u32>) -> BudgetLevel {
-        self.forget(now);
-        let has_paused = now >= Duration::from_millis(self.bounds.slack_pause_ms);
-        let gateways = gateways.filter(|_| has_paused);
-        let part = |gateways: u32| self.bounds.slack / f64::from(gateways.max(1));
-        let slack = gateways.map_or(0.0, part);
+        self.expire(now);
+        let is_slack_usable = now >= Duration::from_millis(self.bounds.slack_pause_ms);
+        let gateways = gateways.filter(|_| is_slack_usable);
+        let slack_share = |gateways: u32| self.bounds.slack / f64::from(gateways.max(1));
+        let slack = gateways.map_or(0.0, slack_share);
         BudgetLevel {
-            allowed: USED_SHARE * (self.bounds.ratio * f64::from(self.needed) + slack),
-            used: f64::from(self.extra),
+            allowed: USABLE_FRACTION * (self.bounds.ratio * f64::from(self.requests) + slack),
+            used: f64::from(self.extra_attempts),
         }
     }
 
-    /// Takes one extra attempt that leaves the share `reserve` of the budget; `false` means that the budget does
-    /// not bear it.
+    /// Takes one extra attempt from the budget if that leaves the fraction `reserve` of it; returns `false` if the
+    /// budget does not allow the attempt.
     pub(crate) fn try_take(&mut self, now: Duration, gateways: Option<u32>, reserve: f64) -> bool {
         if !self.level(now, gateways).allows(reserve) {
             return false;
         }
-        self.part(now).extra += 1;
-        self.extra += 1;
+        self.current_bucket(now).extra_attempts += 1;
+        self.extra_attempts += 1;
         true
     }
 
-    fn part(&mut self, now: Duration) -> &mut Part {
-        self.forget(now);
-        let number = self.number(now);
-        if self.parts.back().is_none_or(|part| part.number != number) {
-            self.parts.push_back(Part {
+    fn current_bucket(&mut self, now: Duration) -> &mut Bucket {
+        self.expire(now);
+        let number = self.bucket_number(now);
+        if self
+            .buckets
+            .back()
+            .is_none_or(|bucket| bucket.number != number)
+        {
+            self.buckets.push_back(Bucket {
                 number,
-                ..Part::default()
+                ..Bucket::default()
             });
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 
-    fn forget(&mut self, now: Duration) {
-        let number = self.number(now);
-        while let Some(oldest) = self.parts.front()
-            && oldest.number + u64::from(PARTS) < number
+    fn expire(&mut self, now: Duration) {
+        let number = self.bucket_number(now);
+        while let Some(oldest) = self.buckets.front()
+            && oldest.number + u64::from(BUCKETS) < number
         {
-            self.needed -= oldest.needed;
-            self.extra -= oldest.extra;
-            self.parts.pop_front();
+            self.requests -= oldest.requests;
+            self.extra_attempts -= oldest.extra_attempts;
+            self.buckets.pop_front();
         }
     }
 
-    fn number(&self, now: Duration) -> u64 {
-        let part_ms = (self.bounds.window_ms / u64::from(PARTS)).max(1);
-        now.as_millis() as u64 / part_ms
+    fn bucket_number(&self, now: Duration) -> u64 {
+        let bucket_ms = (self.bounds.window_ms / u64::from(BUCKETS)).max(1);
+        now.as_millis() as u64 / bucket_ms
     }
 }
 
--- a/crates/sablehaven-gateway/src/servers/budget/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/budget/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the budget.
+//! Tests of the retry budget.
 
 use std::time::Duration;
 
@@ -14,53 +14,54 @@
     slack_pause_ms: 10_000,
 };
 
-/// A moment, counted from well after the start: a gateway has its part of the slack from the second window on.
+/// A time in seconds after the first two windows, when the gateway has its share of the slack: it gets that only from the
+/// second window on.
 fn seconds(seconds: f64) -> Duration {
     2 * WINDOW + Duration::from_secs_f64(seconds)
 }
 
-fn taken(budget: &mut RetryBudget, now: Duration, gateways: u32) -> u32 {
+fn take_all(budget: &mut RetryBudget, now: Duration, gateways: u32) -> u32 {
     (0..10_000)
         .take_while(|_| budget.try_take(now, Some(gateways), 0.0))
         .count() as u32
 }
 
 #[test]
-fn extra_attempts_stay_under_the_share_of_requests_and_of_the_slack() {
+fn extra_attempts_are_limited_by_the_ratio_and_a_share_of_the_slack() {
     let mut budget = RetryBudget::new(BOUNDS);
     for _ in 0..100 {
         budget.record_request(seconds(1.0));
     }
-    // 0.85 of 0.2 * 100 + 40 / 8.
-    assert_eq!(taken(&mut budget, seconds(1.1), 8), 21);
+    // 0.85 * (0.2 * 100 + 40 / 8), rounded down.
+    assert_eq!(take_all(&mut budget, seconds(1.1), 8), 21);
 }
 
 #[test]
-fn what_is_older_than_the_window_neither_earns_nor_costs() {
+fn requests_and_attempts_older_than_the_window_do_not_count() {
     let mut budget = RetryBudget::new(BOUNDS);
     for _ in 0..100 {
         budget.record_request(seconds(1.0));
     }
-    taken(&mut budget, seconds(1.0), 8);
-    assert_eq!(taken(&mut budget, seconds(9.0), 8), 0);
-    assert_eq!(taken(&mut budget, seconds(12.0), 8), 4);
+    take_all(&mut budget, seconds(1.0), 8);
+    assert_eq!(take_all(&mut budget, seconds(9.0), 8), 0);
+    assert_eq!(take_all(&mut budget, seconds(12.0), 8), 4);
 }
 
-/// Over any window of the bound's length, whatever its start, the bound holds.
+/// The bound holds in every sliding window of its length, wherever the window starts.
 #[test]
-fn every_sliding_window_keeps_the_bound() {
+fn the_bound_holds_in_every_sliding_window() {
     let mut budget = RetryBudget::new(BOUNDS);
-    let mut needed = Vec::new();
-    let mut extra = Vec::new();
+    let mut requests = Vec::new();
+    let mut extras = Vec::new();
     for step in 0..6_000_u32 {
         let at = f64::from(step) * 0.01;
-        let busy = (step / 500) % 3;
-        if step % (1 + busy * 4) == 0 {
+        let phase = (step / 500) % 3;
+        if step % (1 + phase * 4) == 0 {
             budget.record_request(seconds(at));
-            needed.push(at);
+            requests.push(at);
         }
         if step % 2 == 0 && budget.try_take(seconds(at), Some(1), 0.0) {
-            extra.push(at);
+            extras.push(at);
         }
     }
     let count = |times: &[f64], from: f64, to: f64| {
@@ -68,19 +69,19 @@
     };
     for start in 0..500 {
         let from = f64::from(start) * 0.1;
-        let window = |shift: f64| count(&needed, from - shift, from - shift + 10.0);
-        let most = window(0.0).max(window(5.0)).max(window(10.0));
-        let arrivals = count(&extra, from, from + 10.0);
+        let window = |shift: f64| count(&requests, from - shift, from - shift + 10.0);
+        let max_requests = window(0.0).max(window(5.0)).max(window(10.0));
+        let extra_attempts = count(&extras, from, from + 10.0);
         assert!(
-            arrivals <= 0.2 * most + 40.0,
-            "window from {from}: {arrivals} of {most}"
+            extra_attempts <= 0.2 * max_requests + 40.0,
+            "window from {from}: {extra_attempts} extra attempts, {max_requests} requests"
         );
     }
 }
 
-/// A gateway that has only just started does not know how many share the slack.
+/// A gateway that has just started does not know how many gateways share the slack.
 #[test]
-fn the_slack_is_not_used_while_the_number_of_gateways_is_not_known() {
+fn the_slack_is_not_used_while_the_number_of_gateways_is_unknown() {
     let mut budget = RetryBudget::new(BOUNDS);
     assert!(!budget.try_take(seconds(1.0), None, 0.0));
     for _ in 0..100 {
@@ -90,14 +91,15 @@
     assert_eq!(taken.count(), 17);
 }
 
-/// Before it was killed and started again it may have used its part, which counts for one window.
+/// A gateway that was killed and restarted may have used its share of the slack before, and that use counts for one
+/// window.
 #[test]
-fn a_gateway_that_has_just_started_has_only_what_its_requests_earn() {
+fn the_slack_is_not_used_in_the_first_window_after_a_start() {
     let mut budget = RetryBudget::new(BOUNDS);
     let just_before = WINDOW - Duration::from_millis(1);
     for _ in 0..100 {
         budget.record_request(just_before);
     }
-    assert_eq!(taken(&mut budget, just_before, 8), 17);
-    assert_eq!(taken(&mut budget, WINDOW, 8), 4);
+    assert_eq!(take_all(&mut budget, just_before, 8), 17);
+    assert_eq!(take_all(&mut budget, WINDOW, 8), 4);
 }
--- a/crates/sablehaven-gateway/src/servers/choice.rs
+++ b/crates/sablehaven-gateway/src/servers/choice.rs
@@ -1,115 +1,122 @@
-//! Which server gets the next attempt, as a pure decision.
+//! Chooses the server of the next attempt: the one with the lowest expected cost. Free of I/O.
 
 use std::time::Duration;
 
 use sablehaven_types::Distance;
 
-/// Time that leaving the region must save beyond the way itself: bytes between regions are dear.
-const REGION_RELUCTANCE: Duration = Duration::from_millis(15);
-/// Time that leaving the zone must save.
-const ZONE_RELUCTANCE: Duration = Duration::from_millis(2);
-/// What a server that stands still is taken to need until it goes on.
-const STILL_PENALTY: Duration = Duration::from_millis(250);
-/// What a resting server costs: it is only taken when there is no other.
-const REST_PENALTY: Duration = Duration::from_secs(3_600);
-/// What a failure costs: a second attempt elsewhere, which the budget must bear.
+/// Latency that an attempt in another region must save in addition to its round trip, because traffic between regions is
+/// expensive.
+const REGION_PENALTY: Duration = Duration::from_millis(15);
+/// Latency that an attempt in another zone of the region must save in addition to its round trip.
+const ZONE_PENALTY: Duration = Duration::from_millis(2);
+/// Expected time until a stalled server continues.
+const STALL_PENALTY: Duration = Duration::from_millis(250);
+/// Cost of a server in backoff. It is high enough that such a server is chosen only if there is no other.
+const BACKOFF_PENALTY: Duration = Duration::from_secs(3_600);
+/// Cost of a failure: a second attempt at another server, which also uses the retry budget.
 const FAILURE_PENALTY: Duration = Duration::from_millis(250);
-/// The least slowness that counts: a server is not taken to be faster than that.
-const LEAST_SLOWNESS: f64 = 0.1;
-/// Slowness of a server that has just started.
-const COLD_RATIO: f64 = 1.6;
+/// Lower bound of the latency ratio; no server is assumed to be faster than that.
+const MIN_LATENCY_RATIO: f64 = 0.1;
+/// Factor on the expected latency of a server that has just started.
+const COLD_FACTOR: f64 = 1.6;
 
-/// What is known of a server.
+/// What the gateway knows about a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Candidate {
     pub(crate) distance: Distance,
-    /// One way there and back.
+    /// Network round trip time.
     pub(crate) round_trip: Duration,
-    /// What answers take, relative to the usual.
-    pub(crate) slowness: f64,
-    /// How likely it is to fail the request, 0 to 1.
+    /// Latency of its replies relative to the typical latency of their routes.
+    pub(crate) latency_ratio: f64,
+    /// Probability that it fails the request, 0 to 1.
     pub(crate) failure_rate: f64,
-    /// This gateway's attempts under way there.
+    /// This gateway's attempts in progress at the server.
     pub(crate) outstanding: usize,
-    /// Requests of this gateway that can be under way there: its slots, or fewer connections.
-    pub(crate) lanes: u32,
-    pub(crate) stands_still: bool,
-    pub(crate) is_resting: bool,
-    /// Whether it has only just started.
+    /// Requests that this gateway can have in progress at the server: the lower of the server's slots and the
+    /// connection limit.
+    pub(crate) concurrency: u32,
+    /// Whether it owes replies and has sent none for longer than expected.
+    pub(crate) is_stalled: bool,
+    /// Whether it is in backoff after failures.
+    pub(crate) is_in_backoff: bool,
+    /// Whether it is still warming up after a start.
     pub(crate) is_cold: bool,
 }
 
-/// What an attempt at a server is expected to cost, as a time.
-pub(crate) fn cost(candidate: &Candidate, usual: Duration) -> Duration {
-    let cold = if candidate.is_cold { COLD_RATIO } else { 1.0 };
-    let queue = 1.0 + candidate.outstanding as f64 / f64::from(candidate.lanes.max(1));
-    let slowness = candidate.slowness.max(LEAST_SLOWNESS);
-    let work = usual.mul_f64(slowness * cold * queue);
-    let failing = FAILURE_PENALTY.mul_f64(candidate.failure_rate);
-    let mut cost = candidate.round_trip + work + reluctance(candidate.distance) + failing;
-    if candidate.stands_still {
-        cost += STILL_PENALTY;
+/// The expected cost of an attempt at a server, as a time.
+pub(crate) fn cost(candidate: &Candidate, typical: Duration) -> Duration {
+    let cold_factor = if candidate.is_cold { COLD_FACTOR } else { 1.0 };
+    let queue_factor = 1.0 + candidate.outstanding as f64 / f64::from(candidate.concurrency.max(1));
+    let latency_ratio = candidate.latency_ratio.max(MIN_LATENCY_RATIO);
+    let server_time = typical.mul_f64(latency_ratio * cold_factor * queue_factor);
+    let failure_cost = FAILURE_PENALTY.mul_f64(candidate.failure_rate);
+    let mut cost =
+        candidate.round_trip + server_time + distance_penalty(candidate.distance) + failure_cost;
+    if candidate.is_stalled {
+        cost += STALL_PENALTY;
     }
-    if candidate.is_resting {
-        cost += REST_PENALTY;
+    if candidate.is_in_backoff {
+        cost += BACKOFF_PENALTY;
     }
     cost
 }
 
-fn reluctance(distance: Distance) -> Duration {
+fn distance_penalty(distance: Distance) -> Duration {
     match distance {
         Distance::Zone => Duration::ZERO,
-        Distance::Region => ZONE_RELUCTANCE,
-        Distance::Remote => REGION_RELUCTANCE,
+        Distance::Region => ZONE_PENALTY,
+        Distance::Remote => REGION_PENALTY,
     }
 }
 
-/// A choice among servers that are looked at one after the other, the near ones first.
+/// A choice among servers that are considered one after the other, the nearest first.
 ///
-/// A far server whose way alone costs too much is not looked at: with 42 servers in three regions that leaves 14.
-pub(crate) struct Choice<Key> {
-    usual: Duration,
-    least: Option<Duration>,
-    costed: Vec<(Duration, Key)>,
+/// A distant server whose round trip alone costs too much need not be considered. With 42 servers in three regions,
+/// this leaves 14.
+pub(crate) struct Choice<K> {
+    typical: Duration,
+    min_cost: Option<Duration>,
+    candidates: Vec<(Duration, K)>,
 }
 
-impl<Key> Choice<Key> {
-    /// Nothing was looked at yet; `usual` is what the request usually takes at a server.
-    pub(crate) fn new(usual: Duration) -> Self {
+impl<K> Choice<K> {
+    /// Starts a choice; `typical` is how long the request typically takes at a server.
+    pub(crate) fn new(typical: Duration) -> Self {
         Self {
-            usual,
-            least: None,
-            costed: Vec::new(),
+            typical,
+            min_cost: None,
+            candidates: Vec::new(),
         }
     }
 
-    /// Whether a server cannot be chosen, however well it does.
+    /// Whether a server at this distance cannot be chosen even if it is as fast as any server can be.
     pub(crate) fn is_too_far(&self, distance: Distance, round_trip: Duration) -> bool {
-        let fastest = self.usual.mul_f64(LEAST_SLOWNESS);
-        let at_least = round_trip + fastest + reluctance(distance);
-        self.least.is_some_and(|least| at_least > alike(least))
+        let min_server_time = self.typical.mul_f64(MIN_LATENCY_RATIO);
+        let lower_bound = round_trip + min_server_time + distance_penalty(distance);
+        self.min_cost
+            .is_some_and(|min_cost| lower_bound > tie_limit(min_cost))
     }
 
-    /// Looks at a server.
-    pub(crate) fn look_at(&mut self, key: Key, candidate: &Candidate) {
-        let cost = cost(candidate, self.usual);
-        self.least = Some(self.least.map_or(cost, |least| least.min(cost)));
-        self.costed.push((cost, key));
+    /// Adds a server to the candidates.
+    pub(crate) fn consider(&mut self, key: K, candidate: &Candidate) {
+        let cost = cost(candidate, self.typical);
+        self.min_cost = Some(self.min_cost.map_or(cost, |min_cost| min_cost.min(cost)));
+        self.candidates.push((cost, key));
     }
 
-    /// The cheapest; `draw` (0 to 1) decides among equally cheap ones.
-    pub(crate) fn draw(mut self, draw: f64) -> Option<Key> {
-        let limit = alike(self.least?);
-        self.costed.retain(|(cost, _)| *cost <= limit);
-        let position = (draw * self.costed.len() as f64) as usize;
-        let position = position.min(self.costed.len() - 1);
-        Some(self.costed.swap_remove(position).1)
+    /// Returns a server of the lowest cost; `draw` (0 to 1) selects one of those that tie.
+    pub(crate) fn pick(mut self, draw: f64) -> Option<K> {
+        let limit = tie_limit(self.min_cost?);
+        self.candidates.retain(|(cost, _)| *cost <= limit);
+        let position = (draw * self.candidates.len() as f64) as usize;
+        let position = position.min(self.candidates.len() - 1);
+        Some(self.candidates.swap_remove(position).1)
     }
 }
 
-/// Costs within a twentieth are the same: estimates are no finer.
-fn alike(least: Duration) -> Duration {
-    least.mul_f64(1.05)
+/// The highest cost that ties with `min_cost`. Costs within 5% are equal, because the estimates are no more precise.
+fn tie_limit(min_cost: Duration) -> Duration {
+    min_cost.mul_f64(1.05)
 }
 
 #[cfg(test)]
--- a/crates/sablehaven-gateway/src/servers/choice/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/choice/tests.rs
@@ -1,4 +1,4 @@
-//! A table of situations, each with the server that is to be chosen.
+//! Tests of which server is chosen in which situation.
 
 use std::time::Duration;
 
@@ -6,33 +6,33 @@
 
 use super::{Candidate, Choice};
 
-const USUAL: Duration = Duration::from_millis(28);
+const TYPICAL: Duration = Duration::from_millis(28);
 
-/// The choice among candidates that are looked at in this order.
-fn choose<Key>(
-    candidates: impl IntoIterator<Item = (Key, Candidate)>,
-    usual: Duration,
+/// Chooses among the candidates, considered in this order.
+fn choose<K>(
+    candidates: impl IntoIterator<Item = (K, Candidate)>,
+    typical: Duration,
     draw: f64,
-) -> Option<Key> {
-    let mut choice = Choice::new(usual);
+) -> Option<K> {
+    let mut choice = Choice::new(typical);
     for (key, candidate) in candidates {
         if !choice.is_too_far(candidate.distance, candidate.round_trip) {
-            choice.look_at(key, &candidate);
+            choice.consider(key, &candidate);
         }
     }
-    choice.draw(draw)
+    choice.pick(draw)
 }
 
 fn near() -> Candidate {
     Candidate {
         distance: Distance::Zone,
         round_trip: Duration::from_micros(200),
-        slowness: 1.0,
+        latency_ratio: 1.0,
         failure_rate: 0.0,
         outstanding: 0,
-        lanes: 5,
-        stands_still: false,
-        is_resting: false,
+        concurrency: 5,
+        is_stalled: false,
+        is_in_backoff: false,
         is_cold: false,
     }
 }
@@ -46,11 +46,11 @@
 }
 
 fn is_near_chosen(near: Candidate, far: Candidate) -> bool {
-    choose([(true, near), (false, far)], USUAL, 0.5).expect("a server")
+    choose([(true, near), (false, far)], TYPICAL, 0.5).expect("a server")
 }
 
 #[test]
-fn the_near_server_is_left_only_for_a_reason() {
+fn the_near_server_is_chosen_unless_it_is_slow_stalled_or_in_backoff() {
     assert!(is_near_chosen(near(), far()));
     let busy = Candidate {
         outstanding: 4,
@@ -63,31 +63,31 @@
     };
     assert!(is_near_chosen(cold, far()));
     let slow = Candidate {
-        slowness: 4.0,
+        latency_ratio: 4.0,
         ..near()
     };
     assert!(!is_near_chosen(slow, far()));
-    let still = Candidate {
-        stands_still: true,
+    let stalled = Candidate {
+        is_stalled: true,
         ..near()
     };
-    assert!(!is_near_chosen(still, far()));
-    let resting = Candidate {
-        is_resting: true,
+    assert!(!is_near_chosen(stalled, far()));
+    let in_backoff = Candidate {
+        is_in_backoff: true,
         ..near()
     };
-    assert!(!is_near_chosen(resting, far()));
+    assert!(!is_near_chosen(in_backoff, far()));
 }
 
 #[test]
-fn few_connections_count_as_a_queue() {
+fn a_low_connection_limit_raises_the_queueing_cost() {
     let queued = Candidate {
-        lanes: 2,
+        concurrency: 2,
         outstanding: 6,
         ..far()
     };
     let slow = Candidate {
-        slowness: 3.0,
+        latency_ratio: 3.0,
         ..near()
     };
     assert!(is_near_chosen(slow, queued));
@@ -101,24 +101,24 @@
 }
 
 #[test]
-fn a_resting_server_is_better_than_none() {
-    let resting = Candidate {
-        is_resting: true,
+fn a_server_in_backoff_is_chosen_if_there_is_no_other() {
+    let in_backoff = Candidate {
+        is_in_backoff: true,
         ..near()
     };
-    assert_eq!(choose([((), resting)], USUAL, 0.0), Some(()));
-    assert_eq!(choose::<()>([], USUAL, 0.0), None);
+    assert_eq!(choose([((), in_backoff)], TYPICAL, 0.0), Some(()));
+    assert_eq!(choose::<()>([], TYPICAL, 0.0), None);
 }
 
 #[test]
-fn equal_servers_share_the_work() {
-    let drawn = |draw| choose([(1, near()), (2, near())], USUAL, draw);
-    assert_eq!(drawn(0.0), Some(1));
-    assert_eq!(drawn(0.99), Some(2));
+fn requests_are_spread_over_equal_servers() {
+    let pick = |draw| choose([(1, near()), (2, near())], TYPICAL, draw);
+    assert_eq!(pick(0.0), Some(1));
+    assert_eq!(pick(0.99), Some(2));
 }
 
 #[test]
-fn a_near_server_that_fails_often_is_left() {
+fn a_near_server_that_fails_often_is_avoided() {
     let failing = |failure_rate: f64| Candidate {
         failure_rate,
         ..near()
@@ -128,49 +128,52 @@
 }
 
 #[test]
-fn far_servers_are_looked_at_only_where_they_could_be_chosen() {
-    let is_looked_at = |near: Candidate| {
-        let mut choice = Choice::new(USUAL);
-        choice.look_at("near", &near);
+fn far_servers_are_considered_only_if_they_could_be_chosen() {
+    let is_considered = |near: Candidate| {
+        let mut choice = Choice::new(TYPICAL);
+        choice.consider("near", &near);
         !choice.is_too_far(far().distance, far().round_trip)
     };
-    assert!(!is_looked_at(near()));
-    let slow = |slowness| Candidate { slowness, ..near() };
-    assert!(!is_looked_at(slow(1.3)));
-    assert!(is_looked_at(slow(1.6)));
-    let still = Candidate {
-        stands_still: true,
+    assert!(!is_considered(near()));
+    let slow = |latency_ratio| Candidate {
+        latency_ratio,
         ..near()
     };
-    assert!(is_looked_at(still));
+    assert!(!is_considered(slow(1.3)));
+    assert!(is_considered(slow(1.6)));
+    let stalled = Candidate {
+        is_stalled: true,
+        ..near()
+    };
+    assert!(is_considered(stalled));
 }
 
-/// Over many kinds of near and far servers: leaving servers out never changes which ones may be chosen.
+/// For many combinations of near and far servers, skipping the servers that are too far never changes the choice.
 #[test]
-fn what_is_left_out_could_not_have_been_chosen() {
-    let slownesses = [0.01, 0.1, 0.4, 1.0, 1.5, 3.0, 9.0];
-    let trips = [0, 1, 5, 24, 60].map(Duration::from_millis);
-    for usual in [1, 9, 28, 220].map(Duration::from_millis) {
-        for (near_slowness, far_slowness) in slownesses
+fn skipped_servers_could_not_have_been_chosen() {
+    let latency_ratios = [0.01, 0.1, 0.4, 1.0, 1.5, 3.0, 9.0];
+    let round_trips = [0, 1, 5, 24, 60].map(Duration::from_millis);
+    for typical in [1, 9, 28, 220].map(Duration::from_millis) {
+        for (near_latency_ratio, far_latency_ratio) in latency_ratios
             .into_iter()
-            .flat_map(|near| slownesses.map(|far| (near, far)))
+            .flat_map(|near| latency_ratios.map(|far| (near, far)))
         {
-            for round_trip in trips {
+            for round_trip in round_trips {
                 let near = Candidate {
-                    slowness: near_slowness,
+                    latency_ratio: near_latency_ratio,
                     ..near()
                 };
                 let far = Candidate {
-                    slowness: far_slowness,
+                    latency_ratio: far_latency_ratio,
                     round_trip,
                     ..far()
                 };
                 for draw in [0.0, 0.99] {
-                    let mut all = Choice::new(usual);
-                    all.look_at("near", &near);
-                    all.look_at("far", &far);
-                    let chosen = choose([("near", near), ("far", far)], usual, draw);
-                    assert_eq!(chosen, all.draw(draw), "{near:?} {far:?}");
+                    let mut all = Choice::new(typical);
+                    all.consider("near", &near);
+                    all.consider("far", &far);
+                    let chosen = choose([("near", near), ("far", far)], typical, draw);
+                    assert_eq!(chosen, all.pick(draw), "{near:?} {far:?}");
                 }
             }
         }
--- a/crates/sablehaven-gateway/src/servers/cold_turns.rs
+++ b/crates/sablehaven-gateway/src/servers/cold_turns.rs
@@ -1,49 +1,53 @@
-//! When a gateway may send to a cold server, as a pure decision.
+//! Decides when a gateway may send to a cold server, that is, one that is still warming up. Free of I/O.
 //!
-//! A cold server bears a few requests a second from all gateways together, often fewer than there are
-//! gateways. Each gateway therefore has turns: one request in each period, at a place in it that it has drawn.
-//! A turn that is not used ends soon. Turns that could be saved would all be used at once when requests come
-//! after a lull, by every gateway.
+//! A cold server can handle a few requests per second from all gateways together, often fewer than there are gateways.
+//! Each gateway therefore has one turn per period, at a random phase, and may send one request in it. An unused turn
+//! expires soon: if turns accumulated, every gateway would use all of its turns at once when requests arrive after an
+//! idle time.
 
 use std::time::Duration;
 
-/// Part of the bound that the turns of all gateways add up to: their number is known a little late.
-const USED_SHARE: f64 = 0.8;
-/// Longest time for which a turn lasts: a part of the second over which arrivals are counted.
-const LONGEST_TURN_S: f64 = 0.25;
+/// Fraction of the limit that the turns of all gateways add up to. The rest is a margin, because a gateway learns of a
+/// changed number of gateways with a delay.
+const USABLE_FRACTION: f64 = 0.8;
+/// Maximum length of a turn; well below the second over which arrivals are counted.
+const MAX_TURN_SECONDS: f64 = 0.25;
 
-/// What a cold server bears.
+/// The load that a cold server can handle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ColdLimit {
-    /// Requests a second from all gateways together.
+    /// Requests per second from all gateways together.
     pub(super) per_second: f64,
-    /// The gateways that may send to it; `None` for one that has no part.
+    /// The number of gateways that share the limit; `None` if this gateway has no share of it.
     pub(super) gateways: Option<u32>,
 }
 
-/// One gateway's turns at one server.
+/// One gateway's turns at one cold server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ColdTurns {
-    /// Where in the period the turn begins, 0 to 1; drawn at random.
+    /// Random phase of the turns within the period, 0 to 1.
     phase: f64,
     /// The latest turn that was used.
-    used: Option<u64>,
+    last_used: Option<u64>,
 }
 
 impl ColdTurns {
     pub(super) fn new(phase: f64) -> Self {
-        Self { phase, used: None }
+        Self {
+            phase,
+            last_used: None,
+        }
     }
 
-    /// The turn that runs at `now`, any steady time, unless it has been used.
+    /// The number of the turn that is open at `now`, a monotonic time, unless it has been used.
     fn open_turn(&self, now: Duration, limit: ColdLimit) -> Option<u64> {
         let gateways = limit.gateways?.max(1);
-        let rate = USED_SHARE * limit.per_second / f64::from(gateways);
-        let period = 1.0 / rate;
-        let passed = now.as_secs_f64() / period + self.phase;
-        let is_running = passed.fract() * period < LONGEST_TURN_S;
-        let turn = passed as u64;
-        (is_running && self.used != Some(turn)).then_some(turn)
+        let turns_per_second = USABLE_FRACTION * limit.per_second / f64::from(gateways);
+        let period_seconds = 1.0 / turns_per_second;
+        let elapsed_periods = now.as_secs_f64() / period_seconds + self.phase;
+        let is_in_turn = elapsed_periods.fract() * period_seconds < MAX_TURN_SECONDS;
+        let turn = elapsed_periods as u64;
+        (is_in_turn && self.last_used != Some(turn)).then_some(turn)
     }
 
     /// Whether a request may be sent now.
@@ -51,9 +55,9 @@
         self.open_turn(now, limit).is_some()
     }
 
-    /// A request is sent now.
-    pub(super) fn take(&mut self, now: Duration, limit: ColdLimit) {
-        self.used = self.open_turn(now, limit).or(self.used);
+    /// Marks the current turn as used by a request that is sent now.
+    pub(super) fn use_turn(&mut self, now: Duration, limit: ColdLimit) {
+        self.last_used = self.open_turn(now, limit).or(self.last_used);
     }
 }
 
--- a/crates/sablehaven-gateway/src/servers/cold_turns/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/cold_turns/tests.rs
@@ -6,26 +6,26 @@
 
 use super::{ColdLimit, ColdTurns};
 
-/// What the bound allows beyond the rate: the ratio and the slack of the users' rules.
-const EXCESS: f64 = 1.5;
-const SLACK: f64 = 5.0;
+/// The bound that is checked: the rate times this ratio, plus the slack. Both values are part of the requirements.
+const BOUND_RATIO: f64 = 1.5;
+const BOUND_SLACK: f64 = 5.0;
 
-/// Arrivals in steps of 10 ms from gateways that all want to send whenever `wants` says so.
-fn arrivals(gateways: u32, per_second: f64, wants: impl Fn(u64) -> bool) -> Vec<u32> {
+/// Arrivals per step of 10 ms, where every gateway has a request to send in each step for which `has_request` is true.
+fn arrivals(gateways: u32, per_second: f64, has_request: impl Fn(u64) -> bool) -> Vec<u32> {
     let mut rng = StdRng::seed_from_u64(u64::from(gateways) * 1_000 + per_second as u64);
     let limit = ColdLimit {
         per_second,
         gateways: Some(gateways),
     };
-    let mut all: Vec<ColdTurns> = (0..gateways)
+    let mut all_turns: Vec<ColdTurns> = (0..gateways)
         .map(|_| ColdTurns::new(rng.random()))
         .collect();
     let step = |step: u64| {
         let now = Duration::from_millis(step * 10);
         let mut sent = 0;
-        for turns in &mut all {
-            if wants(step) && turns.is_open(now, limit) {
-                turns.take(now, limit);
+        for turns in &mut all_turns {
+            if has_request(step) && turns.is_open(now, limit) {
+                turns.use_turn(now, limit);
                 sent += 1;
             }
         }
@@ -34,23 +34,23 @@
     (0..3_000).map(step).collect()
 }
 
-fn busiest_second(arrivals: &[u32]) -> u32 {
+fn max_per_second(arrivals: &[u32]) -> u32 {
     let seconds = arrivals.windows(100);
     seconds.map(|second| second.iter().sum()).max().unwrap_or(0)
 }
 
 #[test]
-fn all_gateways_together_stay_within_the_bound_also_after_a_lull() {
+fn all_gateways_together_stay_within_the_bound_even_after_an_idle_time() {
     for gateways in [1, 4, 24, 61, 200] {
         for per_second in [0.5, 1.0, 3.0, 10.0, 50.0] {
-            let bound = EXCESS * per_second + SLACK;
-            let always = arrivals(gateways, per_second, |_| true);
-            let by_turns = arrivals(gateways, per_second, |step| step / 400 % 2 == 1);
-            for arrivals in [always, by_turns] {
-                let most = f64::from(busiest_second(&arrivals));
+            let bound = BOUND_RATIO * per_second + BOUND_SLACK;
+            let steady = arrivals(gateways, per_second, |_| true);
+            let intermittent = arrivals(gateways, per_second, |step| step / 400 % 2 == 1);
+            for arrivals in [steady, intermittent] {
+                let max_arrivals = f64::from(max_per_second(&arrivals));
                 assert!(
-                    most <= bound,
-                    "{gateways} gateways, {per_second} a second: {most}"
+                    max_arrivals <= bound,
+                    "{gateways} gateways, {per_second} per second: {max_arrivals} arrivals"
                 );
             }
         }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_gateway_without_a_part_has_no_turn() {
+fn a_gateway_without_a_share_has_no_turn() {
     let limit = ColdLimit {
         per_second: 50.0,
         gateways: None,
@@ -69,10 +69,13 @@
 }
 
 #[test]
-fn steady_requests_use_most_of_what_the_server_bears() {
+fn steady_requests_use_most_of_the_limit() {
     for gateways in [1, 4, 24, 61] {
         let sent: u32 = arrivals(gateways, 10.0, |_| true).iter().sum();
-        let a_second = f64::from(sent) / 30.0;
-        assert!((6.0..=9.0).contains(&a_second), "{gateways}: {a_second}");
+        let per_second = f64::from(sent) / 30.0;
+        assert!(
+            (6.0..=9.0).contains(&per_second),
+            "{gateways}: {per_second}"
+        );
     }
 }
--- a/crates/sablehaven-gateway/src/servers/connection_pool.rs
+++ b/crates/sablehaven-gateway/src/servers/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one server: a few, kept for many requests.
+//! The connection pool of one server: a few connections that are reused for many requests.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,136 +13,137 @@
 
 use super::connection_share::ConnectionShare;
 
-/// Rest after which a connection is not used again when the server does not say how long it keeps
-/// one.
-const DEFAULT_REST: Duration = Duration::from_secs(8);
-/// Part of the server's own time for which a connection is used: it may close a little early.
-const REST_SHARE: f64 = 0.8;
-/// What a pool may have before the gateways were counted.
-const FIRST_SHARE: ConnectionShare = ConnectionShare {
+/// Idle timeout of a connection if the server does not announce its own with `keep-alive`.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Fraction of the server's announced idle timeout after which a connection is no longer reused, because the server may
+/// close it a little early.
+const KEEP_ALIVE_FRACTION: f64 = 0.8;
+/// The share of a pool before the number of gateways is known.
+const INITIAL_SHARE: ConnectionShare = ConnectionShare {
     limit: 1,
-    kept: 1.0,
+    idle_fraction: 1.0,
 };
-/// Time that sent bytes may stay unacknowledged.
-const USER_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long sent bytes may stay unacknowledged before the connection fails.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The connections to one server.
+/// The connection pool of one server.
 pub(crate) struct ConnectionPool {
     address: SocketAddr,
-    inner: Rc<Inner>,
+    state: Rc<PoolState>,
 }
 
-struct Inner {
-    resting: RefCell<Vec<Resting>>,
-    /// Connections that are open or being opened.
+struct PoolState {
+    idle: RefCell<Vec<IdleConnection>>,
+    /// Number of connections that are open or being opened.
     open: Cell<usize>,
     share: Cell<ConnectionShare>,
-    freed: Notify,
+    /// Notified when a connection becomes idle or its permit is returned.
+    released: Notify,
     is_closed: Cell<bool>,
 }
 
-struct Resting {
+struct IdleConnection {
     sender: SendRequest<WholeBody>,
     usable_until: Instant,
-    place: Place,
+    permit: Permit,
 }
 
-/// A connection that one request uses; closed when it is dropped without [`Self::give_back`].
-pub(crate) struct InUse {
+/// A connection in use by one request. Dropping it without [`Self::release`] closes it.
+pub(crate) struct PooledConnection {
     pub(crate) sender: SendRequest<WholeBody>,
-    /// Whether it has carried a request before.
+    /// Whether it has carried an earlier request.
     pub(crate) is_reused: bool,
-    /// The time that it took to open, where it is new.
+    /// The measured round trip, if the connection is new.
     pub(crate) round_trip: Option<Duration>,
-    place: Place,
+    permit: Permit,
 }
 
-/// One of the places that the limit allows.
-struct Place {
-    inner: Rc<Inner>,
+/// Permission for one connection within the limit; dropping it lets another one be opened.
+struct Permit {
+    state: Rc<PoolState>,
 }
 
-impl Inner {
-    /// Whether there are more connections than the share allows: it shrinks as more gateways come.
+impl PoolState {
+    /// Whether more connections are open than the share allows. The share shrinks when gateways join.
     fn is_over_limit(&self) -> bool {
         self.open.get() > self.share.get().limit
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.inner.open.set(self.inner.open.get() - 1);
-        self.inner.freed.notify_one();
+        self.state.open.set(self.state.open.get() - 1);
+        self.state.released.notify_one();
     }
 }
 
 impl ConnectionPool {
     pub(crate) fn new(address: SocketAddr) -> Self {
-        let inner = Inner {
-            resting: RefCell::default(),
+        let state = PoolState {
+            idle: RefCell::default(),
             open: Cell::new(0),
-            share: Cell::new(FIRST_SHARE),
-            freed: Notify::new(),
+            share: Cell::new(INITIAL_SHARE),
+            released: Notify::new(),
             is_closed: Cell::new(false),
         };
         Self {
             address,
-            inner: Rc::new(inner),
+            state: Rc::new(state),
         }
     }
 
-    /// Changes how many connections there may be, and how long they are kept.
+    /// Changes the number of allowed connections and their idle timeout.
     pub(super) fn set_share(&self, share: ConnectionShare) {
-        let former = self.inner.share.replace(share);
-        if share.limit > former.limit {
-            self.inner.freed.notify_waiters();
+        let previous = self.state.share.replace(share);
+        if share.limit > previous.limit {
+            self.state.released.notify_waiters();
         }
-        // Those in use are closed when they are given back.
-        while self.inner.is_over_limit() {
-            let resting = self.inner.resting.borrow_mut().pop();
-            if resting.is_none() {
+        // Connections in use are closed when they are released.
+        while self.state.is_over_limit() {
+            let idle = self.state.idle.borrow_mut().pop();
+            if idle.is_none() {
                 return;
             }
         }
     }
 
-    /// How many connections there may be.
+    /// The number of allowed connections.
     pub(crate) fn limit(&self) -> u32 {
-        u32::try_from(self.inner.share.get().limit).unwrap_or(u32::MAX)
+        u32::try_from(self.state.share.get().limit).unwrap_or(u32::MAX)
     }
 
-    /// A connection that rests, or a new one, or the next that becomes free.
+    /// Returns an idle connection or opens a new one; at the limit, waits for the next that is released.
     ///
     /// # Errors
-    /// [`ConnectError`]; nothing was sent.
-    pub(crate) async fn take(
+    /// [`ConnectError`] if a new connection cannot be opened. Nothing has been sent then.
+    pub(crate) async fn acquire(
         &self,
         source: Option<IpAddr>,
-        connect_limit: Duration,
-    ) -> Result<InUse, ConnectError> {
+        connect_timeout: Duration,
+    ) -> Result<PooledConnection, ConnectError> {
         loop {
-            if let Some(resting) = self.take_resting().await {
-                return Ok(resting);
+            if let Some(idle) = self.take_idle().await {
+                return Ok(idle);
             }
-            if self.inner.open.get() < self.inner.share.get().limit {
-                return self.open_new(source, connect_limit).await;
+            if self.state.open.get() < self.state.share.get().limit {
+                return self.open_new(source, connect_timeout).await;
             }
-            self.inner.freed.notified().await;
+            self.state.released.notified().await;
         }
     }
 
-    async fn take_resting(&self) -> Option<InUse> {
+    async fn take_idle(&self) -> Option<PooledConnection> {
         loop {
-            let resting = self.inner.resting.borrow_mut().pop()?;
-            let place = resting.place;
-            let mut sender = resting.sender;
-            let is_usable = resting.usable_until > Instant::now() && !sender.is_closed();
+            let idle = self.state.idle.borrow_mut().pop()?;
+            let permit = idle.permit;
+            let mut sender = idle.sender;
+            let is_usable = idle.usable_until > Instant::now() && !sender.is_closed();
             if is_usable && sender.ready().await.is_ok() {
-                return Some(InUse {
+                return Some(PooledConnection {
                     sender,
                     is_reused: true,
                     round_trip: None,
-                    place,
+                    permit,
                 });
             }
         }
@@ -151,64 +152,66 @@
     async fn open_new(
         &self,
         source: Option<IpAddr>,
-        connect_limit: Duration,
-    ) -> Result<InUse, ConnectError> {
-        self.inner.open.set(self.inner.open.get() + 1);
-        let place = Place {
-            inner: Rc::clone(&self.inner),
+        connect_timeout: Duration,
+    ) -> Result<PooledConnection, ConnectError> {
+        self.state.open.set(self.state.open.get() + 1);
+        let permit = Permit {
+            state: Rc::clone(&self.state),
         };
-        let opened = open(source, self.address, connect_limit, USER_TIMEOUT).await?;
+        let opened = open(source, self.address, connect_timeout, TCP_USER_TIMEOUT).await?;
         let connection = opened.connection;
         spawn_local(async move {
-            // What went wrong shows at the request that used it.
+            // The request that uses the connection reports its errors.
             let _ = connection.await;
         });
-        Ok(InUse {
+        Ok(PooledConnection {
             sender: opened.sender,
             is_reused: false,
             round_trip: Some(opened.round_trip),
-            place,
+            permit,
         })
     }
 
-    /// Closes the connections that rest, and those in use after their answer.
-    pub(crate) fn close_resting(&self) {
-        self.inner.is_closed.set(true);
-        let resting = std::mem::take(&mut *self.inner.resting.borrow_mut());
-        drop(resting);
+    /// Closes the idle connections now and those in use after their replies.
+    pub(crate) fn close_idle(&self) {
+        self.state.is_closed.set(true);
+        let idle = std::mem::take(&mut *self.state.idle.borrow_mut());
+        drop(idle);
     }
 
-    /// Closes connections that have rested too long to be used again.
-    pub(crate) fn drop_stale(&self) {
+    /// Closes the connections that have been idle for too long to be reused.
+    pub(crate) fn close_expired(&self) {
         let now = Instant::now();
-        let mut resting = self.inner.resting.borrow_mut();
-        resting.retain(|each| each.usable_until > now && !each.sender.is_closed());
+        let mut idle = self.state.idle.borrow_mut();
+        idle.retain(|connection| connection.usable_until > now && !connection.sender.is_closed());
     }
 }
 
-impl InUse {
-    /// Gives the connection back after an answer that ended as it must.
-    pub(crate) fn give_back(self, answer: &HeaderMap) {
-        let inner = Rc::clone(&self.place.inner);
-        if inner.is_closed.get() || inner.is_over_limit() || self.sender.is_closed() {
+impl PooledConnection {
+    /// Returns the connection to the pool after a complete and valid reply.
+    pub(crate) fn release(self, reply_headers: &HeaderMap) {
+        let state = Rc::clone(&self.permit.state);
+        if state.is_closed.get() || state.is_over_limit() || self.sender.is_closed() {
             return;
         }
-        let usual = keep_alive(answer).map_or(DEFAULT_REST, |time| time.mul_f64(REST_SHARE));
-        let resting = inner.resting.borrow().len();
-        let rest = inner.share.get().rest(usual, resting);
-        // The place stays taken while the connection rests.
-        inner.resting.borrow_mut().push(Resting {
+        let base = keep_alive_timeout(reply_headers).map_or(DEFAULT_IDLE_TIMEOUT, |timeout| {
+            timeout.mul_f64(KEEP_ALIVE_FRACTION)
+        });
+        let idle_count = state.idle.borrow().len();
+        let idle_timeout = state.share.get().idle_timeout(base, idle_count);
+        // An idle connection keeps its permit.
+        state.idle.borrow_mut().push(IdleConnection {
             sender: self.sender,
-            usable_until: Instant::now() + rest,
-            place: self.place,
+            usable_until: Instant::now() + idle_timeout,
+            permit: self.permit,
         });
-        inner.freed.notify_one();
+        state.released.notify_one();
     }
 }
 
-/// The time for which a server keeps a resting connection, if it says so.
-fn keep_alive(answer: &HeaderMap) -> Option<Duration> {
-    let text = answer.get("keep-alive")?.to_str().ok()?;
+/// The idle timeout that the server announces in the `keep-alive` header.
+fn keep_alive_timeout(reply_headers: &HeaderMap) -> Option<Duration> {
+    let text = reply_headers.get("keep-alive")?.to_str().ok()?;
     let parts = text.split(',').map(str::trim);
     let seconds = parts
         .filter_map(|part| part.split_once('='))
--- a/crates/sablehaven-gateway/src/servers/connection_share.rs
+++ b/crates/sablehaven-gateway/src/servers/connection_share.rs
@@ -1,68 +1,71 @@
-//! A gateway's part of the connections that a server takes from all callers, as a pure decision.
+//! Computes a gateway's share of the connections that a server accepts from all callers. Free of I/O.
 //!
-//! The gateways near a server send it most. Where there are fewer connections than gateways, each may
-//! have one, and keeps it only for part of the time: else all of them would hold one after a while, and
-//! the server resets what is beyond its limit.
+//! The gateways near a server send most of its requests. If there are fewer connections than gateways, each gateway may
+//! open one, but keeps it idle for a shorter time. Otherwise all of them would hold a connection after a while, and the
+//! server resets connections beyond its limit.
 
 use std::time::Duration;
 
-/// Part of a server's connections that the gateways near it share; the others share the rest.
-const NEAR_SHARE: f64 = 0.6;
-/// The same where less would leave them a single connection each.
-const LARGEST_NEAR_SHARE: f64 = 0.75;
-/// Connections that a near gateway should have: queries of one caller may overlap.
-const WANTED_NEAR: f64 = 2.0;
+/// Minimum fraction of a server's connections that the gateways near it share; the other gateways share the rest.
+const MIN_NEAR_FRACTION: f64 = 0.6;
+/// Upper bound of that fraction, used where a smaller one would leave the near gateways a single connection each.
+const MAX_NEAR_FRACTION: f64 = 0.75;
+/// Connections that a near gateway should have, because queries of one caller may overlap.
+const TARGET_NEAR_CONNECTIONS: f64 = 2.0;
 
-/// The gateways that share a server's connections.
+/// The number of gateways that share a server's connections, by distance from the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct SharerCount {
+pub(super) struct GatewayCounts {
     pub(super) near: u32,
     pub(super) far: u32,
 }
 
-/// A gateway's part of a server's connections.
+/// A gateway's share of a server's connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ConnectionShare {
-    /// Connections that may be open at a time.
+    /// Connections that may be open at the same time.
     pub(super) limit: usize,
-    /// Part of the usual time, 0 to 1, for which an idle connection is kept.
-    pub(super) kept: f64,
+    /// Factor on the idle timeout, 0 to 1.
+    pub(super) idle_fraction: f64,
 }
 
 impl ConnectionShare {
-    /// How long a connection is kept idle beside `resting` others that are.
+    /// The idle timeout of a connection beside `idle_count` other idle ones, where `base` applies without sharing.
     ///
-    /// Those that only a rare overlap needs go soon: a gateway that loses its power leaves its connections
-    /// open at the servers, and where these are near their limit nobody finds room until they notice.
-    pub(super) fn rest(self, usual: Duration, resting: usize) -> Duration {
-        let others = 1.0 + resting as f64;
-        usual.mul_f64(self.kept / (others * others))
+    /// Connections that are needed only when requests overlap, which is rare, expire sooner. A gateway that loses power
+    /// leaves its connections open at the servers. If a server is near its connection limit, no gateway can open a new
+    /// one until the server notices.
+    pub(super) fn idle_timeout(self, base: Duration, idle_count: usize) -> Duration {
+        let rank = 1.0 + idle_count as f64;
+        base.mul_f64(self.idle_fraction / (rank * rank))
     }
 }
 
-/// The part of one gateway, near the server or not, of `whole` connections. More than the requests that the
-/// server works on at once would only fill its queue, and each costs memory here.
+/// The share of one gateway, near the server or not, in `total` connections. It is at most `slots`, the number of
+/// requests that the server processes concurrently: more connections would only fill the server's queue, and each
+/// costs memory in the gateway.
 pub(super) fn connection_share(
-    whole: u32,
+    total: u32,
     slots: u32,
-    sharers: SharerCount,
+    gateways: GatewayCounts,
     is_near: bool,
 ) -> ConnectionShare {
-    let whole = f64::from(whole);
-    let near = f64::from(sharers.near.max(1));
-    let far = f64::from(sharers.far.max(1));
-    let near_share = (WANTED_NEAR * near / whole.max(1.0)).clamp(NEAR_SHARE, LARGEST_NEAR_SHARE);
-    let fair = if is_near {
-        whole * near_share / near
+    let total = f64::from(total);
+    let near = f64::from(gateways.near.max(1));
+    let far = f64::from(gateways.far.max(1));
+    let near_fraction = (TARGET_NEAR_CONNECTIONS * near / total.max(1.0))
+        .clamp(MIN_NEAR_FRACTION, MAX_NEAR_FRACTION);
+    let fair_share = if is_near {
+        total * near_fraction / near
     } else {
-        whole * (1.0 - near_share) / far
+        total * (1.0 - near_fraction) / far
     };
-    // To the nearest: a single connection holds up requests that overlap. What that is too much is made
-    // up for by the time for which idle ones are kept.
-    let limit = (fair.round() as usize).min(slots as usize).max(1);
+    // Rounded to the nearest integer rather than down, because overlapping requests wait for each other on a single
+    // connection. A shorter idle timeout makes up for the excess.
+    let limit = (fair_share.round() as usize).min(slots as usize).max(1);
     ConnectionShare {
         limit,
-        kept: (fair / limit as f64).min(1.0),
+        idle_fraction: (fair_share / limit as f64).min(1.0),
     }
 }
 
--- a/crates/sablehaven-gateway/src/servers/failure_rate/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/failure_rate/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the running rate of failures.
+//! Tests of the failure rate.
 
 use std::time::Duration;
 
@@ -9,36 +9,36 @@
 }
 
 #[test]
-fn a_server_that_fails_two_in_five_has_about_that_rate() {
+fn the_rate_approximates_two_failures_in_five() {
     let mut rate = FailureRate::default();
     let mut sum = 0.0;
     for request in 0..100 {
-        let failed = if request % 5 < 2 { 1.0 } else { 0.0 };
-        rate.record(ms(request), failed);
+        let failure = if request % 5 < 2 { 1.0 } else { 0.0 };
+        rate.record(ms(request), failure);
         if request >= 50 {
-            sum += rate.now(ms(request));
+            sum += rate.at(ms(request));
         }
     }
-    // Over whole cycles, since the rate follows its latest endings.
+    // Averaged over whole cycles, because the rate follows the latest outcomes.
     let mean = sum / 50.0;
     assert!((0.35..0.45).contains(&mean), "{mean}");
 }
 
 #[test]
-fn a_failure_is_forgotten_in_seconds() {
+fn the_rate_decays_within_seconds() {
     let mut rate = FailureRate::default();
     rate.record(ms(0), 1.0);
-    let first = rate.now(ms(0));
-    assert!(first > 0.15);
-    assert!(rate.now(ms(12_000)) < first / 7.0);
-    assert!(rate.now(ms(20_000)) < 0.05);
+    let initial = rate.at(ms(0));
+    assert!(initial > 0.15);
+    assert!(rate.at(ms(12_000)) < initial / 7.0);
+    assert!(rate.at(ms(20_000)) < 0.05);
 }
 
 #[test]
-fn a_server_that_turns_two_requests_away_in_a_row_is_worth_leaving_the_region() {
+fn two_failures_in_a_row_outweigh_the_cost_of_another_region() {
     let mut rate = FailureRate::default();
     rate.record(ms(0), 1.0);
     rate.record(ms(200), 1.0);
-    // At 250 ms a failure this is more than the way to another region and back, connecting included.
-    assert!(rate.now(ms(200)) > 0.6);
+    // At a cost of 250 ms per failure, this exceeds the round trip to another region, including the connect time.
+    assert!(rate.at(ms(200)) > 0.6);
 }
--- a/crates/sablehaven-gateway/src/servers/health.rs
+++ b/crates/sablehaven-gateway/src/servers/health.rs
@@ -1,305 +1,318 @@
-//! What a gateway has seen of one server, without sockets: how slow it is, whether it stands still,
-//! and whether it is left alone for a while.
+//! Tracks the health of one server as this gateway sees it: its latency, its failures, whether it is stalled and whether
+//! it is in backoff. Free of I/O.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::failure_rate::FailureRate;
 
-/// Weight of one new answer in the running slowness.
-const SLOWNESS_WEIGHT: f64 = 0.25;
-/// The same of one that took much longer than the other parts of its query, whose work is the same.
+/// Weight of a new reply in the moving average of the latency ratio.
+const LATENCY_WEIGHT: f64 = 0.25;
+/// Weight of a reply that took much longer than the other parts of its query, whose work is the same.
 const OUTLIER_WEIGHT: f64 = 0.5;
-/// So many times longer is much longer.
+/// A part is an outlier if its latency exceeds the median of its query by this factor.
 const OUTLIER_RATIO: f64 = 1.5;
-/// Time after which half of a server's slowness is forgotten when nothing is heard of it: it must be
-/// tried again, or a server that was slow once would be avoided for ever.
-const FORGETTING_HALF_LIFE: Duration = Duration::from_millis(1_500);
-/// How often that time is doubled for a server that was slow again each time it was tried: a query over
-/// many shards would else try some slow server every time.
-const MOST_DOUBLINGS: u32 = 2;
-/// The least time that others are taken to have needed, in seconds.
-const LEAST_REFERENCE_S: f64 = 1e-4;
-/// The greatest slowness that is told apart.
-const MAXIMUM_SLOWNESS: f64 = 20.0;
-/// The first rest of a server that failed; doubled at each further failure.
-const FIRST_REST: Duration = Duration::from_millis(300);
-/// The longest rest.
-const LONGEST_REST: Duration = Duration::from_secs(2);
-/// Failures in a row that send a server to rest.
-const FAILURES_TO_REST: u32 = 2;
-/// A silence of this many typical times means that a server stands still.
-const STILL_RATIO: f64 = 2.0;
-/// A server stands still only after a silence of this at least.
-const LEAST_STILL: Duration = Duration::from_millis(12);
+/// Half-life of a server's latency ratio while it sends no replies. The ratio decays towards 1 so that the server is tried
+/// again; otherwise a server that was slow once would be avoided forever.
+const LATENCY_HALF_LIFE: Duration = Duration::from_millis(1_500);
+/// How often the half-life is doubled for a server that was slow again each time it was tried. Otherwise a query over many
+/// shards would try some slow server every time.
+const MAX_HALF_LIFE_DOUBLINGS: u32 = 2;
+/// Lower bound of the time that a latency is compared with, in seconds.
+const MIN_REFERENCE_SECONDS: f64 = 1e-4;
+/// Upper bound of the latency ratio.
+const MAX_LATENCY_RATIO: f64 = 20.0;
+/// The first backoff of a server that failed; doubled at each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
+/// Upper bound of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Consecutive failures that put a server in backoff.
+const FAILURES_BEFORE_BACKOFF: u32 = 2;
+/// A server is stalled after this many expected latencies without a reply.
+const STALL_RATIO: f64 = 2.0;
+/// Lower bound of the time without a reply after which a server is stalled.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(12);
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ending {
-    /// The server answered the request.
-    Answered,
-    /// The server answered that it failed.
-    ServerFailed,
-    /// The server is full: it turned the request away.
-    TurnedAway,
-    /// The connection failed, or what came was no answer.
-    Failed,
-    /// Nothing came in all the time that there was.
-    Silent,
-    /// The attempt was not needed any more.
+pub(crate) enum AttemptOutcome {
+    /// The server replied with success.
+    Succeeded,
+    /// The server replied with an error.
+    ErrorReply,
+    /// The server rejected the request because it is at capacity.
+    Rejected,
+    /// The connection failed or the reply was invalid.
+    TransportFailed,
+    /// The attempt was cancelled after a long time without a reply.
+    TimedOut,
+    /// The attempt was no longer needed.
     Cancelled,
 }
 
-impl Ending {
-    /// The name that metrics use.
-    pub(crate) fn name(self) -> &'static str {
+impl AttemptOutcome {
+    /// The label value in metrics.
+    pub(crate) fn metric_label(self) -> &'static str {
         match self {
-            Self::Answered => "answered",
-            Self::ServerFailed => "server_failed",
-            Self::TurnedAway => "turned_away",
-            Self::Failed => "failed",
-            Self::Silent => "silent",
+            Self::Succeeded => "answered",
+            Self::ErrorReply => "server_failed",
+            Self::Rejected => "turned_away",
+            Self::TransportFailed => "failed",
+            Self::TimedOut => "silent",
             Self::Cancelled => "cancelled",
         }
     }
 
-    /// How far the server failed the request, 0 to 1; `None` when nothing was learned of that.
-    fn failed(self) -> Option<f64> {
+    /// 1 if the server failed the request, 0 if it did not, `None` if the outcome says nothing about the server.
+    fn failure(self) -> Option<f64> {
         match self {
-            Self::Answered => Some(0.0),
-            Self::ServerFailed | Self::Failed | Self::Silent | Self::TurnedAway => Some(1.0),
+            Self::Succeeded => Some(0.0),
+            Self::ErrorReply | Self::TransportFailed | Self::TimedOut | Self::Rejected => Some(1.0),
             Self::Cancelled => None,
         }
     }
 }
 
-/// An attempt under way.
+/// An attempt in progress.
 #[derive(Clone, Copy, Debug)]
 struct Outstanding {
     sent_at: Duration,
-    /// What this request usually takes at a server, with the way there.
+    /// The typical time of this request at a server plus the network round trip.
     expected: Duration,
 }
 
-/// Names a kind of request: those of one route.
+/// Identifies a route. The requests of one route count as one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RouteId(pub(crate) usize);
 
-/// What an attempt took, and what it is to be measured against; both without the way there.
+/// The time that a server took for an attempt and what it is compared with, all without the network round trip.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Taken {
-    pub(crate) taken: Duration,
-    /// What the request usually takes at any server.
-    pub(crate) usual: Duration,
-    /// What the other parts of the same query took, where they are known.
-    pub(crate) pace: Option<Duration>,
+pub(crate) struct AttemptTiming {
+    /// Time at the server; for a cancelled attempt, until it was cancelled.
+    pub(crate) server_time: Duration,
+    /// The typical time of the request, over all servers.
+    pub(crate) typical: Duration,
+    /// The median time of the other parts of the same query, if enough of them have ended.
+    pub(crate) query_median: Option<Duration>,
 }
 
-impl Taken {
-    /// How many times the reference it took.
+impl AttemptTiming {
+    /// The time at the server as a multiple of `reference`.
     fn ratio(&self, reference: Duration) -> f64 {
-        self.taken.as_secs_f64() / reference.as_secs_f64().max(LEAST_REFERENCE_S)
+        self.server_time.as_secs_f64() / reference.as_secs_f64().max(MIN_REFERENCE_SECONDS)
     }
 
-    /// Whether it took much longer than the other parts of its query, whose work is the same.
+    /// Whether the attempt took much longer than the other parts of its query, whose work is the same.
     fn is_outlier(&self) -> bool {
-        self.pace
-            .is_some_and(|pace| self.ratio(pace) > OUTLIER_RATIO)
+        self.query_median
+            .is_some_and(|query_median| self.ratio(query_median) > OUTLIER_RATIO)
     }
 }
 
-/// What answers take, relative to what is usual for their kind of request; 1 is usual.
+/// Moving average of the latency of replies, relative to the typical latency of their routes; 1 is typical.
 #[derive(Clone, Copy, Debug)]
-struct Slowness {
+struct LatencyRatio {
     ratio: f64,
-    at: Duration,
-    /// Time after which half of it is forgotten.
+    updated_at: Duration,
+    /// Half-life of the difference from 1.
     half_life: Duration,
 }
 
-impl Slowness {
-    /// What is long ago is half forgotten.
-    fn now(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
-        let kept = 0.5_f64.powf(age / self.half_life.as_secs_f64());
-        1.0 + (self.ratio - 1.0) * kept
+impl LatencyRatio {
+    /// The ratio at `now`, decayed towards 1 since the last update.
+    fn at(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        let remaining_fraction = 0.5_f64.powf(age / self.half_life.as_secs_f64());
+        1.0 + (self.ratio - 1.0) * remaining_fraction
     }
 }
 
-/// What a gateway has seen of one server. Times are any steady time.
+/// The health of one server as this gateway sees it. All times are of one monotonic clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerHealth {
-    slowness: Option<Slowness>,
+    latency_ratio: Option<LatencyRatio>,
     outstanding: BTreeMap<u64, Outstanding>,
-    next_attempt: u64,
-    last_answer: Duration,
-    failures: u32,
-    rests_until: Duration,
-    /// Whether an attempt takes longer than it should; until the next answer.
+    last_attempt_number: u64,
+    last_reply_at: Duration,
+    /// Consecutive failures; a timeout counts as [`FAILURES_BEFORE_BACKOFF`] of them.
+    consecutive_failures: u32,
+    backoff_until: Duration,
+    /// Whether an attempt takes longer than expected; reset by the next reply.
     is_suspected: bool,
-    slow_tries: SlowTries,
+    slow_streak: SlowStreak,
     failure_rate: FailureRate,
 }
 
-/// Tries in a row that found the server much slower than the others.
+/// Consecutive attempts that found the server much slower than the others.
 #[derive(Clone, Copy, Debug, Default)]
-struct SlowTries {
+struct SlowStreak {
     count: u32,
-    last_at: Duration,
+    last_end: Duration,
 }
 
-impl SlowTries {
-    /// Counts a try that was sent at `sent_at` and ends now. Tries that were sent before the one before
-    /// them ended are one: a server that stood still for a moment answers all of them late.
+impl SlowStreak {
+    /// Counts an attempt that was sent at `sent_at` and ends now. Attempts that were sent before the previous slow one
+    /// ended count as one with it, because a server that stalled for a moment replies late to all of them.
     fn count(&mut self, now: Duration, sent_at: Duration, was_slow: bool) {
         if !was_slow {
             self.count = 0;
             return;
         }
-        if self.count == 0 || sent_at >= self.last_at {
+        if self.count == 0 || sent_at >= self.last_end {
             self.count = self.count.saturating_add(1);
         }
-        self.last_at = now;
+        self.last_end = now;
     }
 
     fn half_life(&self) -> Duration {
-        let doublings = self.count.saturating_sub(1).min(MOST_DOUBLINGS);
-        FORGETTING_HALF_LIFE * 2_u32.pow(doublings)
+        let doublings = self.count.saturating_sub(1).min(MAX_HALF_LIFE_DOUBLINGS);
+        LATENCY_HALF_LIFE * 2_u32.pow(doublings)
     }
 }
 
 impl ServerHealth {
-    /// An attempt is sent; its number is given back to [`Self::ended`].
-    pub(crate) fn sent(&mut self, now: Duration, expected: Duration) -> u64 {
-        self.next_attempt += 1;
+    /// Records that an attempt is sent. Returns its number for [`Self::record_end`].
+    pub(crate) fn record_sent(&mut self, now: Duration, expected: Duration) -> u64 {
+        self.last_attempt_number += 1;
         let outstanding = Outstanding {
             sent_at: now,
             expected,
         };
-        self.outstanding.insert(self.next_attempt, outstanding);
-        self.next_attempt
+        self.outstanding
+            .insert(self.last_attempt_number, outstanding);
+        self.last_attempt_number
     }
 
-    /// An attempt has ended.
-    pub(crate) fn ended(&mut self, now: Duration, attempt: u64, ending: Ending, taken: &Taken) {
-        let ended = self.outstanding.remove(&attempt);
+    /// Records the end of an attempt.
+    pub(crate) fn record_end(
+        &mut self,
+        now: Duration,
+        attempt_number: u64,
+        outcome: AttemptOutcome,
+        timing: &AttemptTiming,
+    ) {
+        let ended = self.outstanding.remove(&attempt_number);
         let sent_at = ended.map_or(now, |ended| ended.sent_at);
-        if let Some(failed) = ending.failed() {
-            self.failure_rate.record(now, failed);
+        if let Some(failure) = outcome.failure() {
+            self.failure_rate.record(now, failure);
         }
-        match ending {
-            Ending::Answered => {
-                self.last_answer = now;
+        match outcome {
+            AttemptOutcome::Succeeded => {
+                self.last_reply_at = now;
                 self.is_suspected = false;
-                self.failures = 0;
-                self.rests_until = Duration::ZERO;
-                self.learn_answer(now, sent_at, taken);
+                self.consecutive_failures = 0;
+                self.backoff_until = Duration::ZERO;
+                self.record_reply(now, sent_at, timing);
             }
-            Ending::ServerFailed => {
-                self.last_answer = now;
+            AttemptOutcome::ErrorReply => {
+                self.last_reply_at = now;
                 self.is_suspected = false;
             }
-            Ending::TurnedAway => {
-                self.last_answer = now;
+            AttemptOutcome::Rejected => {
+                self.last_reply_at = now;
                 self.is_suspected = false;
-                let slowness = self.slowness(now) + 2.0;
-                self.learn(now, slowness, SLOWNESS_WEIGHT);
+                let latency_ratio = self.latency_ratio(now) + 2.0;
+                self.update_latency_ratio(now, latency_ratio, LATENCY_WEIGHT);
             }
-            Ending::Failed => self.fail(now, 1),
-            Ending::Silent => self.fail(now, FAILURES_TO_REST),
-            Ending::Cancelled => self.learn_at_least(now, sent_at, taken),
+            AttemptOutcome::TransportFailed => self.record_failure(now, 1),
+            AttemptOutcome::TimedOut => self.record_failure(now, FAILURES_BEFORE_BACKOFF),
+            AttemptOutcome::Cancelled => self.record_cancellation(now, sent_at, timing),
         }
     }
 
-    /// Measured against the usual, so that a queue at all servers shows too. That it takes longer than
-    /// the other parts of the same query is the server's own doing and is believed sooner.
-    fn learn_answer(&mut self, now: Duration, sent_at: Duration, taken: &Taken) {
-        let is_outlier = taken.is_outlier();
-        self.slow_tries.count(now, sent_at, is_outlier);
+    /// Updates the latency ratio from a successful reply. It is relative to the typical time, so that queueing at all
+    /// servers shows too. If the reply took longer than the other parts of the same query, the cause is this server, so
+    /// the reply gets a higher weight.
+    fn record_reply(&mut self, now: Duration, sent_at: Duration, timing: &AttemptTiming) {
+        let is_outlier = timing.is_outlier();
+        self.slow_streak.count(now, sent_at, is_outlier);
         let weight = if is_outlier {
             OUTLIER_WEIGHT
         } else {
-            SLOWNESS_WEIGHT
+            LATENCY_WEIGHT
         };
-        self.learn(now, taken.ratio(taken.usual), weight);
+        self.update_latency_ratio(now, timing.ratio(timing.typical), weight);
     }
 
-    /// An attempt that was cancelled tells what an answer would have taken at the least; that is news
-    /// only of a server that is slower than was known.
-    fn learn_at_least(&mut self, now: Duration, sent_at: Duration, taken: &Taken) {
-        let ratio = taken.ratio(taken.usual);
-        if !taken.is_outlier() || ratio <= self.slowness(now) {
+    /// Updates the latency ratio from a cancelled attempt. Its duration is a lower bound of the latency, so it is used
+    /// only if it shows that the server is slower than known.
+    fn record_cancellation(&mut self, now: Duration, sent_at: Duration, timing: &AttemptTiming) {
+        let ratio = timing.ratio(timing.typical);
+        if !timing.is_outlier() || ratio <= self.latency_ratio(now) {
             return;
         }
-        self.slow_tries.count(now, sent_at, true);
-        self.learn(now, ratio, OUTLIER_WEIGHT);
+        self.slow_streak.count(now, sent_at, true);
+        self.update_latency_ratio(now, ratio, OUTLIER_WEIGHT);
     }
 
-    fn learn(&mut self, now: Duration, slowness: f64, weight: f64) {
-        let known = self.slowness(now);
-        let slowness = slowness.min(MAXIMUM_SLOWNESS);
-        let ratio = known + weight * (slowness - known);
-        self.slowness = Some(Slowness {
+    fn update_latency_ratio(&mut self, now: Duration, latency_ratio: f64, weight: f64) {
+        let current = self.latency_ratio(now);
+        let latency_ratio = latency_ratio.min(MAX_LATENCY_RATIO);
+        let ratio = current + weight * (latency_ratio - current);
+        self.latency_ratio = Some(LatencyRatio {
             ratio,
-            at: now,
-            half_life: self.slow_tries.half_life(),
+            updated_at: now,
+            half_life: self.slow_streak.half_life(),
         });
     }
 
-    fn fail(&mut self, now: Duration, weight: u32) {
-        self.failures = self.failures.saturating_add(weight);
-        if self.failures < FAILURES_TO_REST {
+    fn record_failure(&mut self, now: Duration, weight: u32) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(weight);
+        if self.consecutive_failures < FAILURES_BEFORE_BACKOFF {
             return;
         }
-        let doublings = (self.failures - FAILURES_TO_REST).min(4);
-        let rest = (FIRST_REST * 2_u32.pow(doublings)).min(LONGEST_REST);
-        self.rests_until = now + rest;
+        let doublings = (self.consecutive_failures - FAILURES_BEFORE_BACKOFF).min(4);
+        let backoff = (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF);
+        self.backoff_until = now + backoff;
     }
 
-    /// What answers take, relative to the usual.
-    pub(crate) fn slowness(&self, now: Duration) -> f64 {
-        self.slowness.map_or(1.0, |known| known.now(now))
+    /// Latency of replies relative to the typical latency; 1 is typical.
+    pub(crate) fn latency_ratio(&self, now: Duration) -> f64 {
+        self.latency_ratio.map_or(1.0, |current| current.at(now))
     }
 
-    /// How likely the server is to fail a request, 0 to 1.
+    /// Probability that the server fails a request, 0 to 1.
     pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
-        self.failure_rate.now(now)
+        self.failure_rate.at(now)
     }
 
-    /// Whether the server is left alone after failures.
-    pub(crate) fn is_resting(&self, now: Duration) -> bool {
-        now < self.rests_until
+    /// Whether the server is in backoff after failures.
+    pub(crate) fn is_in_backoff(&self, now: Duration) -> bool {
+        now < self.backoff_until
     }
 
-    /// Whether the latest attempt that told anything of the server failed.
-    pub(crate) fn has_failed_last(&self) -> bool {
-        self.failures > 0
+    /// Whether an attempt has failed at the transport or timed out since the last successful reply.
+    pub(crate) fn has_failed_since_success(&self) -> bool {
+        self.consecutive_failures > 0
     }
 
-    /// Attempts under way.
+    /// The number of attempts in progress.
     pub(crate) fn outstanding(&self) -> usize {
         self.outstanding.len()
     }
 
-    /// When the server will count as standing still, if nothing comes before: it owes answers and
-    /// has given none since the oldest of them was asked for, for longer than it should need.
+    /// When the server counts as stalled if no reply arrives before; `None` if it owes no replies. A server is stalled if
+    /// it owes replies and has sent none, since the oldest of these requests was sent, for longer than expected.
     pub(crate) fn stalls_at(&self, now: Duration) -> Option<Duration> {
-        let oldest = self.outstanding.values().min_by_key(|each| each.sent_at)?;
-        let heard_at = self.last_answer.max(oldest.sent_at);
-        let slowness = self.slowness(now).clamp(1.0, 3.0);
-        let patience = oldest
+        let oldest = self
+            .outstanding
+            .values()
+            .min_by_key(|attempt| attempt.sent_at)?;
+        let last_progress_at = self.last_reply_at.max(oldest.sent_at);
+        let latency_ratio = self.latency_ratio(now).clamp(1.0, 3.0);
+        let stall_timeout = oldest
             .expected
-            .mul_f64(STILL_RATIO * slowness)
-            .max(LEAST_STILL);
-        Some(heard_at + patience)
+            .mul_f64(STALL_RATIO * latency_ratio)
+            .max(MIN_STALL_TIMEOUT);
+        Some(last_progress_at + stall_timeout)
     }
 
-    /// An attempt takes longer than it should: the server stands still until it answers something.
+    /// Marks the server as stalled until its next reply, because an attempt takes longer than expected.
     pub(crate) fn mark_suspected(&mut self) {
         self.is_suspected = true;
     }
 
-    /// Whether the server stands still.
-    pub(crate) fn stands_still(&self, now: Duration) -> bool {
+    /// Whether the server is stalled.
+    pub(crate) fn is_stalled(&self, now: Duration) -> bool {
         let is_suspected = self.is_suspected && !self.outstanding.is_empty();
         is_suspected || self.stalls_at(now).is_some_and(|at| at <= now)
     }
--- a/crates/sablehaven-gateway/src/servers/health/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/health/tests.rs
@@ -1,207 +1,237 @@
-//! Tests of what is concluded from answers, silence and failures.
+//! Tests of the conclusions from replies, missing replies and failures.
 
 use std::time::Duration;
 
-use super::{Ending, ServerHealth, Taken};
+use super::{AttemptOutcome, AttemptTiming, ServerHealth};
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-fn took(milliseconds: u64) -> Taken {
-    Taken {
-        taken: ms(milliseconds),
-        usual: ms(20),
-        pace: None,
+fn timing(milliseconds: u64) -> AttemptTiming {
+    AttemptTiming {
+        server_time: ms(milliseconds),
+        typical: ms(20),
+        query_median: None,
     }
 }
 
-fn answer(health: &mut ServerHealth, at: u64, taken: u64) {
-    let attempt = health.sent(ms(at), ms(20));
-    health.ended(ms(at + taken), attempt, Ending::Answered, &took(taken));
+fn reply(health: &mut ServerHealth, at: u64, latency_ms: u64) {
+    let attempt = health.record_sent(ms(at), ms(20));
+    health.record_end(
+        ms(at + latency_ms),
+        attempt,
+        AttemptOutcome::Succeeded,
+        &timing(latency_ms),
+    );
 }
 
 #[test]
-fn a_server_that_owes_answers_and_gives_none_stands_still() {
+fn a_server_that_owes_replies_and_sends_none_is_stalled() {
     let mut health = ServerHealth::default();
-    let first = health.sent(ms(0), ms(20));
-    assert!(!health.stands_still(ms(39)));
-    assert!(health.stands_still(ms(40)));
-    health.ended(ms(300), first, Ending::Answered, &took(300));
-    assert!(!health.stands_still(ms(300)));
+    let first = health.record_sent(ms(0), ms(20));
+    assert!(!health.is_stalled(ms(39)));
+    assert!(health.is_stalled(ms(40)));
+    health.record_end(ms(300), first, AttemptOutcome::Succeeded, &timing(300));
+    assert!(!health.is_stalled(ms(300)));
 }
 
 #[test]
-fn one_long_request_does_not_make_a_server_that_answers_others_stand_still() {
+fn a_server_that_replies_to_other_requests_is_not_stalled_by_one_long_request() {
     let mut health = ServerHealth::default();
-    health.sent(ms(0), ms(20));
+    health.record_sent(ms(0), ms(20));
     for at in (0..200).step_by(25) {
-        answer(&mut health, at, 20);
-        assert!(!health.stands_still(ms(at + 45)));
+        reply(&mut health, at, 20);
+        assert!(!health.is_stalled(ms(at + 45)));
     }
 }
 
 #[test]
-fn slowness_is_learned_in_a_few_answers_and_forgotten_in_seconds() {
+fn the_latency_ratio_rises_within_a_few_replies_and_decays_within_seconds() {
     let mut health = ServerHealth::default();
     for step in 0..8 {
-        answer(&mut health, step * 200, 160);
+        reply(&mut health, step * 200, 160);
     }
-    assert!(health.slowness(ms(1_600)) > 5.0);
-    assert!(health.slowness(ms(9_000)) < 1.5);
+    assert!(health.latency_ratio(ms(1_600)) > 5.0);
+    assert!(health.latency_ratio(ms(9_000)) < 1.5);
 }
 
 #[test]
-fn failures_in_a_row_send_a_server_to_rest_for_longer_each_time() {
+fn consecutive_failures_double_the_backoff() {
     let mut health = ServerHealth::default();
     let mut fail = |at: u64| {
-        let attempt = health.sent(ms(at), ms(20));
-        health.ended(ms(at), attempt, Ending::Failed, &took(0));
+        let attempt = health.record_sent(ms(at), ms(20));
+        health.record_end(ms(at), attempt, AttemptOutcome::TransportFailed, &timing(0));
         health.clone()
     };
-    assert!(!fail(0).is_resting(ms(1)));
-    assert!(fail(10).is_resting(ms(300)));
-    assert!(!fail(1_000).is_resting(ms(1_700)));
-    assert!(fail(2_000).is_resting(ms(3_100)));
-    answer(&mut health, 3_200, 20);
-    assert!(!health.is_resting(ms(3_221)));
+    assert!(!fail(0).is_in_backoff(ms(1)));
+    assert!(fail(10).is_in_backoff(ms(300)));
+    assert!(!fail(1_000).is_in_backoff(ms(1_700)));
+    assert!(fail(2_000).is_in_backoff(ms(3_100)));
+    reply(&mut health, 3_200, 20);
+    assert!(!health.is_in_backoff(ms(3_221)));
 }
 
 #[test]
-fn a_cancelled_attempt_says_nothing_against_the_server() {
+fn cancelled_attempts_do_not_cause_a_backoff() {
     let mut health = ServerHealth::default();
     for at in 0..10 {
-        let attempt = health.sent(ms(at), ms(20));
-        health.ended(ms(at), attempt, Ending::Cancelled, &took(0));
+        let attempt = health.record_sent(ms(at), ms(20));
+        health.record_end(ms(at), attempt, AttemptOutcome::Cancelled, &timing(0));
     }
-    assert!(!health.is_resting(ms(10)));
+    assert!(!health.is_in_backoff(ms(10)));
     assert_eq!(health.outstanding(), 0);
 }
 
 #[test]
-fn a_suspected_server_stands_still_until_it_answers_or_owes_nothing() {
+fn a_suspected_server_is_stalled_until_it_replies_or_owes_no_reply() {
     let mut health = ServerHealth::default();
-    let first = health.sent(ms(0), ms(20));
+    let first = health.record_sent(ms(0), ms(20));
     health.mark_suspected();
-    assert!(health.stands_still(ms(1)));
-    health.ended(ms(5), first, Ending::Cancelled, &took(0));
-    assert!(!health.stands_still(ms(6)));
-    health.sent(ms(10), ms(20));
-    assert!(health.stands_still(ms(11)));
-    answer(&mut health, 12, 5);
-    assert!(!health.stands_still(ms(18)));
+    assert!(health.is_stalled(ms(1)));
+    health.record_end(ms(5), first, AttemptOutcome::Cancelled, &timing(0));
+    assert!(!health.is_stalled(ms(6)));
+    health.record_sent(ms(10), ms(20));
+    assert!(health.is_stalled(ms(11)));
+    reply(&mut health, 12, 5);
+    assert!(!health.is_stalled(ms(18)));
 }
 
 #[test]
-fn the_other_parts_of_a_query_tell_sooner_that_a_server_is_slow() {
+fn outliers_of_a_query_raise_the_latency_ratio_faster() {
     let mut health = ServerHealth::default();
-    let paced = |taken| Taken {
-        pace: Some(ms(20)),
-        ..took(taken)
+    let with_median = |latency_ms| AttemptTiming {
+        query_median: Some(ms(20)),
+        ..timing(latency_ms)
     };
     for at in [0, 200] {
-        let attempt = health.sent(ms(at), ms(20));
-        health.ended(ms(at + 160), attempt, Ending::Answered, &paced(160));
+        let attempt = health.record_sent(ms(at), ms(20));
+        health.record_end(
+            ms(at + 160),
+            attempt,
+            AttemptOutcome::Succeeded,
+            &with_median(160),
+        );
     }
-    assert!(health.slowness(ms(360)) > 5.5);
+    assert!(health.latency_ratio(ms(360)) > 5.5);
 }
 
 #[test]
-fn a_queue_at_all_servers_shows_although_no_part_is_slower_than_the_others() {
+fn queueing_at_all_servers_raises_the_latency_ratio() {
     let mut health = ServerHealth::default();
-    let queued = Taken {
-        pace: Some(ms(80)),
-        ..took(80)
+    let queued = AttemptTiming {
+        query_median: Some(ms(80)),
+        ..timing(80)
     };
     for at in 0..8 {
-        let attempt = health.sent(ms(at * 50), ms(20));
-        health.ended(ms(at * 50 + 80), attempt, Ending::Answered, &queued);
+        let attempt = health.record_sent(ms(at * 50), ms(20));
+        health.record_end(
+            ms(at * 50 + 80),
+            attempt,
+            AttemptOutcome::Succeeded,
+            &queued,
+        );
     }
-    assert!(health.slowness(ms(430)) > 3.0);
+    assert!(health.latency_ratio(ms(430)) > 3.0);
 }
 
 #[test]
-fn each_answer_counts_against_what_is_usual_for_its_kind() {
+fn each_reply_is_compared_with_the_typical_time_of_its_route() {
     let mut health = ServerHealth::default();
     for at in 0..8 {
-        answer(&mut health, at * 100, 20);
-        let long = Taken {
-            usual: ms(200),
-            ..took(200)
+        reply(&mut health, at * 100, 20);
+        let long = AttemptTiming {
+            typical: ms(200),
+            ..timing(200)
         };
-        let attempt = health.sent(ms(at * 100), ms(200));
-        health.ended(ms(at * 100 + 50), attempt, Ending::Answered, &long);
+        let attempt = health.record_sent(ms(at * 100), ms(200));
+        health.record_end(ms(at * 100 + 50), attempt, AttemptOutcome::Succeeded, &long);
     }
-    assert!((health.slowness(ms(800)) - 1.0).abs() < 0.1);
+    assert!((health.latency_ratio(ms(800)) - 1.0).abs() < 0.1);
 }
 
-/// An answer that took longer than the other parts of its query.
-fn slow_answer(health: &mut ServerHealth, at: u64, taken: u64) {
-    let attempt = health.sent(ms(at), ms(20));
-    health.ended(ms(at + taken), attempt, Ending::Answered, &slow_took(taken));
+/// A reply that took longer than the other parts of its query.
+fn slow_reply(health: &mut ServerHealth, at: u64, latency_ms: u64) {
+    let attempt = health.record_sent(ms(at), ms(20));
+    health.record_end(
+        ms(at + latency_ms),
+        attempt,
+        AttemptOutcome::Succeeded,
+        &slow_timing(latency_ms),
+    );
 }
 
-fn slow_took(taken: u64) -> Taken {
-    Taken {
-        pace: Some(ms(20)),
-        ..took(taken)
+fn slow_timing(latency_ms: u64) -> AttemptTiming {
+    AttemptTiming {
+        query_median: Some(ms(20)),
+        ..timing(latency_ms)
     }
 }
 
 #[test]
-fn a_server_that_is_slow_at_each_try_is_tried_less_and_less_often() {
+fn the_latency_ratio_of_a_repeatedly_slow_server_decays_more_slowly() {
     let mut health = ServerHealth::default();
-    slow_answer(&mut health, 0, 160);
-    let once = health.slowness(ms(3_160));
-    slow_answer(&mut health, 3_160, 160);
-    slow_answer(&mut health, 6_320, 160);
-    let again = health.slowness(ms(6_480 + 3_000));
-    assert!(once < 2.0, "{once}");
-    assert!(again > 3.5, "{again}");
+    slow_reply(&mut health, 0, 160);
+    let after_one = health.latency_ratio(ms(3_160));
+    slow_reply(&mut health, 3_160, 160);
+    slow_reply(&mut health, 6_320, 160);
+    let after_three = health.latency_ratio(ms(6_480 + 3_000));
+    assert!(after_one < 2.0, "{after_one}");
+    assert!(after_three > 3.5, "{after_three}");
 }
 
 #[test]
-fn a_server_that_stood_still_for_a_moment_was_slow_once() {
+fn a_momentary_stall_counts_as_one_slow_attempt() {
     let mut health = ServerHealth::default();
     let attempts: Vec<u64> = (0..4)
-        .map(|step| health.sent(ms(step * 70), ms(20)))
+        .map(|step| health.record_sent(ms(step * 70), ms(20)))
         .collect();
     for (step, attempt) in attempts.into_iter().enumerate() {
-        let taken = 300 - 70 * step as u64;
-        health.ended(ms(300), attempt, Ending::Answered, &slow_took(taken));
+        let latency_ms = 300 - 70 * step as u64;
+        health.record_end(
+            ms(300),
+            attempt,
+            AttemptOutcome::Succeeded,
+            &slow_timing(latency_ms),
+        );
     }
-    let soon = health.slowness(ms(300));
-    let later = health.slowness(ms(1_800));
+    let soon = health.latency_ratio(ms(300));
+    let later = health.latency_ratio(ms(1_800));
     assert!(
         (later - 1.0) < 0.51 * (soon - 1.0),
-        "{soon} then {later}: forgotten as fast as after one slow answer"
+        "{soon} then {later}: must decay as fast as after one slow reply"
     );
 }
 
 #[test]
-fn a_server_that_has_recovered_is_forgiven_at_once() {
+fn a_fast_reply_resets_the_half_life() {
     let mut health = ServerHealth::default();
     for step in 0..4 {
-        slow_answer(&mut health, step * 1_000, 160);
+        slow_reply(&mut health, step * 1_000, 160);
     }
-    answer(&mut health, 5_000, 20);
-    let soon = health.slowness(ms(5_020));
-    let later = health.slowness(ms(6_520));
+    reply(&mut health, 5_000, 20);
+    let soon = health.latency_ratio(ms(5_020));
+    let later = health.latency_ratio(ms(6_520));
     assert!((later - 1.0) < 0.51 * (soon - 1.0), "{soon} then {later}");
 }
 
 #[test]
-fn an_attempt_that_is_cancelled_late_shows_that_the_server_is_slow() {
+fn a_late_cancellation_raises_the_latency_ratio() {
     let mut health = ServerHealth::default();
-    let attempt = health.sent(ms(0), ms(20));
-    health.ended(ms(200), attempt, Ending::Cancelled, &slow_took(200));
-    assert!(health.slowness(ms(200)) > 4.0);
+    let attempt = health.record_sent(ms(0), ms(20));
+    health.record_end(
+        ms(200),
+        attempt,
+        AttemptOutcome::Cancelled,
+        &slow_timing(200),
+    );
+    assert!(health.latency_ratio(ms(200)) > 4.0);
 }
 
 #[test]
-fn an_attempt_that_is_cancelled_early_shows_nothing() {
+fn an_early_cancellation_does_not_change_the_latency_ratio() {
     let mut health = ServerHealth::default();
-    let attempt = health.sent(ms(0), ms(20));
-    health.ended(ms(25), attempt, Ending::Cancelled, &slow_took(25));
-    assert!(health.slowness(ms(25)) < 1.01);
+    let attempt = health.record_sent(ms(0), ms(20));
+    health.record_end(ms(25), attempt, AttemptOutcome::Cancelled, &slow_timing(25));
+    assert!(health.latency_ratio(ms(25)) < 1.01);
 }
--- a/crates/sablehaven-gateway/src/servers/mod.rs
+++ b/crates/sablehaven-gateway/src/servers/mod.rs
@@ -1,4 +1,4 @@
-//! The servers of every service: connections, health, choice, and the budget of extra attempts.
+//! The servers of every service: connection pools, health, server choice and retry budgets.
 
 mod attempt;
 pub(crate) mod budget;
--- a/crates/sablehaven-gateway/src/servers/registry.rs
+++ b/crates/sablehaven-gateway/src/servers/registry.rs
@@ -1,4 +1,4 @@
-//! All servers by service, as the latest list has them.
+//! The registry of all servers by service, kept up to date from server listings, routes and evacuations.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,24 +11,24 @@
     ServerListing, ServiceName, ZoneName,
 };
 
-use super::{connection_share::SharerCount, service_pool::ServicePool, zone_map::ZoneMap};
+use super::{connection_share::GatewayCounts, service_pool::ServicePool, zone_map::ZoneMap};
 use crate::Config;
 
-/// Gateways that may join each zone beside those that are connected.
-const ROOM_FOR_GATEWAYS: u32 = 1;
-/// Gateways that each zone is taken to have until the control replicas have said.
-const ASSUMED_GATEWAYS: u32 = 5;
+/// Gateways per zone that are assumed in addition to the connected ones, because more may join.
+const EXTRA_GATEWAYS_PER_ZONE: u32 = 1;
+/// Gateways per zone that are assumed until the control replicas report the real number.
+const ASSUMED_GATEWAYS_PER_ZONE: u32 = 5;
 
-/// All servers by service.
+/// The registry of all servers by service.
 pub(crate) struct Registry {
     services: RefCell<HashMap<ServiceName, Rc<ServicePool>>>,
-    number: Cell<ListingNumber>,
+    listing_number: Cell<ListingNumber>,
     zones: ZoneMap,
     retries: crate::RetryBounds,
-    /// Connected gateways by zone.
+    /// The number of connected gateways by zone.
     gateways: RefCell<BTreeMap<ZoneName, u32>>,
     evacuated: RefCell<EvacuatedZones>,
-    /// Whether this gateway is one of those that share what servers bear.
+    /// Whether this gateway is one of those that share the capacity of the servers.
     is_sharer: Cell<bool>,
 }
 
@@ -36,7 +36,7 @@
     pub(crate) fn new(config: &Config) -> Self {
         Self {
             services: RefCell::default(),
-            number: Cell::default(),
+            listing_number: Cell::default(),
             zones: ZoneMap::new(config),
             retries: config.retries,
             gateways: RefCell::default(),
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The reading of the list in force.
-    pub(crate) fn number(&self) -> ListingNumber {
-        self.number.get()
+    /// The number of the listing in force.
+    pub(crate) fn listing_number(&self) -> ListingNumber {
+        self.listing_number.get()
     }
 
-    /// The servers of a service; an unknown one has none yet.
+    /// The servers of a service. An unknown service is added without servers.
     pub(crate) fn service(&self, name: &ServiceName) -> Rc<ServicePool> {
         if let Some(service) = self.services.borrow().get(name) {
             return Rc::clone(service);
@@ -61,12 +61,12 @@
         service
     }
 
-    /// Takes a reading of the list; `false` for one that is not newer than the one in force.
+    /// Applies a complete listing; returns `false` if it is not newer than the one in force.
     pub(crate) fn apply_listing(&self, listing: &ServerListing) -> bool {
-        if listing.number <= self.number.get() {
+        if listing.number <= self.listing_number.get() {
             return false;
         }
-        self.number.set(listing.number);
+        self.listing_number.set(listing.number);
         let mut by_service: HashMap<&ServiceName, Vec<&ListedServer>> = HashMap::new();
         for listed in &listing.servers {
             by_service.entry(&listed.service).or_default().push(listed);
@@ -74,22 +74,22 @@
         let known: Vec<ServiceName> = self.services.borrow().keys().cloned().collect();
         for name in known {
             if !by_service.contains_key(&name) {
-                self.service(&name).update(&[], &self.zones);
+                self.service(&name).apply_listing(&[], &self.zones);
             }
         }
         for (name, listed) in by_service {
-            self.service(name).update(&listed, &self.zones);
+            self.service(name).apply_listing(&listed, &self.zones);
         }
         self.refresh_servers();
         true
     }
 
-    /// Takes what a reading says otherwise than the one in force; `false` when it changes another one.
+    /// Applies a change to the listing in force; returns `false` if the change is based on another listing.
     pub(crate) fn apply_listing_change(&self, change: &ListingChange) -> bool {
-        if change.base != self.number.get() {
+        if change.base != self.listing_number.get() {
             return false;
         }
-        self.number.set(change.number);
+        self.listing_number.set(change.number);
         let gone: HashSet<&BackendId> = change.gone.iter().collect();
         let moved: HashMap<&BackendId, &ServiceName> = change
             .changed
@@ -97,12 +97,13 @@
             .map(|listed| (&listed.id, &listed.service))
             .collect();
         for (name, service) in self.services.borrow().iter() {
-            let is_elsewhere =
+            let is_in_other_service =
                 |id: &BackendId| moved.get(id).is_some_and(|service| *service != name);
-            service.keep(|id| !gone.contains(id) && !is_elsewhere(id));
+            service.retain_listed(|id| !gone.contains(id) && !is_in_other_service(id));
         }
         for listed in &change.changed {
-            self.service(&listed.service).take(listed, &self.zones);
+            self.service(&listed.service)
+                .apply_listed_server(listed, &self.zones);
         }
         self.refresh_servers();
         true
@@ -117,20 +118,20 @@
             .sum()
     }
 
-    /// Takes what the routes say of the services.
+    /// Applies the service settings of a route document.
     pub(crate) fn apply_routes(&self, document: &RouteDocument) {
         for (name, service) in &document.services {
-            self.service(name).describe(service);
+            self.service(name).apply_service(service);
         }
         self.refresh_servers();
     }
 
-    /// The revision of the evacuated zones that are left alone.
+    /// The revision of the evacuated zones in force.
     pub(crate) fn evacuation_revision(&self) -> u64 {
         self.evacuated.borrow().revision
     }
 
-    /// Takes the evacuated zones; `false` for a revision that is not newer than the one in force.
+    /// Applies a set of evacuated zones; returns `false` if its revision is not newer than the one in force.
     pub(crate) fn apply_evacuation(&self, evacuated: EvacuatedZones) -> bool {
         if evacuated.revision <= self.evacuation_revision() {
             return false;
@@ -140,64 +141,68 @@
         true
     }
 
-    /// Takes the number of gateways of each zone that share what servers bear, and whether this is one.
+    /// Sets the number of gateways in each zone that share the capacity of the servers, and whether this gateway is one of
+    /// them.
     pub(crate) fn set_gateways(&self, gateways: BTreeMap<ZoneName, u32>, is_sharer: bool) {
         *self.gateways.borrow_mut() = gateways;
         self.is_sharer.set(is_sharer);
         self.refresh_servers();
     }
 
-    /// The gateways with which this one shares what servers bear, itself included. `None` while it has no part:
-    /// before the control replicas have said, and while callers are told of others. Such a gateway may still
-    /// get single requests, and on a large fleet all of them together would be many times the whole.
-    pub(crate) fn sharing_gateways(&self) -> Option<u32> {
+    /// The number of gateways that share the capacity of the servers, including this one. `None` while this gateway has no
+    /// share: before the control replicas have reported the gateways, and while callers are directed to other gateways.
+    /// A gateway without a share may still receive a few requests. In a large fleet, the shares of all such gateways would
+    /// add up to many times the capacity.
+    pub(crate) fn sharing_gateway_count(&self) -> Option<u32> {
         if !self.is_sharer.get() {
             return None;
         }
         let gateways = self.gateways.borrow();
         let known: u32 = gateways.values().sum();
-        (known > 0).then(|| known + ROOM_FOR_GATEWAYS * gateways.len() as u32)
+        (known > 0).then(|| known + EXTRA_GATEWAYS_PER_ZONE * gateways.len() as u32)
     }
 
-    /// Closes connections that have rested too long.
-    pub(crate) fn drop_stale_connections(&self) {
+    /// Closes the connections that have been idle for too long.
+    pub(crate) fn close_expired_connections(&self) {
         for service in self.services.borrow().values() {
             for server in service.servers.borrow().iter() {
-                server.pool.drop_stale();
+                server.pool.close_expired();
             }
         }
     }
 
-    /// Tells every server what routes, list, orders and the number of gateways make of it: whether its zone
-    /// is evacuated, what it bears while it is cold, and this gateway's part of its connections, of which the
-    /// gateways of its own region have most.
+    /// Updates every server after a change of the routes, the listing, the evacuated zones or the number of gateways:
+    /// whether its zone is evacuated, its limit while it is cold, and this gateway's share of its connections. Gateways
+    /// in the server's region have the largest share.
     fn refresh_servers(&self) {
-        let sharers = self.sharers();
-        let gateways = self.sharing_gateways();
+        let gateway_counts = self.gateway_counts();
+        let sharing_gateway_count = self.sharing_gateway_count();
         let evacuated = self.evacuated.borrow();
         for service in self.services.borrow().values() {
-            service.refresh_servers(&evacuated, sharers, gateways);
+            service.refresh_servers(&evacuated, gateway_counts, sharing_gateway_count);
         }
     }
 
-    /// The gateways that may share the connections of a server of this region: those of the region, and
-    /// all others. Regions are taken to be alike, so the same holds for servers of other regions.
-    fn sharers(&self) -> SharerCount {
+    /// The number of gateways that may share the connections of a server in this region: those in the region and all
+    /// others. Regions are assumed to be alike, so the same counts are used for servers in other regions.
+    fn gateway_counts(&self) -> GatewayCounts {
         let gateways = self.gateways.borrow();
         let zones: BTreeSet<&ZoneName> = self.zones.zones().chain(gateways.keys()).collect();
-        let connected = |zone: &ZoneName| match gateways.get(zone) {
+        let connected_count = |zone: &ZoneName| match gateways.get(zone) {
             Some(count) => *count,
-            None if gateways.is_empty() => ASSUMED_GATEWAYS - ROOM_FOR_GATEWAYS,
+            None if gateways.is_empty() => ASSUMED_GATEWAYS_PER_ZONE - EXTRA_GATEWAYS_PER_ZONE,
             None => 0,
         };
         let (near, far): (Vec<&ZoneName>, Vec<&ZoneName>) = zones
             .into_iter()
             .partition(|zone| self.zones.distance(zone) != Distance::Remote);
         let count = |zones: &[&ZoneName]| -> u32 {
-            let each = zones.iter().map(|zone| connected(zone) + ROOM_FOR_GATEWAYS);
+            let each = zones
+                .iter()
+                .map(|zone| connected_count(zone) + EXTRA_GATEWAYS_PER_ZONE);
             each.sum()
         };
-        SharerCount {
+        GatewayCounts {
             near: count(&near),
             far: count(&far),
         }
--- a/crates/sablehaven-gateway/src/servers/registry/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/registry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of readings of the list: whole ones, and what changes between two.
+//! Tests of server listings: complete ones and changes between two listings.
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use sablehaven_types::{ListedServer, ListingChange, ListingNumber, ServerListing};
@@ -30,20 +30,24 @@
     }
 }
 
-/// Every listed server, with its service and whether it takes work.
+/// Every listed server with its service and whether it accepts requests.
 fn state(registry: &Registry) -> Vec<(String, String, bool)> {
     let services = registry.services.borrow();
     let mut all = Vec::new();
     for (name, service) in services.iter() {
         for server in service.servers.borrow().iter() {
-            all.push((name.to_string(), server.id.to_string(), server.takes_work()));
+            all.push((
+                name.to_string(),
+                server.id.to_string(),
+                server.accepts_requests(),
+            ));
         }
     }
     all.sort();
     all
 }
 
-/// A reading in which some servers have come, gone or begun to leave since the one before.
+/// The servers of the next listing: compared with `servers`, some have been added or removed or have started to drain.
 fn next_servers(
     servers: &[ListedServer],
     rng: &mut StdRng,
@@ -62,27 +66,27 @@
 }
 
 #[test]
-fn changes_lead_to_the_same_servers_as_whole_readings() {
+fn listing_changes_give_the_same_servers_as_complete_listings() {
     let mut rng = StdRng::seed_from_u64(11);
     let mut next_id = 0;
-    let (whole, changed) = (registry(), registry());
-    let mut held = listing(1, Vec::new());
-    assert!(whole.apply_listing(&held));
-    assert!(changed.apply_listing(&held));
+    let (from_listings, from_changes) = (registry(), registry());
+    let mut previous = listing(1, Vec::new());
+    assert!(from_listings.apply_listing(&previous));
+    assert!(from_changes.apply_listing(&previous));
     for reading in 2..200 {
-        let servers = next_servers(&held.servers, &mut rng, &mut next_id);
+        let servers = next_servers(&previous.servers, &mut rng, &mut next_id);
         let next = listing(reading, servers);
-        assert!(whole.apply_listing(&next));
-        assert!(changed.apply_listing_change(&ListingChange::between(&held, &next)));
-        assert_eq!(state(&whole), state(&changed));
-        assert_eq!(changed.number(), next.number);
-        assert_eq!(changed.server_count(), next.servers.len());
-        held = next;
+        assert!(from_listings.apply_listing(&next));
+        assert!(from_changes.apply_listing_change(&ListingChange::between(&previous, &next)));
+        assert_eq!(state(&from_listings), state(&from_changes));
+        assert_eq!(from_changes.listing_number(), next.number);
+        assert_eq!(from_changes.server_count(), next.servers.len());
+        previous = next;
     }
 }
 
 #[test]
-fn a_change_of_another_reading_changes_nothing() {
+fn a_change_based_on_another_listing_is_ignored() {
     let registry = registry();
     let first = listing(1, vec![listed(1, 1, false)]);
     let second = listing(2, vec![listed(2, 1, false)]);
@@ -91,14 +95,14 @@
     let before = state(&registry);
     assert!(!registry.apply_listing_change(&ListingChange::between(&second, &third)));
     assert_eq!(state(&registry), before);
-    assert_eq!(registry.number(), first.number);
+    assert_eq!(registry.listing_number(), first.number);
 }
 
 fn registry() -> Registry {
     Registry::new(&Config::default())
 }
 
-/// The change that leads from one reading to the next, whose number is one more.
+/// The listing with the next number and these servers, and the change from `base` to it.
 fn change(base: &ServerListing, servers: Vec<ListedServer>) -> (ServerListing, ListingChange) {
     let next = listing(base.number.reading + 1, servers);
     let change = ListingChange::between(base, &next);
@@ -113,26 +117,29 @@
 }
 
 #[test]
-fn another_start_under_the_same_id_is_another_server() {
+fn another_incarnation_with_the_same_id_is_another_server() {
     let registry = Registry::new(&Config::default());
     let first = listing(1, vec![started(1_000, false)]);
     assert!(registry.apply_listing(&first));
     let service = registry.service(&"s-1".into());
-    let former = std::rc::Rc::clone(&service.servers.borrow()[0]);
-    // It leaves, and starts again before the list was read without it.
-    let (second, leaving) = change(&first, vec![started(1_000, true)]);
-    assert!(registry.apply_listing_change(&leaving));
-    assert!(!former.takes_work());
-    let (_, again) = change(&second, vec![started(2_000, false)]);
-    assert!(registry.apply_listing_change(&again));
+    let first_incarnation = std::rc::Rc::clone(&service.servers.borrow()[0]);
+    // The server drains and restarts before a listing without it was read.
+    let (second, draining) = change(&first, vec![started(1_000, true)]);
+    assert!(registry.apply_listing_change(&draining));
+    assert!(!first_incarnation.accepts_requests());
+    let (_, restarted) = change(&second, vec![started(2_000, false)]);
+    assert!(registry.apply_listing_change(&restarted));
     let servers = service.servers.borrow();
     assert_eq!(servers.len(), 1);
-    assert!(servers[0].takes_work());
-    assert!(!former.takes_work(), "nothing new for the former start");
+    assert!(servers[0].accepts_requests());
+    assert!(
+        !first_incarnation.accepts_requests(),
+        "the first incarnation must get no new requests"
+    );
 }
 
 #[test]
-fn a_start_under_the_same_id_at_another_address_is_another_server() {
+fn the_same_id_at_another_address_is_another_server() {
     let registry = Registry::new(&Config::default());
     registry.apply_listing(&listing(1, vec![listed(1, 1, false)]));
     let mut moved = listed(1, 1, false);
@@ -145,7 +152,7 @@
 }
 
 #[test]
-fn a_server_that_another_service_has_now_is_left() {
+fn a_server_that_moves_to_another_service_leaves_its_former_one() {
     let registry = Registry::new(&Config::default());
     let first = listing(1, vec![listed(1, 1, false)]);
     registry.apply_listing(&first);
--- a/crates/sablehaven-gateway/src/servers/zone_map.rs
+++ b/crates/sablehaven-gateway/src/servers/zone_map.rs
@@ -1,4 +1,4 @@
-//! Where zones are, seen from this gateway.
+//! Maps zones to regions and to their distance from this gateway.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::Config;
 
-/// The regions of the zones, and the gateway's own place among them.
+/// The regions of all zones, and this gateway's own zone and region.
 pub(super) struct ZoneMap {
     zone: ZoneName,
     region: RegionName,
@@ -22,12 +22,12 @@
         }
     }
 
-    /// The zones that the settings name.
+    /// The zones in the settings.
     pub(super) fn zones(&self) -> impl Iterator<Item = &ZoneName> {
         self.regions.keys()
     }
 
-    /// The region of a zone, where it is known.
+    /// The region of a zone, if known.
     pub(super) fn region(&self, zone: &ZoneName) -> Option<&RegionName> {
         if *zone == self.zone {
             return Some(&self.region);
@@ -35,7 +35,7 @@
         self.regions.get(zone)
     }
 
-    /// How far a zone is; one whose region is not known counts as remote.
+    /// The distance of a zone. A zone of unknown region counts as remote.
     pub(super) fn distance(&self, zone: &ZoneName) -> Distance {
         if *zone == self.zone {
             return Distance::Zone;
