--- a/crates/sablehaven-cli/tests/explain.rs
+++ b/crates/sablehaven-cli/tests/explain.rs
@@ -19,7 +19,7 @@
                         "unaffordable": 2, "after_ms": 230, "missing": "s3: not sent: connect refused"})),
         line(5, &json!({"event": "refused", "request": "q-2", "reason": "too many requests", "open": 512})),
         line(6, &json!({"event": "failed", "request": "q-3", "status": 502, "after_ms": 12,
-                        "reason": "not known: connection reset"})),
+                        "reason": "outcome unknown: connection reset"})),
         line(7, &json!({"event": "routes_in_force", "version": 9, "former": 7})),
     ]
     .join("\n")
--- a/crates/sablehaven-gateway/src/crashes.rs
+++ b/crates/sablehaven-gateway/src/crashes.rs
@@ -1,8 +1,8 @@
-//! Handling of requests that crash their servers: such a request is detected, then sent to one server at a time, and
-//! finally quarantined.
+//! Detects requests that crash their servers, sends a suspect one to one server at a time, and quarantines it if
+//! servers keep crashing.
 //!
-//! [`sablehaven_routing::crash_table`] stores what is known about these requests. The modules here apply it to the parts of
-//! one request.
+//! [`sablehaven_routing::crash_table`] stores what is known about these requests. The modules here apply it to the
+//! parts of one request.
 //!
 //! - `fingerprint`: identifies requests with the same content by a hash.
 //! - `watch`: tracks the attempts of one request and decides which of its parts may send.
--- a/crates/sablehaven-gateway/src/crashes/watch.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch.rs
@@ -1,7 +1,7 @@
 //! Tracks the attempts of one request and decides which of its parts may send next.
 //!
-//! A clear request is sent without restriction. A suspect request, which may be crashing its servers, has one attempt (a
-//! trial) at a time. A quarantined request has none.
+//! A clear request is sent without restriction. A suspect request, which may be crashing its servers, has one attempt
+//! (a trial) at a time. A quarantined request has none.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,10 +28,11 @@
     has_reply: Cell<bool>,
     /// The number of attempts in progress.
     running_attempts: Cell<u32>,
-    /// Until when parts that lost their server wait for the other parts, which are already running and so give evidence
-    /// sooner than another server would.
+    /// The end of the time in which parts that lost their server wait for the other parts. These are already running, so
+    /// they show sooner than another server would whether the request crashes servers.
     hold_until: Cell<Duration>,
     is_trial_running: Cell<bool>,
+    /// The number of trials whose connection was lost.
     lost_trials: Cell<u32>,
     /// The number of spare servers of each waiting part.
     waiters: RefCell<Vec<usize>>,
@@ -77,8 +78,8 @@
     Send,
     /// The request is suspect. The part may send, and its attempt is the only one of the request until it ends.
     Trial(Trial),
-    /// The part must wait: for replies to the other parts, or because the request is suspect and another part has the only
-    /// attempt or is to have it.
+    /// The part must wait: for replies to the other parts, or because the request is suspect and another part has the
+    /// only attempt or is to have it.
     Wait(WaiterGuard),
     /// No server may get the request.
     Refuse,
@@ -90,8 +91,8 @@
 }
 
 impl Trial {
-    /// Records that the connection was lost while the server had the request. `is_gone` tells whether the server was found to
-    /// have ended.
+    /// Records that the connection was lost while the server had the request. `is_gone` tells whether the server was
+    /// found to have exited.
     pub(crate) fn record_lost_connection(&self, now: Duration, is_gone: bool) {
         let lost_trials = &self.watch.lost_trials;
         lost_trials.set(lost_trials.get() + 1);
@@ -232,8 +233,8 @@
         self.has_reply.get() || (self.is_clear(now) && !self.is_on_hold(now))
     }
 
-    /// Whether servers were found to have ended after this request, in this try or an earlier one, and none has replied to
-    /// it.
+    /// Whether servers were found to have exited after this request, in this try or an earlier one, and none has replied
+    /// to it.
     pub(crate) fn has_crashed_servers(&self, now: Duration) -> bool {
         let table = self.table.borrow();
         table.has_crashed_servers(now, self.fingerprint)
--- a/crates/sablehaven-gateway/src/crashes/watch/tests.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch/tests.rs
@@ -16,7 +16,7 @@
     (CrashWatch::new(REQUEST, Rc::clone(&table)), table)
 }
 
-fn lose(watch: &CrashWatch, now: Duration, servers: u32) {
+fn lose_connections(watch: &CrashWatch, now: Duration, servers: u32) {
     for server in 0..servers {
         watch.record_lost_connection(now, &format!("server-{server}").into(), TYPICAL);
     }
@@ -26,7 +26,7 @@
 fn a_part_that_lost_its_server_waits_for_other_parts_for_a_limited_time() {
     let (watch, _) = watch();
     let _running = watch.start_attempt();
-    lose(&watch, ms(100), 1);
+    lose_connections(&watch, ms(100), 1);
     assert!(matches!(
         watch.send_decision(ms(101), || 1),
         SendDecision::Wait(_)
@@ -42,7 +42,7 @@
 fn a_part_that_lost_its_server_does_not_wait_if_no_other_part_runs() {
     let (watch, _) = watch();
     drop(watch.start_attempt());
-    lose(&watch, ms(100), 1);
+    lose_connections(&watch, ms(100), 1);
     assert!(matches!(
         watch.send_decision(ms(100), || 1),
         SendDecision::Send
@@ -52,7 +52,7 @@
 #[test]
 fn a_suspect_request_has_one_attempt_at_a_time_until_a_server_replies() {
     let (watch, table) = watch();
-    lose(&watch, ms(100), 3);
+    lose_connections(&watch, ms(100), 3);
     let SendDecision::Trial(trial) = watch.send_decision(ms(100), || 1) else {
         panic!("not a trial");
     };
@@ -76,7 +76,7 @@
 #[test]
 fn crashes_during_trials_refuse_the_request_and_its_later_tries() {
     let (watch, table) = watch();
-    lose(&watch, ms(100), 3);
+    lose_connections(&watch, ms(100), 3);
     for _ in 0..2 {
         let SendDecision::Trial(trial) = watch.send_decision(ms(101), || 1) else {
             panic!("not a trial");
@@ -97,7 +97,7 @@
 #[test]
 fn lost_trials_whose_servers_keep_running_refuse_only_this_try() {
     let (watch, table) = watch();
-    lose(&watch, ms(100), 3);
+    lose_connections(&watch, ms(100), 3);
     for _ in 0..2 {
         let SendDecision::Trial(trial) = watch.send_decision(ms(101), || 1) else {
             panic!("not a trial");
@@ -119,7 +119,7 @@
 fn lost_connections_after_a_reply_are_ignored() {
     let (watch, table) = watch();
     watch.record_reply(ms(100));
-    lose(&watch, ms(101), 5);
+    lose_connections(&watch, ms(101), 5);
     assert!(matches!(
         watch.send_decision(ms(101), || 1),
         SendDecision::Send
@@ -130,7 +130,7 @@
 #[test]
 fn the_part_with_the_most_spare_servers_gets_the_trial() {
     let (watch, _) = watch();
-    lose(&watch, ms(100), 3);
+    lose_connections(&watch, ms(100), 3);
     let SendDecision::Trial(trial) = watch.send_decision(ms(100), || 1) else {
         panic!("not a trial");
     };
@@ -153,14 +153,14 @@
     ));
 }
 
-/// Guards against a query sending attempts for all of its parts at once although the request may crash servers and has to
-/// send one at a time.
+/// Guards against a query sending attempts for all of its parts at once although the request may crash servers and has
+/// to send one at a time.
 #[test]
 fn all_parts_may_send_exactly_while_each_part_may_send() {
     let (watch, _) = watch();
     assert!(watch.may_all_parts_send(ms(100)));
     let _running = watch.start_attempt();
-    lose(&watch, ms(100), 1);
+    lose_connections(&watch, ms(100), 1);
     assert!(matches!(
         watch.send_decision(ms(101), || 1),
         SendDecision::Wait(_)
@@ -169,7 +169,7 @@
         !watch.may_all_parts_send(ms(101)),
         "other attempts are running"
     );
-    lose(&watch, ms(102), 4);
+    lose_connections(&watch, ms(102), 4);
     assert!(
         !watch.may_all_parts_send(ms(102) + 4 * TYPICAL),
         "the request is suspect"
--- a/crates/sablehaven-gateway/src/servers/attempt.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt.rs
@@ -52,7 +52,9 @@
     pub(crate) body: Bytes,
     /// The earlier of the caller's deadline and the route's.
     pub(crate) deadline: Instant,
+    /// Statistics of the route, such as its typical time at a server.
     pub(crate) profile: Rc<RouteProfile>,
+    /// How long the servers took for the parts of the query that have ended.
     pub(crate) pace: ServiceTimeEstimate,
     pub(crate) crash_watch: Rc<CrashWatch>,
 }
@@ -63,6 +65,7 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
+    /// The server's signature of the reply.
     pub(crate) stamp: Option<HeaderValue>,
 }
 
@@ -85,7 +88,7 @@
     ConnectionLost {
         /// The step, the server and the cause.
         reason: String,
-        /// Whether the server was found to have ended. Checked only for attempts with `check_for_crash`.
+        /// Whether the server was found to have exited. Checked only for attempts with `check_for_crash`.
         is_server_gone: bool,
     },
     /// outcome unknown: {reason}
@@ -104,7 +107,8 @@
 }
 
 impl Attempt {
-    /// Starts an attempt. With `check_for_crash`, a lost connection is followed by a check whether the server has ended.
+    /// Starts an attempt. With `check_for_crash`, a lost connection is followed by a check whether the server has
+    /// exited.
     pub(crate) fn start(
         gateway: &Rc<Gateway>,
         server: Rc<Server>,
@@ -249,7 +253,7 @@
     result
 }
 
-/// Whether the server has ended, that is, its address refuses connections. A lost connection alone does not show
+/// Whether the server has exited, that is, its address refuses connections. A lost connection alone does not show
 /// that: networks reset connections too, and so do servers that keep running.
 async fn is_gone(gateway: &Gateway, server: &Server) -> bool {
     let source = gateway.config.connect_from;
--- a/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt/exchange.rs
@@ -207,7 +207,7 @@
         return Err("the body has a content encoding".to_owned());
     }
     if !headers.contains_key(&names.stamp) {
-        return Err("the server stamp header is missing".to_owned());
+        return Err("the signature of the server is missing".to_owned());
     }
     Ok(())
 }
--- a/crates/sablehaven-gateway/src/servers/budget/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/budget/tests.rs
@@ -14,8 +14,8 @@
     slack_pause_ms: 10_000,
 };
 
-/// A time in seconds after the first two windows, when the gateway has its share of the slack: it gets that only from the
-/// second window on.
+/// A time in seconds after the first two windows, when the gateway has its share of the slack: it gets that only from
+/// the second window on.
 fn seconds(seconds: f64) -> Duration {
     2 * WINDOW + Duration::from_secs_f64(seconds)
 }
--- a/crates/sablehaven-gateway/src/servers/choice.rs
+++ b/crates/sablehaven-gateway/src/servers/choice.rs
@@ -4,8 +4,8 @@
 
 use sablehaven_types::Distance;
 
-/// Latency that an attempt in another region must save in addition to its round trip, because traffic between regions is
-/// expensive.
+/// Latency that an attempt in another region must save in addition to its round trip, because traffic between regions
+/// is expensive.
 const REGION_PENALTY: Duration = Duration::from_millis(15);
 /// Latency that an attempt in another zone of the region must save in addition to its round trip.
 const ZONE_PENALTY: Duration = Duration::from_millis(2);
--- a/crates/sablehaven-gateway/src/servers/health.rs
+++ b/crates/sablehaven-gateway/src/servers/health.rs
@@ -1,5 +1,5 @@
-//! Tracks the health of one server as this gateway sees it: its latency, its failures, whether it is stalled and whether
-//! it is in backoff. Free of I/O.
+//! Tracks the health of one server as this gateway sees it: its latency, its failures, whether it is stalled and
+//! whether it is in backoff. Free of I/O.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,11 +11,11 @@
 const OUTLIER_WEIGHT: f64 = 0.5;
 /// A part is an outlier if its latency exceeds the median of its query by this factor.
 const OUTLIER_RATIO: f64 = 1.5;
-/// Half-life of a server's latency ratio while it sends no replies. The ratio decays towards 1 so that the server is tried
-/// again; otherwise a server that was slow once would be avoided forever.
+/// Half-life of a server's latency ratio while it sends no replies. The ratio decays towards 1 so that the server is
+/// tried again; otherwise a server that was slow once would be avoided forever.
 const LATENCY_HALF_LIFE: Duration = Duration::from_millis(1_500);
-/// How often the half-life is doubled for a server that was slow again each time it was tried. Otherwise a query over many
-/// shards would try some slow server every time.
+/// How often the half-life is doubled for a server that was slow again each time it was tried. Otherwise a query over
+/// many shards would try some slow server every time.
 const MAX_HALF_LIFE_DOUBLINGS: u32 = 2;
 /// Lower bound of the time that a latency is compared with, in seconds.
 const MIN_REFERENCE_SECONDS: f64 = 1e-4;
@@ -265,7 +265,7 @@
         self.backoff_until = now + backoff;
     }
 
-    /// Latency of replies relative to the typical latency; 1 is typical.
+    /// Latency of replies relative to the typical latency of their routes; 1 is typical.
     pub(crate) fn latency_ratio(&self, now: Duration) -> f64 {
         self.latency_ratio.map_or(1.0, |current| current.at(now))
     }
@@ -290,8 +290,8 @@
         self.outstanding.len()
     }
 
-    /// When the server counts as stalled if no reply arrives before; `None` if it owes no replies. A server is stalled if
-    /// it owes replies and has sent none, since the oldest of these requests was sent, for longer than expected.
+    /// When the server counts as stalled if no reply arrives before; `None` if it owes no replies. A server is stalled
+    /// if it owes replies and has sent none, since the oldest of these requests was sent, for longer than expected.
     pub(crate) fn stalls_at(&self, now: Duration) -> Option<Duration> {
         let oldest = self
             .outstanding
--- a/crates/sablehaven-gateway/src/servers/registry.rs
+++ b/crates/sablehaven-gateway/src/servers/registry.rs
@@ -141,18 +141,18 @@
         true
     }
 
-    /// Sets the number of gateways in each zone that share the capacity of the servers, and whether this gateway is one of
-    /// them.
+    /// Sets the number of gateways in each zone that share the capacity of the servers, and whether this gateway is one
+    /// of them.
     pub(crate) fn set_gateways(&self, gateways: BTreeMap<ZoneName, u32>, is_sharer: bool) {
         *self.gateways.borrow_mut() = gateways;
         self.is_sharer.set(is_sharer);
         self.refresh_servers();
     }
 
-    /// The number of gateways that share the capacity of the servers, including this one. `None` while this gateway has no
-    /// share: before the control replicas have reported the gateways, and while callers are directed to other gateways.
-    /// A gateway without a share may still receive a few requests. In a large fleet, the shares of all such gateways would
-    /// add up to many times the capacity.
+    /// The number of gateways that share the capacity of the servers, including this one. `None` while this gateway has
+    /// no share: before the control replicas have reported the gateways, and while callers are directed to other
+    /// gateways. A gateway without a share may still receive a few requests. In a large fleet, the shares of all such
+    /// gateways would add up to many times the capacity.
     pub(crate) fn sharing_gateway_count(&self) -> Option<u32> {
         if !self.is_sharer.get() {
             return None;
--- a/crates/sablehaven-gateway/src/servers/server.rs
+++ b/crates/sablehaven-gateway/src/servers/server.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Whether the listing describes this incarnation of the server. Another incarnation with the same id has no knowledge
-    /// of the requests that this one was sent, may run elsewhere and is cold.
+    /// Whether the listing describes this incarnation of the server. Another incarnation with the same id has no
+    /// knowledge of the requests that this one was sent, may run elsewhere and is cold.
     pub(crate) fn is_same_incarnation(&self, listed: &ListedServer) -> bool {
         let is_same_time = self.started_at_ms == listed.started_at_ms;
         is_same_time && self.address == listed.address && self.zone == listed.zone
@@ -94,8 +94,9 @@
         self.is_available.get() && !self.is_evacuated.get()
     }
 
-    /// Stops or resumes sending new requests to the server. Requests in progress continue. A server that resumes may have
-    /// become cold in the meantime, which the listing shows only later, so it counts as cold for the time `warmup`.
+    /// Stops or resumes sending new requests to the server. Requests in progress continue. A server that resumes may
+    /// have become cold in the meantime, which the listing shows only later, so it counts as cold for the time
+    /// `warmup`.
     pub(crate) fn set_evacuated(&self, is_evacuated: bool, warmup: Duration) {
         let was_evacuated = self.is_evacuated.replace(is_evacuated);
         if was_evacuated && !is_evacuated {
@@ -118,8 +119,7 @@
         self.cold_limit.set(limit);
     }
 
-    /// Whether it may get a request now: it is warm, its limit while cold is unset, or it is cold and this gateway has a
-    /// turn.
+    /// Whether it may get a request now: it is warm, it is cold without a limit, or this gateway has an open turn.
     pub(super) fn is_warm_or_in_turn(&self, now: Duration) -> bool {
         match self.cold_limit.get() {
             Some(limit) if self.is_cold(Instant::now()) => {
--- a/crates/sablehaven-gateway/src/servers/service_pool.rs
+++ b/crates/sablehaven-gateway/src/servers/service_pool.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Updates for every server whether its zone is evacuated, its limit while it is cold, and this gateway's share of its
-    /// connections. `gateways` is the number of gateways that share the capacity of the servers.
+    /// Updates for every server whether its zone is evacuated, its limit while it is cold, and this gateway's share of
+    /// its connections. `gateways` is the number of gateways that share the capacity of the servers.
     pub(super) fn refresh_servers(
         &self,
         evacuated: &EvacuatedZones,
@@ -145,8 +145,8 @@
         servers.iter().any(|server| server.may_serve(allowed))
     }
 
-    /// The number of servers that may serve a request, without those in `tried` and those that have failed since their last
-    /// success.
+    /// The number of servers that may serve a request, without those in `tried` and those that have failed since their
+    /// last success.
     pub(crate) fn count_spare_servers(
         &self,
         allowed: &ServingRegions,
