--- a/crates/sablehaven-gateway/src/crashes.rs
+++ b/crates/sablehaven-gateway/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Detects requests that crash their servers, sends a suspect one to one server at a time, and quarantines it if
+//! Detects requests that crash their servers. A suspect request is sent to one server at a time and is quarantined if
 //! servers keep crashing.
 //!
 //! [`sablehaven_routing::crash_table`] stores what is known about these requests. The modules here apply it to the
--- a/crates/sablehaven-gateway/src/crashes/watch.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch.rs
@@ -131,7 +131,7 @@
         self.fingerprint
     }
 
-    /// Counts an attempt as running until the result is dropped.
+    /// Counts an attempt as running until the returned guard is dropped.
     pub(crate) fn start_attempt(self: &Rc<Self>) -> RunningAttempt {
         self.running_attempts.set(self.running_attempts.get() + 1);
         let watch = Rc::clone(self);
@@ -212,7 +212,7 @@
         waiters.iter().any(|other| *other > spare_servers)
     }
 
-    /// Whether parts that lost their server wait because other servers run the request and have not replied yet.
+    /// Whether parts that lost their server must wait, for a limited time, because other servers still run the request.
     fn is_on_hold(&self, now: Duration) -> bool {
         let has_lost = !self.lost_servers.borrow().is_empty();
         has_lost && self.running_attempts.get() > 0 && now < self.hold_until.get()
--- a/crates/sablehaven-gateway/src/servers/budget.rs
+++ b/crates/sablehaven-gateway/src/servers/budget.rs
@@ -8,7 +8,8 @@
 
 /// Buckets of the sliding window. A bucket expires as a whole.
 const BUCKETS: u32 = 20;
-/// Fraction of the bound that is used, because the window over which the bound is checked may start inside a bucket.
+/// Fraction of the bound that is used. The rest is a margin, because the window over which the bound is checked may
+/// start inside a bucket.
 const USABLE_FRACTION: f64 = 0.85;
 
 /// Counts of one bucket of the window.
--- a/crates/sablehaven-gateway/src/servers/choice.rs
+++ b/crates/sablehaven-gateway/src/servers/choice.rs
@@ -9,7 +9,7 @@
 const REGION_PENALTY: Duration = Duration::from_millis(15);
 /// Latency that an attempt in another zone of the region must save in addition to its round trip.
 const ZONE_PENALTY: Duration = Duration::from_millis(2);
-/// Expected time until a stalled server continues.
+/// Cost of a stalled server: the expected time until it replies again.
 const STALL_PENALTY: Duration = Duration::from_millis(250);
 /// Cost of a server in backoff. It is high enough that such a server is chosen only if there is no other.
 const BACKOFF_PENALTY: Duration = Duration::from_secs(3_600);
@@ -17,7 +17,7 @@
 const FAILURE_PENALTY: Duration = Duration::from_millis(250);
 /// Lower bound of the latency ratio; no server is assumed to be faster than that.
 const MIN_LATENCY_RATIO: f64 = 0.1;
-/// Factor on the expected latency of a server that has just started.
+/// Factor on the expected latency of a cold server.
 const COLD_FACTOR: f64 = 1.6;
 
 /// What the gateway knows about a server.
@@ -71,8 +71,8 @@
 
 /// A choice among servers that are considered one after the other, the nearest first.
 ///
-/// A distant server whose round trip alone costs too much need not be considered. With 42 servers in three regions,
-/// this leaves 14.
+/// A distant server whose round trip alone costs too much need not be considered. With 42 servers in three regions, only
+/// 14 are considered.
 pub(crate) struct Choice<K> {
     typical: Duration,
     min_cost: Option<Duration>,
--- a/crates/sablehaven-gateway/src/servers/failure_rate.rs
+++ b/crates/sablehaven-gateway/src/servers/failure_rate.rs
@@ -5,7 +5,7 @@
 /// Weight of a new outcome in the moving average. A gateway sends a server a few requests per second at most, so two
 /// outcomes must suffice. docs/design/shifted-work.md compares this value with 0.2 by measurement.
 const OUTCOME_WEIGHT: f64 = 0.4;
-/// Half-life of the rate while no requests to the server end.
+/// Half-life of the rate while no new outcomes are recorded.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
 /// Exponential moving average of failures. A server that passes its health check may still fail some of its requests,
--- a/crates/sablehaven-gateway/src/servers/health.rs
+++ b/crates/sablehaven-gateway/src/servers/health.rs
@@ -27,7 +27,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Consecutive failures that put a server in backoff.
 const FAILURES_BEFORE_BACKOFF: u32 = 2;
-/// A server is stalled after this many expected latencies without a reply.
+/// Multiple of the expected latency after which a server that has not replied is stalled.
 const STALL_RATIO: f64 = 2.0;
 /// Lower bound of the time without a reply after which a server is stalled.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(12);
@@ -280,7 +280,7 @@
         now < self.backoff_until
     }
 
-    /// Whether an attempt has failed at the transport or timed out since the last successful reply.
+    /// Whether an attempt has ended in a transport failure or a timeout since the last successful reply.
     pub(crate) fn has_failed_since_success(&self) -> bool {
         self.consecutive_failures > 0
     }
--- a/crates/sablehaven-gateway/src/servers/registry.rs
+++ b/crates/sablehaven-gateway/src/servers/registry.rs
@@ -16,7 +16,8 @@
 
 /// Gateways per zone that are assumed in addition to the connected ones, because more may join.
 const EXTRA_GATEWAYS_PER_ZONE: u32 = 1;
-/// Gateways per zone that are assumed until the control replicas report the real number.
+/// Gateways per zone, including [`EXTRA_GATEWAYS_PER_ZONE`], that are assumed until the control replicas report the
+/// number of connected ones.
 const ASSUMED_GATEWAYS_PER_ZONE: u32 = 5;
 
 /// The registry of all servers by service.
