--- a/crates/sablehaven-gateway/src/crashes/watch.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch.rs
@@ -15,7 +15,8 @@
 
 use super::log_quarantine;
 
-/// How long a part that lost its server waits for a reply to another part, as a multiple of the request's typical time.
+/// How long a part that lost its server waits for a reply to another part, in typical service times of the
+/// request.
 const HOLD_TYPICAL_TIMES: u32 = 2;
 
 /// The state of one request, shared by its parts.
@@ -28,8 +29,8 @@
     has_reply: Cell<bool>,
     /// The number of attempts in progress.
     running_attempts: Cell<u32>,
-    /// The end of the time in which parts that lost their server wait for the other parts. These are already running, so
-    /// they show sooner than another server would whether the request crashes servers.
+    /// The end of the time in which parts that lost their server wait for the other parts. These are already running,
+    /// so they show sooner than another server would whether the request crashes servers.
     hold_until: Cell<Duration>,
     is_trial_running: Cell<bool>,
     /// The number of trials whose connection was lost.
@@ -138,8 +139,8 @@
         RunningAttempt { watch }
     }
 
-    /// Records that the connection of an attempt was lost while the server had the request. `typical` is how long the
-    /// request typically takes at a server.
+    /// Records that the connection of an attempt was lost while the server had the request. `typical` is the
+    /// typical service time of the request.
     pub(crate) fn record_lost_connection(
         &self,
         now: Duration,
@@ -233,8 +234,8 @@
         self.has_reply.get() || (self.is_clear(now) && !self.is_on_hold(now))
     }
 
-    /// Whether servers were found to have exited after this request, in this try or an earlier one, and none has replied
-    /// to it.
+    /// Whether servers were found to have exited after this request, in this try or an earlier one, and none has
+    /// replied to it.
     pub(crate) fn has_crashed_servers(&self, now: Duration) -> bool {
         let table = self.table.borrow();
         table.has_crashed_servers(now, self.fingerprint)
--- a/crates/sablehaven-gateway/src/request/in_flight.rs
+++ b/crates/sablehaven-gateway/src/request/in_flight.rs
@@ -56,7 +56,7 @@
         let sent_at = self.timer.sent_at();
         let tail_at = sent_at + tail_limit(accepted, server);
         let mut due_at = stalled_at.map_or(tail_at, |at| at.min(tail_at));
-        if let Some(late_after) = accepted.outgoing.pace.late_after() {
+        if let Some(late_after) = accepted.outgoing.service_time_estimate.late_after() {
             due_at = due_at.min(sent_at + server.round_trip() + late_after);
         }
         self.timer.earliest_hedge(due_at)
--- a/crates/sablehaven-gateway/src/request/mod.rs
+++ b/crates/sablehaven-gateway/src/request/mod.rs
@@ -161,7 +161,7 @@
         body: received.body,
         deadline,
         profile: Rc::clone(&planned.profile),
-        pace: ServiceTimeEstimate::new(part_count(&planned.route().target)),
+        service_time_estimate: ServiceTimeEstimate::new(part_count(&planned.route().target)),
         crash_watch: received.crash_watch,
     });
     Ok(Accepted {
--- a/crates/sablehaven-gateway/src/request/sub_request.rs
+++ b/crates/sablehaven-gateway/src/request/sub_request.rs
@@ -91,7 +91,7 @@
 /// An attempt that the crash watch does not allow yet.
 struct DeferredAttempt {
     planned: PlannedAttempt,
-    _place: WaiterGuard,
+    _guard: WaiterGuard,
 }
 
 impl<'a> SubRequest<'a> {
@@ -145,7 +145,7 @@
                 ended = next_ended(&mut self.in_flight) => {
                     match ended.result {
                         Ok(reply) => {
-                            self.accepted.outgoing.pace.record(ended.service_time);
+                            self.accepted.outgoing.service_time_estimate.record(ended.service_time);
                             return Ok(reply);
                         }
                         Err(failure) => self.handle_failure(failure, ended.trial)?,
@@ -168,7 +168,7 @@
                         None => self.hedge_if_due(),
                     }
                 }
-                () = self.accepted.outgoing.pace.wait_until_known() => {}
+                () = self.accepted.outgoing.service_time_estimate.wait_until_known() => {}
             }
         }
     }
@@ -185,10 +185,10 @@
         let trial = match self.accepted.outgoing.crash_watch.send_decision(now, spare) {
             SendDecision::Send => None,
             SendDecision::Trial(trial) => Some(trial),
-            SendDecision::Wait(place) => {
+            SendDecision::Wait(guard) => {
                 self.deferred = Some(DeferredAttempt {
                     planned,
-                    _place: place,
+                    _guard: guard,
                 });
                 return Ok(());
             }
--- a/crates/sablehaven-gateway/src/servers/attempt.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt.rs
@@ -52,10 +52,10 @@
     pub(crate) body: Bytes,
     /// The earlier of the caller's deadline and the route's.
     pub(crate) deadline: Instant,
-    /// Statistics of the route, such as its typical time at a server.
+    /// Statistics of the route, such as its typical service time.
     pub(crate) profile: Rc<RouteProfile>,
-    /// How long the servers took for the parts of the query that have ended.
-    pub(crate) pace: ServiceTimeEstimate,
+    /// Estimated from the parts of the query that have arrived.
+    pub(crate) service_time_estimate: ServiceTimeEstimate,
     pub(crate) crash_watch: Rc<CrashWatch>,
 }
 
@@ -192,7 +192,7 @@
     fn drop(&mut self) {
         let now = self.gateway.clock.now();
         let elapsed = now.saturating_sub(self.sent_at);
-        let server_time = elapsed.saturating_sub(self.server.round_trip());
+        let service_time = elapsed.saturating_sub(self.server.round_trip());
         let profile = &self.request.profile;
         let typical = profile.typical_service_time();
         let mut outcome = self.outcome;
@@ -202,13 +202,13 @@
             outcome = AttemptOutcome::TimedOut;
         }
         if outcome == AttemptOutcome::Succeeded {
-            profile.record_service_time(server_time);
+            profile.record_service_time(service_time);
         }
         self.gateway.metrics.attempt_ended(outcome.metric_label());
         let timing = AttemptTiming {
-            server_time,
+            service_time,
             typical,
-            query_median: self.request.pace.median(),
+            query_median: self.request.service_time_estimate.median(),
         };
         let mut health = self.server.health.borrow_mut();
         health.record_end(now, self.attempt_number, outcome, &timing);
--- a/crates/sablehaven-gateway/src/servers/choice.rs
+++ b/crates/sablehaven-gateway/src/servers/choice.rs
@@ -15,9 +15,9 @@
 const BACKOFF_PENALTY: Duration = Duration::from_secs(3_600);
 /// Cost of a failure: a second attempt at another server, which also uses the retry budget.
 const FAILURE_PENALTY: Duration = Duration::from_millis(250);
-/// Lower bound of the latency ratio; no server is assumed to be faster than that.
-const MIN_LATENCY_RATIO: f64 = 0.1;
-/// Factor on the expected latency of a cold server.
+/// Lower bound of the service time ratio; no server is assumed to be faster than that.
+const MIN_SERVICE_TIME_RATIO: f64 = 0.1;
+/// Factor on the expected service time of a cold server.
 const COLD_FACTOR: f64 = 1.6;
 
 /// What the gateway knows about a server.
@@ -26,8 +26,8 @@
     pub(crate) distance: Distance,
     /// Network round trip time.
     pub(crate) round_trip: Duration,
-    /// Latency of its replies relative to the typical latency of their routes.
-    pub(crate) latency_ratio: f64,
+    /// Service time of its replies relative to the typical service time of their routes.
+    pub(crate) service_time_ratio: f64,
     /// Probability that it fails the request, 0 to 1.
     pub(crate) failure_rate: f64,
     /// This gateway's attempts in progress at the server.
@@ -47,11 +47,11 @@
 pub(crate) fn cost(candidate: &Candidate, typical: Duration) -> Duration {
     let cold_factor = if candidate.is_cold { COLD_FACTOR } else { 1.0 };
     let queue_factor = 1.0 + candidate.outstanding as f64 / f64::from(candidate.concurrency.max(1));
-    let latency_ratio = candidate.latency_ratio.max(MIN_LATENCY_RATIO);
-    let server_time = typical.mul_f64(latency_ratio * cold_factor * queue_factor);
+    let service_time_ratio = candidate.service_time_ratio.max(MIN_SERVICE_TIME_RATIO);
+    let service_time = typical.mul_f64(service_time_ratio * cold_factor * queue_factor);
     let failure_cost = FAILURE_PENALTY.mul_f64(candidate.failure_rate);
     let mut cost =
-        candidate.round_trip + server_time + distance_penalty(candidate.distance) + failure_cost;
+        candidate.round_trip + service_time + distance_penalty(candidate.distance) + failure_cost;
     if candidate.is_stalled {
         cost += STALL_PENALTY;
     }
@@ -71,8 +71,8 @@
 
 /// A choice among servers that are considered one after the other, the nearest first.
 ///
-/// A distant server whose round trip alone costs too much need not be considered. With 42 servers in three regions, only
-/// 14 are considered.
+/// A distant server whose round trip alone costs too much need not be considered. With 42 servers in three regions,
+/// only 14 are considered.
 pub(crate) struct Choice<K> {
     typical: Duration,
     min_cost: Option<Duration>,
@@ -80,7 +80,7 @@
 }
 
 impl<K> Choice<K> {
-    /// Starts a choice; `typical` is how long the request typically takes at a server.
+    /// Starts a choice; `typical` is the typical service time of the request.
     pub(crate) fn new(typical: Duration) -> Self {
         Self {
             typical,
@@ -91,8 +91,8 @@
 
     /// Whether a server at this distance cannot be chosen even if it is as fast as any server can be.
     pub(crate) fn is_too_far(&self, distance: Distance, round_trip: Duration) -> bool {
-        let min_server_time = self.typical.mul_f64(MIN_LATENCY_RATIO);
-        let lower_bound = round_trip + min_server_time + distance_penalty(distance);
+        let min_service_time = self.typical.mul_f64(MIN_SERVICE_TIME_RATIO);
+        let lower_bound = round_trip + min_service_time + distance_penalty(distance);
         self.min_cost
             .is_some_and(|min_cost| lower_bound > tie_limit(min_cost))
     }
--- a/crates/sablehaven-gateway/src/servers/choice/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/choice/tests.rs
@@ -27,7 +27,7 @@
     Candidate {
         distance: Distance::Zone,
         round_trip: Duration::from_micros(200),
-        latency_ratio: 1.0,
+        service_time_ratio: 1.0,
         failure_rate: 0.0,
         outstanding: 0,
         concurrency: 5,
@@ -63,7 +63,7 @@
     };
     assert!(is_near_chosen(cold, far()));
     let slow = Candidate {
-        latency_ratio: 4.0,
+        service_time_ratio: 4.0,
         ..near()
     };
     assert!(!is_near_chosen(slow, far()));
@@ -87,7 +87,7 @@
         ..far()
     };
     let slow = Candidate {
-        latency_ratio: 3.0,
+        service_time_ratio: 3.0,
         ..near()
     };
     assert!(is_near_chosen(slow, queued));
@@ -135,8 +135,8 @@
         !choice.is_too_far(far().distance, far().round_trip)
     };
     assert!(!is_considered(near()));
-    let slow = |latency_ratio| Candidate {
-        latency_ratio,
+    let slow = |service_time_ratio| Candidate {
+        service_time_ratio,
         ..near()
     };
     assert!(!is_considered(slow(1.3)));
@@ -151,20 +151,20 @@
 /// For many combinations of near and far servers, skipping the servers that are too far never changes the choice.
 #[test]
 fn skipped_servers_could_not_have_been_chosen() {
-    let latency_ratios = [0.01, 0.1, 0.4, 1.0, 1.5, 3.0, 9.0];
+    let service_time_ratios = [0.01, 0.1, 0.4, 1.0, 1.5, 3.0, 9.0];
     let round_trips = [0, 1, 5, 24, 60].map(Duration::from_millis);
     for typical in [1, 9, 28, 220].map(Duration::from_millis) {
-        for (near_latency_ratio, far_latency_ratio) in latency_ratios
+        for (near_service_time_ratio, far_service_time_ratio) in service_time_ratios
             .into_iter()
-            .flat_map(|near| latency_ratios.map(|far| (near, far)))
+            .flat_map(|near| service_time_ratios.map(|far| (near, far)))
         {
             for round_trip in round_trips {
                 let near = Candidate {
-                    latency_ratio: near_latency_ratio,
+                    service_time_ratio: near_service_time_ratio,
                     ..near()
                 };
                 let far = Candidate {
-                    latency_ratio: far_latency_ratio,
+                    service_time_ratio: far_service_time_ratio,
                     round_trip,
                     ..far()
                 };
--- a/crates/sablehaven-gateway/src/servers/failure_rate.rs
+++ b/crates/sablehaven-gateway/src/servers/failure_rate.rs
@@ -9,7 +9,7 @@
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
 /// Exponential moving average of failures. A server that passes its health check may still fail some of its requests,
-/// and fail them quickly. By latency alone it would look like the best server.
+/// and fail them quickly. By service time alone it would look like the best server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FailureRate {
     rate: f64,
--- a/crates/sablehaven-gateway/src/servers/health.rs
+++ b/crates/sablehaven-gateway/src/servers/health.rs
@@ -1,33 +1,33 @@
-//! Tracks the health of one server as this gateway sees it: its latency, its failures, whether it is stalled and
+//! Tracks the health of one server as this gateway sees it: its service time, its failures, whether it is stalled and
 //! whether it is in backoff. Free of I/O.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::failure_rate::FailureRate;
 
-/// Weight of a new reply in the moving average of the latency ratio.
-const LATENCY_WEIGHT: f64 = 0.25;
+/// Weight of a new reply in the moving average of the service time ratio.
+const REPLY_WEIGHT: f64 = 0.25;
 /// Weight of a reply that took much longer than the other parts of its query, whose work is the same.
 const OUTLIER_WEIGHT: f64 = 0.5;
-/// A part is an outlier if its latency exceeds the median of its query by this factor.
+/// A part is an outlier if its service time exceeds the median of its query by this factor.
 const OUTLIER_RATIO: f64 = 1.5;
-/// Half-life of a server's latency ratio while it sends no replies. The ratio decays towards 1 so that the server is
-/// tried again; otherwise a server that was slow once would be avoided forever.
-const LATENCY_HALF_LIFE: Duration = Duration::from_millis(1_500);
+/// Half-life of a server's service time ratio while it sends no replies. The ratio decays towards 1 so that the server
+/// is tried again; otherwise a server that was slow once would be avoided forever.
+const RATIO_HALF_LIFE: Duration = Duration::from_millis(1_500);
 /// How often the half-life is doubled for a server that was slow again each time it was tried. Otherwise a query over
 /// many shards would try some slow server every time.
 const MAX_HALF_LIFE_DOUBLINGS: u32 = 2;
-/// Lower bound of the time that a latency is compared with, in seconds.
+/// Lower bound of the time that a service time is compared with, in seconds.
 const MIN_REFERENCE_SECONDS: f64 = 1e-4;
-/// Upper bound of the latency ratio.
-const MAX_LATENCY_RATIO: f64 = 20.0;
+/// Upper bound of the service time ratio.
+const MAX_SERVICE_TIME_RATIO: f64 = 20.0;
 /// The first backoff of a server that failed; doubled at each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 /// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Consecutive failures that put a server in backoff.
 const FAILURES_BEFORE_BACKOFF: u32 = 2;
-/// Multiple of the expected latency after which a server that has not replied is stalled.
+/// Multiple of the expected time after which a server that has not replied is stalled.
 const STALL_RATIO: f64 = 2.0;
 /// Lower bound of the time without a reply after which a server is stalled.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(12);
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Outstanding {
     sent_at: Duration,
-    /// The typical time of this request at a server plus the network round trip.
+    /// The typical service time of the route plus the network round trip.
     expected: Duration,
 }
 
@@ -84,21 +84,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RouteId(pub(crate) usize);
 
-/// The time that a server took for an attempt and what it is compared with, all without the network round trip.
+/// The service time of an attempt and what it is compared with, all excluding the network round trip.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptTiming {
-    /// Time at the server; for a cancelled attempt, until it was cancelled.
-    pub(crate) server_time: Duration,
-    /// The typical time of the request, over all servers.
+    /// The service time; for a cancelled attempt, the time until it was cancelled.
+    pub(crate) service_time: Duration,
+    /// The typical service time of the route, over all servers.
     pub(crate) typical: Duration,
-    /// The median time of the other parts of the same query, if enough of them have ended.
+    /// The median service time of the other parts of the same query, if enough of them have arrived.
     pub(crate) query_median: Option<Duration>,
 }
 
 impl AttemptTiming {
-    /// The time at the server as a multiple of `reference`.
+    /// The service time as a multiple of `reference`.
     fn ratio(&self, reference: Duration) -> f64 {
-        self.server_time.as_secs_f64() / reference.as_secs_f64().max(MIN_REFERENCE_SECONDS)
+        self.service_time.as_secs_f64() / reference.as_secs_f64().max(MIN_REFERENCE_SECONDS)
     }
 
     /// Whether the attempt took much longer than the other parts of its query, whose work is the same.
@@ -108,16 +108,16 @@
     }
 }
 
-/// Moving average of the latency of replies, relative to the typical latency of their routes; 1 is typical.
+/// Moving average of service times, relative to the typical service time of their routes; 1 is typical.
 #[derive(Clone, Copy, Debug)]
-struct LatencyRatio {
+struct ServiceTimeRatio {
     ratio: f64,
     updated_at: Duration,
     /// Half-life of the difference from 1.
     half_life: Duration,
 }
 
-impl LatencyRatio {
+impl ServiceTimeRatio {
     /// The ratio at `now`, decayed towards 1 since the last update.
     fn at(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.updated_at).as_secs_f64();
@@ -129,7 +129,7 @@
 /// The health of one server as this gateway sees it. All times are of one monotonic clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerHealth {
-    latency_ratio: Option<LatencyRatio>,
+    service_time_ratio: Option<ServiceTimeRatio>,
     outstanding: BTreeMap<u64, Outstanding>,
     last_attempt_number: u64,
     last_reply_at: Duration,
@@ -165,7 +165,7 @@
 
     fn half_life(&self) -> Duration {
         let doublings = self.count.saturating_sub(1).min(MAX_HALF_LIFE_DOUBLINGS);
-        LATENCY_HALF_LIFE * 2_u32.pow(doublings)
+        RATIO_HALF_LIFE * 2_u32.pow(doublings)
     }
 }
 
@@ -210,8 +210,8 @@
             AttemptOutcome::Rejected => {
                 self.last_reply_at = now;
                 self.is_suspected = false;
-                let latency_ratio = self.latency_ratio(now) + 2.0;
-                self.update_latency_ratio(now, latency_ratio, LATENCY_WEIGHT);
+                let service_time_ratio = self.service_time_ratio(now) + 2.0;
+                self.update_service_time_ratio(now, service_time_ratio, REPLY_WEIGHT);
             }
             AttemptOutcome::TransportFailed => self.record_failure(now, 1),
             AttemptOutcome::TimedOut => self.record_failure(now, FAILURES_BEFORE_BACKOFF),
@@ -219,36 +219,36 @@
         }
     }
 
-    /// Updates the latency ratio from a successful reply. It is relative to the typical time, so that queueing at all
-    /// servers shows too. If the reply took longer than the other parts of the same query, the cause is this server, so
-    /// the reply gets a higher weight.
+    /// Updates the service time ratio from a successful reply. It is relative to the typical service time, so that
+    /// queueing at all servers shows too. If the reply took longer than the other parts of the same query, the cause is
+    /// this server, so the reply gets a higher weight.
     fn record_reply(&mut self, now: Duration, sent_at: Duration, timing: &AttemptTiming) {
         let is_outlier = timing.is_outlier();
         self.slow_streak.count(now, sent_at, is_outlier);
         let weight = if is_outlier {
             OUTLIER_WEIGHT
         } else {
-            LATENCY_WEIGHT
+            REPLY_WEIGHT
         };
-        self.update_latency_ratio(now, timing.ratio(timing.typical), weight);
+        self.update_service_time_ratio(now, timing.ratio(timing.typical), weight);
     }
 
-    /// Updates the latency ratio from a cancelled attempt. Its duration is a lower bound of the latency, so it is used
-    /// only if it shows that the server is slower than known.
+    /// Updates the service time ratio from a cancelled attempt. Its duration is a lower bound of the service time, so
+    /// it is used only if it shows that the server is slower than known.
     fn record_cancellation(&mut self, now: Duration, sent_at: Duration, timing: &AttemptTiming) {
         let ratio = timing.ratio(timing.typical);
-        if !timing.is_outlier() || ratio <= self.latency_ratio(now) {
+        if !timing.is_outlier() || ratio <= self.service_time_ratio(now) {
             return;
         }
         self.slow_streak.count(now, sent_at, true);
-        self.update_latency_ratio(now, ratio, OUTLIER_WEIGHT);
+        self.update_service_time_ratio(now, ratio, OUTLIER_WEIGHT);
     }
 
-    fn update_latency_ratio(&mut self, now: Duration, latency_ratio: f64, weight: f64) {
-        let current = self.latency_ratio(now);
-        let latency_ratio = latency_ratio.min(MAX_LATENCY_RATIO);
-        let ratio = current + weight * (latency_ratio - current);
-        self.latency_ratio = Some(LatencyRatio {
+    fn update_service_time_ratio(&mut self, now: Duration, service_time_ratio: f64, weight: f64) {
+        let current = self.service_time_ratio(now);
+        let service_time_ratio = service_time_ratio.min(MAX_SERVICE_TIME_RATIO);
+        let ratio = current + weight * (service_time_ratio - current);
+        self.service_time_ratio = Some(ServiceTimeRatio {
             ratio,
             updated_at: now,
             half_life: self.slow_streak.half_life(),
@@ -265,9 +265,10 @@
         self.backoff_until = now + backoff;
     }
 
-    /// Latency of replies relative to the typical latency of their routes; 1 is typical.
-    pub(crate) fn latency_ratio(&self, now: Duration) -> f64 {
-        self.latency_ratio.map_or(1.0, |current| current.at(now))
+    /// Service time of replies relative to the typical service time of their routes; 1 is typical.
+    pub(crate) fn service_time_ratio(&self, now: Duration) -> f64 {
+        self.service_time_ratio
+            .map_or(1.0, |current| current.at(now))
     }
 
     /// Probability that the server fails a request, 0 to 1.
@@ -298,10 +299,10 @@
             .values()
             .min_by_key(|attempt| attempt.sent_at)?;
         let last_progress_at = self.last_reply_at.max(oldest.sent_at);
-        let latency_ratio = self.latency_ratio(now).clamp(1.0, 3.0);
+        let service_time_ratio = self.service_time_ratio(now).clamp(1.0, 3.0);
         let stall_timeout = oldest
             .expected
-            .mul_f64(STALL_RATIO * latency_ratio)
+            .mul_f64(STALL_RATIO * service_time_ratio)
             .max(MIN_STALL_TIMEOUT);
         Some(last_progress_at + stall_timeout)
     }
--- a/crates/sablehaven-gateway/src/servers/health/tests.rs
+++ b/crates/sablehaven-gateway/src/servers/health/tests.rs
@@ -10,19 +10,19 @@
 
 fn timing(milliseconds: u64) -> AttemptTiming {
     AttemptTiming {
-        server_time: ms(milliseconds),
+        service_time: ms(milliseconds),
         typical: ms(20),
         query_median: None,
     }
 }
 
-fn reply(health: &mut ServerHealth, at: u64, latency_ms: u64) {
+fn reply(health: &mut ServerHealth, at: u64, service_time_ms: u64) {
     let attempt = health.record_sent(ms(at), ms(20));
     health.record_end(
-        ms(at + latency_ms),
+        ms(at + service_time_ms),
         attempt,
         AttemptOutcome::Succeeded,
-        &timing(latency_ms),
+        &timing(service_time_ms),
     );
 }
 
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn the_latency_ratio_rises_within_a_few_replies_and_decays_within_seconds() {
+fn the_service_time_ratio_rises_within_a_few_replies_and_decays_within_seconds() {
     let mut health = ServerHealth::default();
     for step in 0..8 {
         reply(&mut health, step * 200, 160);
     }
-    assert!(health.latency_ratio(ms(1_600)) > 5.0);
-    assert!(health.latency_ratio(ms(9_000)) < 1.5);
+    assert!(health.service_time_ratio(ms(1_600)) > 5.0);
+    assert!(health.service_time_ratio(ms(9_000)) < 1.5);
 }
 
 #[test]
@@ -98,11 +98,11 @@
 }
 
 #[test]
-fn outliers_of_a_query_raise_the_latency_ratio_faster() {
+fn outliers_of_a_query_raise_the_service_time_ratio_faster() {
     let mut health = ServerHealth::default();
-    let with_median = |latency_ms| AttemptTiming {
+    let with_median = |service_time_ms| AttemptTiming {
         query_median: Some(ms(20)),
-        ..timing(latency_ms)
+        ..timing(service_time_ms)
     };
     for at in [0, 200] {
         let attempt = health.record_sent(ms(at), ms(20));
@@ -113,11 +113,11 @@
             &with_median(160),
         );
     }
-    assert!(health.latency_ratio(ms(360)) > 5.5);
+    assert!(health.service_time_ratio(ms(360)) > 5.5);
 }
 
 #[test]
-fn queueing_at_all_servers_raises_the_latency_ratio() {
+fn queueing_at_all_servers_raises_the_service_time_ratio() {
     let mut health = ServerHealth::default();
     let queued = AttemptTiming {
         query_median: Some(ms(80)),
@@ -132,7 +132,7 @@
             &queued,
         );
     }
-    assert!(health.latency_ratio(ms(430)) > 3.0);
+    assert!(health.service_time_ratio(ms(430)) > 3.0);
 }
 
 #[test]
@@ -147,35 +147,35 @@
         let attempt = health.record_sent(ms(at * 100), ms(200));
         health.record_end(ms(at * 100 + 50), attempt, AttemptOutcome::Succeeded, &long);
     }
-    assert!((health.latency_ratio(ms(800)) - 1.0).abs() < 0.1);
+    assert!((health.service_time_ratio(ms(800)) - 1.0).abs() < 0.1);
 }
 
 /// A reply that took longer than the other parts of its query.
-fn slow_reply(health: &mut ServerHealth, at: u64, latency_ms: u64) {
+fn slow_reply(health: &mut ServerHealth, at: u64, service_time_ms: u64) {
     let attempt = health.record_sent(ms(at), ms(20));
     health.record_end(
-        ms(at + latency_ms),
+        ms(at + service_time_ms),
         attempt,
         AttemptOutcome::Succeeded,
-        &slow_timing(latency_ms),
+        &slow_timing(service_time_ms),
     );
 }
 
-fn slow_timing(latency_ms: u64) -> AttemptTiming {
+fn slow_timing(service_time_ms: u64) -> AttemptTiming {
     AttemptTiming {
         query_median: Some(ms(20)),
-        ..timing(latency_ms)
+        ..timing(service_time_ms)
     }
 }
 
 #[test]
-fn the_latency_ratio_of_a_repeatedly_slow_server_decays_more_slowly() {
+fn the_service_time_ratio_of_a_repeatedly_slow_server_decays_more_slowly() {
     let mut health = ServerHealth::default();
     slow_reply(&mut health, 0, 160);
-    let after_one = health.latency_ratio(ms(3_160));
+    let after_one = health.service_time_ratio(ms(3_160));
     slow_reply(&mut health, 3_160, 160);
     slow_reply(&mut health, 6_320, 160);
-    let after_three = health.latency_ratio(ms(6_480 + 3_000));
+    let after_three = health.service_time_ratio(ms(6_480 + 3_000));
     assert!(after_one < 2.0, "{after_one}");
     assert!(after_three > 3.5, "{after_three}");
 }
@@ -187,16 +187,16 @@
         .map(|step| health.record_sent(ms(step * 70), ms(20)))
         .collect();
     for (step, attempt) in attempts.into_iter().enumerate() {
-        let latency_ms = 300 - 70 * step as u64;
+        let service_time_ms = 300 - 70 * step as u64;
         health.record_end(
             ms(300),
             attempt,
             AttemptOutcome::Succeeded,
-            &slow_timing(latency_ms),
+            &slow_timing(service_time_ms),
         );
     }
-    let soon = health.latency_ratio(ms(300));
-    let later = health.latency_ratio(ms(1_800));
+    let soon = health.service_time_ratio(ms(300));
+    let later = health.service_time_ratio(ms(1_800));
     assert!(
         (later - 1.0) < 0.51 * (soon - 1.0),
         "{soon} then {later}: must decay as fast as after one slow reply"
@@ -210,13 +210,13 @@
         slow_reply(&mut health, step * 1_000, 160);
     }
     reply(&mut health, 5_000, 20);
-    let soon = health.latency_ratio(ms(5_020));
-    let later = health.latency_ratio(ms(6_520));
+    let soon = health.service_time_ratio(ms(5_020));
+    let later = health.service_time_ratio(ms(6_520));
     assert!((later - 1.0) < 0.51 * (soon - 1.0), "{soon} then {later}");
 }
 
 #[test]
-fn a_late_cancellation_raises_the_latency_ratio() {
+fn a_late_cancellation_raises_the_service_time_ratio() {
     let mut health = ServerHealth::default();
     let attempt = health.record_sent(ms(0), ms(20));
     health.record_end(
@@ -225,13 +225,13 @@
         AttemptOutcome::Cancelled,
         &slow_timing(200),
     );
-    assert!(health.latency_ratio(ms(200)) > 4.0);
+    assert!(health.service_time_ratio(ms(200)) > 4.0);
 }
 
 #[test]
-fn an_early_cancellation_does_not_change_the_latency_ratio() {
+fn an_early_cancellation_does_not_change_the_service_time_ratio() {
     let mut health = ServerHealth::default();
     let attempt = health.record_sent(ms(0), ms(20));
     health.record_end(ms(25), attempt, AttemptOutcome::Cancelled, &slow_timing(25));
-    assert!(health.latency_ratio(ms(25)) < 1.01);
+    assert!(health.service_time_ratio(ms(25)) < 1.01);
 }
--- a/crates/sablehaven-gateway/src/servers/server.rs
+++ b/crates/sablehaven-gateway/src/servers/server.rs
@@ -165,7 +165,7 @@
         Candidate {
             distance: self.distance,
             round_trip: self.round_trip(),
-            latency_ratio: health.latency_ratio(now),
+            service_time_ratio: health.service_time_ratio(now),
             failure_rate: health.failure_rate(now),
             outstanding: health.outstanding(),
             concurrency: self.slots.get().min(self.pool.limit()),
