--- a/crates/sablehaven-gateway/src/crashes/watch.rs
+++ b/crates/sablehaven-gateway/src/crashes/watch.rs
@@ -175,7 +175,7 @@
         if self.has_reply.get() {
             return SendDecision::Send;
         }
-        match self.standing(now) {
+        match self.status(now) {
             CrashStatus::Clear if self.is_on_hold(now) => {
                 SendDecision::Wait(self.add_waiter(spare_servers()))
             }
@@ -226,7 +226,7 @@
 
     /// Whether the request may have several attempts at the same time.
     pub(crate) fn is_clear(&self, now: Duration) -> bool {
-        self.has_reply.get() || self.standing(now) == CrashStatus::Clear
+        self.has_reply.get() || self.status(now) == CrashStatus::Clear
     }
 
     /// Whether every part may send now: a server has replied, or the request is clear and no part is on hold.
@@ -241,8 +241,8 @@
         table.has_crashed_servers(now, self.fingerprint)
     }
 
-    /// The standing of the request in the crash table, which includes its earlier tries.
-    pub(crate) fn standing(&self, now: Duration) -> CrashStatus {
+    /// The status of the request in the crash table, which includes its earlier tries.
+    pub(crate) fn status(&self, now: Duration) -> CrashStatus {
         self.table.borrow().status(now, self.fingerprint)
     }
 
--- a/crates/sablehaven-gateway/src/request/admit.rs
+++ b/crates/sablehaven-gateway/src/request/admit.rs
@@ -164,7 +164,7 @@
     received: &ReceivedRequest,
 ) -> Result<(), Refusal> {
     let watch = &received.crash_watch;
-    let CrashStatus::Quarantined { left: retry_in } = watch.standing(gateway.clock.now()) else {
+    let CrashStatus::Quarantined { left: retry_in } = watch.status(gateway.clock.now()) else {
         return Ok(());
     };
     gateway.metrics.quarantined_requests.inc();
--- a/crates/sablehaven-gateway/src/request/refusal.rs
+++ b/crates/sablehaven-gateway/src/request/refusal.rs
@@ -80,7 +80,7 @@
     /// The refusal of a request that crashes servers, depending on whether a server may have run it this time.
     pub(super) fn after_crashes(accepted: &Accepted, may_have_run: bool) -> Self {
         let now = accepted.gateway.clock.now();
-        let retry_in = match accepted.outgoing.crash_watch.standing(now) {
+        let retry_in = match accepted.outgoing.crash_watch.status(now) {
             CrashStatus::Quarantined { left } => left,
             CrashStatus::Clear | CrashStatus::Suspect => Duration::ZERO,
         };
