--- a/crates/sablehaven-control/src/gateways/mod.rs
+++ b/crates/sablehaven-control/src/gateways/mod.rs
@@ -1,8 +1,8 @@
 //! Gateways: their connections, what they are sent, and which of them callers are told of.
 
-mod crash_board;
+mod advertised;
+mod crash_reports;
 mod encoded;
-mod entry;
 mod members_view;
 mod order;
 mod registry;
--- a/crates/sablehaven-control/src/gateways/registry.rs
+++ b/crates/sablehaven-control/src/gateways/registry.rs
@@ -15,9 +15,9 @@
 use tokio::sync::watch;
 
 use super::{
-    crash_board::CrashBoard,
+    advertised::NamedGateways,
+    crash_reports::CrashBoard,
     encoded::{Encoded, EncodedListings, EncodedRoutes},
-    entry::NamedGateways,
     members_view::MembersView,
     sessions::Sessions,
 };
--- a/crates/sablehaven-control/src/gateways/sessions.rs
+++ b/crates/sablehaven-control/src/gateways/sessions.rs
@@ -10,7 +10,7 @@
 use sablehaven_wire::{GatewayLoad, GatewayStatus};
 
 use super::{
-    entry::{NamedGateways, SubsetSizes},
+    advertised::{NamedGateways, SubsetSizes},
     members_view::GatewaySharers,
     order::{GatewayOrder, GatewayPlace, GatewayReport},
     subset::ZoneLoad,
--- a/crates/sablehaven-control/src/gateways/tests.rs
+++ b/crates/sablehaven-control/src/gateways/tests.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Gateways,
-    entry::{NamedGateways, SubsetSizes},
+    advertised::{NamedGateways, SubsetSizes},
     order::{GatewayOrder, GatewayReport},
     registry::has_settled,
     sessions::Sessions,
