--- a/crates/sablehaven-control/src/gateways/advertised.rs
+++ b/crates/sablehaven-control/src/gateways/advertised.rs
@@ -10,7 +10,7 @@
 
 use super::{
     order::{GatewayOrder, GatewayReport, ZoneGateways},
-    subset::{NamingRank, SubsetSize},
+    subset::{GatewayRank, SubsetSize},
 };
 
 /// The most addresses that a caller is told.
@@ -23,7 +23,7 @@
 pub(super) type SubsetSizes = BTreeMap<ZoneName, SubsetSize>;
 
 /// The gateways that callers may be told of, at one moment.
-pub(super) struct NamedGateways<'a> {
+pub(super) struct AdvertisedGateways<'a> {
     order: &'a GatewayOrder,
     sizes: &'a SubsetSizes,
     now: Instant,
@@ -31,7 +31,7 @@
     is_any_fresh: bool,
 }
 
-impl<'a> NamedGateways<'a> {
+impl<'a> AdvertisedGateways<'a> {
     pub(super) fn new(order: &'a GatewayOrder, sizes: &'a SubsetSizes, now: Instant) -> Self {
         let is_fresh =
             |report: &GatewayReport| report.status.is_ready && report.silent_for(now) < FRESH_LIMIT;
@@ -64,7 +64,7 @@
 
     /// The named gateways of some places, in the order of their ranks, no more than a caller is told.
     fn within(&self, is_near: &dyn Fn(&Placement) -> bool) -> Vec<SocketAddr> {
-        let mut ranks: Vec<NamingRank> = Vec::new();
+        let mut ranks: Vec<GatewayRank> = Vec::new();
         for (name, zone) in self.order.zones() {
             let is_zone_near = zone
                 .values()
@@ -83,9 +83,9 @@
         &self,
         name: &ZoneName,
         zone: &'a ZoneGateways,
-    ) -> impl Iterator<Item = NamingRank> {
+    ) -> impl Iterator<Item = GatewayRank> {
         let size = self.sizes.get(name).copied().unwrap_or_default();
-        let may_be_told = |(_, report): &(&NamingRank, &GatewayReport)| self.may_be_told(report);
+        let may_be_told = |(_, report): &(&GatewayRank, &GatewayReport)| self.may_be_told(report);
         let told = zone.iter().filter(may_be_told);
         told.map(|(rank, _)| *rank).take(size.size())
     }
--- a/crates/sablehaven-control/src/gateways/crash_reports.rs
+++ b/crates/sablehaven-control/src/gateways/crash_reports.rs
@@ -27,7 +27,7 @@
 const UNSENT_REPORTS: usize = 256;
 
 /// The reports of all gateways.
-pub(super) struct CrashBoard {
+pub(super) struct CrashReportStore {
     reports: Mutex<HashMap<RequestFingerprint, HeldReport>>,
     passed_on: Mutex<PassedOn>,
     news: broadcast::Sender<CrashReport>,
@@ -66,7 +66,7 @@
     changed_at: Instant,
 }
 
-impl CrashBoard {
+impl CrashReportStore {
     pub(super) fn new() -> Self {
         Self {
             reports: Mutex::default(),
--- a/crates/sablehaven-control/src/gateways/crash_reports/tests.rs
+++ b/crates/sablehaven-control/src/gateways/crash_reports/tests.rs
@@ -4,7 +4,7 @@
 
 use sablehaven_types::CrashReport;
 
-use super::{CrashBoard, KEPT_REPORTS, MOST_REPORTS_PER_SECOND, PassedOn};
+use super::{CrashReportStore, KEPT_REPORTS, MOST_REPORTS_PER_SECOND, PassedOn};
 
 fn report(fingerprint: u64, lost: u32, crashes: u32) -> CrashReport {
     CrashReport {
@@ -16,7 +16,7 @@
 
 #[test]
 fn what_is_new_is_passed_on_once_and_kept_for_gateways_that_come_later() {
-    let board = CrashBoard::new();
+    let board = CrashReportStore::new();
     let (known, mut news) = board.subscribe();
     assert!(known.is_empty());
     board.take(&[report(1, 3, 0)]);
@@ -30,7 +30,7 @@
 
 #[test]
 fn an_answer_replaces_what_was_seen_before_it() {
-    let board = CrashBoard::new();
+    let board = CrashReportStore::new();
     board.take(&[report(1, 3, 2)]);
     let mut cleared = report(1, 3, 2);
     cleared.clear();
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_number_of_reports_is_bounded() {
-    let board = CrashBoard::new();
+    let board = CrashReportStore::new();
     for fingerprint in 0..2 * KEPT_REPORTS as u64 {
         board.take(&[report(fingerprint, 1, 0)]);
     }
--- a/crates/sablehaven-control/src/gateways/order.rs
+++ b/crates/sablehaven-control/src/gateways/order.rs
@@ -10,7 +10,7 @@
 use sablehaven_types::ZoneName;
 use sablehaven_wire::{GatewayLoad, GatewayStatus};
 
-use super::subset::{NamingRank, naming_rank};
+use super::subset::{GatewayRank, gateway_rank};
 
 /// The latest word of a gateway.
 pub(super) struct GatewayReport {
@@ -31,23 +31,23 @@
 
 /// Where a gateway stands in the order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct GatewayPlace {
+pub(super) struct GatewayKey {
     zone: ZoneName,
-    rank: NamingRank,
+    rank: GatewayRank,
 }
 
-impl GatewayPlace {
+impl GatewayKey {
     /// The place of a gateway with this status.
     pub(super) fn of(status: &GatewayStatus) -> Self {
         Self {
             zone: status.placement.zone.clone(),
-            rank: naming_rank(status.address),
+            rank: gateway_rank(status.address),
         }
     }
 }
 
 /// The gateways of one zone.
-pub(super) type ZoneGateways = BTreeMap<NamingRank, GatewayReport>;
+pub(super) type ZoneGateways = BTreeMap<GatewayRank, GatewayReport>;
 
 /// The gateways by zone and rank.
 #[derive(Default)]
@@ -58,13 +58,13 @@
 impl GatewayOrder {
     /// Puts a report in the place of the gateway's former one.
     pub(super) fn insert(&mut self, report: GatewayReport) {
-        let place = GatewayPlace::of(&report.status);
+        let place = GatewayKey::of(&report.status);
         let zone = self.zones.entry(place.zone).or_default();
         zone.insert(place.rank, report);
     }
 
     /// Forgets a gateway.
-    pub(super) fn remove(&mut self, place: &GatewayPlace) {
+    pub(super) fn remove(&mut self, place: &GatewayKey) {
         let Some(zone) = self.zones.get_mut(&place.zone) else {
             return;
         };
@@ -75,12 +75,12 @@
     }
 
     /// The report of a gateway.
-    pub(super) fn get(&self, place: &GatewayPlace) -> Option<&GatewayReport> {
+    pub(super) fn get(&self, place: &GatewayKey) -> Option<&GatewayReport> {
         self.zones.get(&place.zone)?.get(&place.rank)
     }
 
     /// The same, to be changed.
-    pub(super) fn get_mut(&mut self, place: &GatewayPlace) -> Option<&mut GatewayReport> {
+    pub(super) fn get_mut(&mut self, place: &GatewayKey) -> Option<&mut GatewayReport> {
         self.zones.get_mut(&place.zone)?.get_mut(&place.rank)
     }
 
--- a/crates/sablehaven-control/src/gateways/registry.rs
+++ b/crates/sablehaven-control/src/gateways/registry.rs
@@ -15,8 +15,8 @@
 use tokio::sync::watch;
 
 use super::{
-    advertised::NamedGateways,
-    crash_reports::CrashBoard,
+    advertised::AdvertisedGateways,
+    crash_reports::CrashReportStore,
     encoded::{Encoded, EncodedListings, EncodedRoutes},
     members_view::MembersView,
     sessions::Sessions,
@@ -39,7 +39,7 @@
     listing: watch::Sender<Arc<ServerListing>>,
     members: watch::Sender<MembersView>,
     /// Requests under which servers ended.
-    pub(super) crashes: CrashBoard,
+    pub(super) crashes: CrashReportStore,
     /// The latest routes and listing as they go out, so that many connections share the work.
     encoded_routes: Mutex<EncodedRoutes>,
     encoded_listings: Mutex<EncodedListings>,
@@ -52,7 +52,7 @@
             sessions: Mutex::default(),
             listing: watch::channel(Arc::default()).0,
             members: watch::channel(MembersView::default()).0,
-            crashes: CrashBoard::new(),
+            crashes: CrashReportStore::new(),
             encoded_routes: Mutex::default(),
             encoded_listings: Mutex::default(),
         }
@@ -92,9 +92,9 @@
 
     /// Where a caller of a place is to go: near gateways first, then those of the regions that may serve
     /// what it asks for.
-    pub(crate) fn entry(&self, caller: &Placement, allowed: &AllowedRegions) -> Vec<SocketAddr> {
+    pub(crate) fn resolve(&self, caller: &Placement, allowed: &AllowedRegions) -> Vec<SocketAddr> {
         let sessions = self.lock();
-        let named = NamedGateways::new(&sessions.order, &sessions.sizes, Instant::now());
+        let named = AdvertisedGateways::new(&sessions.order, &sessions.sizes, Instant::now());
         named.near(caller, allowed)
     }
 
@@ -133,7 +133,7 @@
 
     /// Takes a reading of the platform's list; one that says nothing new keeps its number, so that
     /// it is not sent again.
-    pub(crate) fn take_reading(&self, term: u64, servers: Vec<ListedServer>) {
+    pub(crate) fn apply_read_listing(&self, term: u64, servers: Vec<ListedServer>) {
         let servers = ServerListing::latest_starts(servers);
         self.listing.send_if_modified(|held| {
             let mut number = held.number;
@@ -159,7 +159,7 @@
 
     /// Takes a reading of the leader, so that gateways near this replica have it from here, and that the next leader
     /// goes on from it. `false` where it changes a reading that this replica does not have.
-    pub(crate) fn take_update(&self, update: ListingUpdate) -> bool {
+    pub(crate) fn apply_listing_update(&self, update: ListingUpdate) -> bool {
         let mut is_known = true;
         self.listing.send_if_modified(|held| {
             let next = match update {
@@ -197,12 +197,12 @@
     }
 
     /// The number of the latest reading.
-    pub(crate) fn reading_number(&self) -> ListingNumber {
+    pub(crate) fn listing_number(&self) -> ListingNumber {
         self.listing.borrow().number
     }
 
     /// The term of the latest reading.
-    pub(crate) fn reading_term(&self) -> u64 {
+    pub(crate) fn listing_term(&self) -> u64 {
         self.listing.borrow().number.term
     }
 
--- a/crates/sablehaven-control/src/gateways/sessions.rs
+++ b/crates/sablehaven-control/src/gateways/sessions.rs
@@ -10,9 +10,9 @@
 use sablehaven_wire::{GatewayLoad, GatewayStatus};
 
 use super::{
-    advertised::{NamedGateways, SubsetSizes},
+    advertised::{AdvertisedGateways, SubsetSizes},
     members_view::GatewaySharers,
-    order::{GatewayOrder, GatewayPlace, GatewayReport},
+    order::{GatewayKey, GatewayOrder, GatewayReport},
     subset::ZoneLoad,
 };
 
@@ -26,7 +26,7 @@
     pub(super) opened: u64,
     pub(super) latest_opened: Option<Instant>,
     /// Where the gateway of each session stands in the order.
-    places: BTreeMap<u64, GatewayPlace>,
+    places: BTreeMap<u64, GatewayKey>,
     /// The latest report of each gateway.
     pub(super) order: GatewayOrder,
     pub(super) counted_at: Option<Instant>,
@@ -36,7 +36,7 @@
 impl Sessions {
     /// Takes a report; one of a session that a later one of the same gateway has replaced is ignored.
     pub(super) fn take(&mut self, session: u64, status: GatewayStatus) {
-        let place = GatewayPlace::of(&status);
+        let place = GatewayKey::of(&status);
         self.places.insert(session, place.clone());
         let former = self.order.get(&place);
         if former.is_some_and(|report| report.session > session) {
@@ -104,7 +104,7 @@
 
     /// The gateways that share what servers bear: those that are named, and those that still take requests.
     pub(super) fn sharers(&self, now: Instant) -> GatewaySharers {
-        let named = NamedGateways::new(&self.order, &self.sizes, now);
+        let named = AdvertisedGateways::new(&self.order, &self.sizes, now);
         let serves = |report: &GatewayReport| {
             let since = report.served_at.map(|at| now.saturating_duration_since(at));
             since.is_some_and(|since| since < SHARING_TIME)
--- a/crates/sablehaven-control/src/gateways/subset.rs
+++ b/crates/sablehaven-control/src/gateways/subset.rs
@@ -30,10 +30,10 @@
 const SHRINK_PART: f64 = 0.5;
 
 /// The place of a gateway in the order in which the gateways of a zone are named.
-pub(super) type NamingRank = (u64, SocketAddr);
+pub(super) type GatewayRank = (u64, SocketAddr);
 
 /// The rank of a gateway; the address tells equal hashes apart.
-pub(super) fn naming_rank(address: SocketAddr) -> NamingRank {
+pub(super) fn gateway_rank(address: SocketAddr) -> GatewayRank {
     let mut hasher = Xxh3::new();
     match address {
         SocketAddr::V4(address) => hasher.update(&address.ip().octets()),
--- a/crates/sablehaven-control/src/gateways/tests.rs
+++ b/crates/sablehaven-control/src/gateways/tests.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Gateways,
-    advertised::{NamedGateways, SubsetSizes},
+    advertised::{AdvertisedGateways, SubsetSizes},
     order::{GatewayOrder, GatewayReport},
     registry::has_settled,
     sessions::Sessions,
@@ -74,7 +74,7 @@
             served_at: None,
         });
     }
-    let chosen = NamedGateways::new(&order, sizes, now).near(caller, allowed);
+    let chosen = AdvertisedGateways::new(&order, sizes, now).near(caller, allowed);
     let mut ports: Vec<u16> = chosen.iter().map(std::net::SocketAddr::port).collect();
     ports.sort_unstable();
     ports
@@ -260,14 +260,14 @@
 fn a_reading_without_news_keeps_its_number_and_a_new_term_starts_over() {
     let gateways = Gateways::new();
     let number = || gateways.listing().borrow().number;
-    gateways.take_reading(3, vec![listed(900, false)]);
+    gateways.apply_read_listing(3, vec![listed(900, false)]);
     let first = number();
-    gateways.take_reading(3, vec![listed(100, false)]);
+    gateways.apply_read_listing(3, vec![listed(100, false)]);
     assert_eq!(number(), first);
-    gateways.take_reading(3, vec![listed(0, true)]);
+    gateways.apply_read_listing(3, vec![listed(0, true)]);
     let second = number();
     assert!(second > first);
-    gateways.take_reading(4, vec![listed(0, true)]);
+    gateways.apply_read_listing(4, vec![listed(0, true)]);
     assert!(number() > second);
 }
 
@@ -275,11 +275,11 @@
 fn a_server_that_turns_cold_again_is_news_and_one_that_has_become_warm_is_none() {
     let gateways = Gateways::new();
     let number = || gateways.listing().borrow().number;
-    gateways.take_reading(3, vec![listed(900, false)]);
+    gateways.apply_read_listing(3, vec![listed(900, false)]);
     let first = number();
-    gateways.take_reading(3, vec![listed(0, false)]);
+    gateways.apply_read_listing(3, vec![listed(0, false)]);
     assert_eq!(number(), first);
-    gateways.take_reading(3, vec![listed(2_500, false)]);
+    gateways.apply_read_listing(3, vec![listed(2_500, false)]);
     assert!(number() > first);
     let listing = Arc::clone(&gateways.listing().borrow());
     let encoded = gateways.encode_listing(&listing, first).expect("a message");
@@ -313,10 +313,10 @@
     let gateways = Gateways::new();
     let number = || gateways.listing().borrow().number;
     let none = ListingNumber::default();
-    gateways.take_reading(3, vec![listed(0, false)]);
+    gateways.apply_read_listing(3, vec![listed(0, false)]);
     let first = number();
     assert_eq!(listing_message(&gateways, none), "whole");
-    gateways.take_reading(3, vec![listed(0, true)]);
+    gateways.apply_read_listing(3, vec![listed(0, true)]);
     assert_eq!(listing_message(&gateways, first), "change");
     assert_eq!(listing_message(&gateways, none), "whole");
     let of_another = ListingNumber {
@@ -325,8 +325,8 @@
     };
     assert_eq!(listing_message(&gateways, of_another), "whole");
     for _ in 0..4 {
-        gateways.take_reading(3, vec![listed(0, false)]);
-        gateways.take_reading(3, vec![listed(0, true)]);
+        gateways.apply_read_listing(3, vec![listed(0, false)]);
+        gateways.apply_read_listing(3, vec![listed(0, true)]);
     }
     assert_eq!(listing_message(&gateways, first), "whole");
 }
--- a/crates/sablehaven-control/src/leader/listing.rs
+++ b/crates/sablehaven-control/src/leader/listing.rs
@@ -14,13 +14,13 @@
 pub type ServerSourceError = Box<dyn std::error::Error + Send + Sync>;
 
 /// A reading under way.
-pub type ServerReading<'a> =
+pub type ServerListFuture<'a> =
     Pin<Box<dyn Future<Output = Result<Vec<ListedServer>, ServerSourceError>> + Send + 'a>>;
 
 /// Where the list of servers comes from.
 pub trait ServerSource: Send + Sync {
     /// Reads the whole list.
-    fn read(&self) -> ServerReading<'_>;
+    fn read(&self) -> ServerListFuture<'_>;
 }
 
 /// Reads the list while this replica leads, until it stops. The list lags and a reading may fail:
@@ -36,7 +36,7 @@
             _ = ticker.tick() => {}
             Ok(()) = published.changed() => {
                 let is_new_leader = published.borrow_and_update().is_leader()
-                    && context.gateways.reading_term() != published.borrow().term;
+                    && context.gateways.listing_term() != published.borrow().term;
                 if !is_new_leader {
                     continue;
                 }
@@ -51,7 +51,7 @@
         }
         let result = match timeout(READING_TIMEOUT, source.read()).await {
             Ok(Ok(servers)) => {
-                context.gateways.take_reading(term, servers);
+                context.gateways.apply_read_listing(term, servers);
                 Ok(())
             }
             Ok(Err(error)) => Err(error.to_string()),
--- a/crates/sablehaven-control/src/leader/mod.rs
+++ b/crates/sablehaven-control/src/leader/mod.rs
@@ -9,10 +9,10 @@
 mod watchers;
 
 pub(crate) use listing::read_listing;
-pub use listing::{ServerReading, ServerSource, ServerSourceError};
-pub(crate) use observations::{OBSERVATION_QUEUE, propose_observations};
+pub use listing::{ServerListFuture, ServerSource, ServerSourceError};
+pub(crate) use observations::{OBSERVATION_QUEUE_LENGTH, propose_observations};
 pub(crate) use platform::poll_platform;
 pub(crate) use repair::watch_members;
 #[cfg(test)]
-pub(crate) use silence::{LeadingProof, Silence};
+pub(crate) use silence::{LeadershipProof, SilenceTracker};
 pub(crate) use watchers::propose_watchers;
--- a/crates/sablehaven-control/src/leader/observations.rs
+++ b/crates/sablehaven-control/src/leader/observations.rs
@@ -13,7 +13,7 @@
 };
 
 /// Observations that may wait; more are dropped, and agents report again while it matters.
-pub(crate) const OBSERVATION_QUEUE: usize = 16_384;
+pub(crate) const OBSERVATION_QUEUE_LENGTH: usize = 16_384;
 
 /// Time over which observations are gathered: many agents see a rack go at nearly the same moment,
 /// and their reports become one update.
@@ -50,7 +50,7 @@
     let now_ms = clock::unix_ms();
     let is_due = read(&context.state, |state| {
         let membership = state.membership();
-        observations.retain(|observed| membership.is_news(observed, now_ms));
+        observations.retain(|observed| membership.would_change(observed, now_ms));
         !observations.is_empty() || membership.has_expired_suspicion(now_ms)
     });
     if !is_due {
--- a/crates/sablehaven-control/src/leader/repair.rs
+++ b/crates/sablehaven-control/src/leader/repair.rs
@@ -7,7 +7,7 @@
 use sablehaven_wire::AgeClock;
 use tokio::time::{MissedTickBehavior, interval};
 
-use super::silence::{LeadingProof, Silence};
+use super::silence::{LeadershipProof, SilenceTracker};
 use crate::{
     driver::read,
     peers::{PartAnswer, PeerPayload},
@@ -34,7 +34,7 @@
     let election_timeout = context.config.election_timeout();
     let mut ticker = interval(LOOK_INTERVAL.min(election_timeout / 5));
     ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut silence = Silence::new(election_timeout);
+    let mut silence = SilenceTracker::new(election_timeout);
     loop {
         tokio::select! {
             _ = ticker.tick() => {}
@@ -74,7 +74,7 @@
 /// Has a quorum confirm that this replica leads, and answers the members that asked before. `None` if it does not lead.
 async fn look(
     context: &Context,
-    silence: &mut Silence,
+    silence: &mut SilenceTracker,
     probes: &[(ReplicaId, ProbeNumber)],
 ) -> Option<Status> {
     let term = context.published.borrow().term;
@@ -91,7 +91,7 @@
         return None;
     }
     let answering = answering(&status);
-    let proof = LeadingProof {
+    let proof = LeadershipProof {
         term,
         asked_at,
         proven_at,
@@ -99,7 +99,7 @@
     let members = read(&context.state, |state| state.replicas().clone());
     let members = members.replicas().keys().copied();
     let voters = status.membership.voters.iter().copied();
-    silence.proven(proof, members.chain(voters), &answering);
+    silence.record_proof(proof, members.chain(voters), &answering);
     context.quotas.grants().record_leadership(proven_at, term);
     grant(context, &status, &answering, probes);
     Some(status)
@@ -131,7 +131,12 @@
     }
 }
 
-async fn repair(context: &Context, policy: &RepairPolicy, silence: &Silence, status: &Status) {
+async fn repair(
+    context: &Context,
+    policy: &RepairPolicy,
+    silence: &SilenceTracker,
+    status: &Status,
+) {
     let replicas = read(&context.state, |state| state.replicas().clone());
     if replicas.replicas().is_empty() {
         return;
@@ -152,11 +157,11 @@
     }
 }
 
-fn members(replicas: &ReplicasState, silence: &Silence, status: &Status) -> Vec<MemberView> {
+fn members(replicas: &ReplicasState, silence: &SilenceTracker, status: &Status) -> Vec<MemberView> {
     let members = replicas.replicas().iter();
     members
         .map(|(replica, addresses)| {
-            let silent_for = silence.of(*replica);
+            let silent_for = silence.silent_for(*replica);
             let is_self = *replica == status.id;
             MemberView {
                 replica: *replica,
--- a/crates/sablehaven-control/src/leader/silence.rs
+++ b/crates/sablehaven-control/src/leader/silence.rs
@@ -9,7 +9,7 @@
 
 /// A proof that this replica led.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LeadingProof {
+pub(crate) struct LeadershipProof {
     pub(crate) term: u64,
     /// When it was asked for.
     pub(crate) asked_at: Duration,
@@ -19,14 +19,14 @@
 
 /// Since when each member has been silent. Times are steady and count suspension.
 #[derive(Debug)]
-pub(crate) struct Silence {
+pub(crate) struct SilenceTracker {
     /// Longest time that two proofs may be apart.
     longest_gap: Duration,
-    last_proof: Option<LeadingProof>,
+    last_proof: Option<LeadershipProof>,
     last_answers: BTreeMap<ReplicaId, Duration>,
 }
 
-impl Silence {
+impl SilenceTracker {
     /// Two proofs that are further apart than five eighths of an election timeout leave room for members to have missed
     /// the leader meanwhile: those then keep their parts of the quotas without it for the repair patience, so silence
     /// counts from the later one. The rest of the timeout is for the members' answers to each other.
@@ -45,9 +45,9 @@
     }
 
     /// Takes a proof, and the members that answer.
-    pub(crate) fn proven(
+    pub(crate) fn record_proof(
         &mut self,
-        proof: LeadingProof,
+        proof: LeadershipProof,
         members: impl IntoIterator<Item = ReplicaId>,
         answering: &BTreeSet<ReplicaId>,
     ) {
@@ -68,7 +68,7 @@
     }
 
     /// How long a member has been silent as of the latest proof.
-    pub(crate) fn of(&self, member: ReplicaId) -> Duration {
+    pub(crate) fn silent_for(&self, member: ReplicaId) -> Duration {
         let last_answer = self.last_answers.get(&member);
         match (self.last_proof, last_answer) {
             (Some(proof), Some(last)) => proof.proven_at.saturating_sub(*last),
--- a/crates/sablehaven-control/src/leader/silence/tests.rs
+++ b/crates/sablehaven-control/src/leader/silence/tests.rs
@@ -8,59 +8,59 @@
     Duration::from_millis(milliseconds)
 }
 
-fn proof(term: u64, asked_at: u64, proven_at: u64) -> LeadingProof {
-    LeadingProof {
+fn proof(term: u64, asked_at: u64, proven_at: u64) -> LeadershipProof {
+    LeadershipProof {
         term,
         asked_at: at(asked_at),
         proven_at: at(proven_at),
     }
 }
 
-fn prove(silence: &mut Silence, proof: LeadingProof, answering: &[ReplicaId]) {
+fn prove(silence: &mut SilenceTracker, proof: LeadershipProof, answering: &[ReplicaId]) {
     let answering = answering.iter().copied().collect();
-    silence.proven(proof, [A, B], &answering);
+    silence.record_proof(proof, [A, B], &answering);
 }
 
 #[test]
 fn silence_counts_from_the_last_answer() {
-    let mut silence = Silence::new(ELECTION);
+    let mut silence = SilenceTracker::new(ELECTION);
     prove(&mut silence, proof(2, 0, 10), &[A, B]);
     prove(&mut silence, proof(2, 200, 210), &[A]);
     prove(&mut silence, proof(2, 400, 410), &[A]);
-    assert_eq!(silence.of(A), Duration::ZERO);
-    assert_eq!(silence.of(B), at(400));
+    assert_eq!(silence.silent_for(A), Duration::ZERO);
+    assert_eq!(silence.silent_for(B), at(400));
 }
 
 #[test]
 fn a_member_that_never_answered_is_silent_from_the_first_proof() {
-    let mut silence = Silence::new(ELECTION);
+    let mut silence = SilenceTracker::new(ELECTION);
     prove(&mut silence, proof(2, 0, 500), &[A]);
     prove(&mut silence, proof(2, 520, 600), &[A]);
-    assert_eq!(silence.of(B), at(100));
+    assert_eq!(silence.silent_for(B), at(100));
 }
 
 #[test]
 fn silence_counts_anew_after_a_gap_in_the_proofs() {
-    let mut silence = Silence::new(ELECTION);
+    let mut silence = SilenceTracker::new(ELECTION);
     prove(&mut silence, proof(2, 0, 10), &[A]);
     prove(&mut silence, proof(2, 200, 625), &[A]);
-    assert_eq!(silence.of(B), at(615));
+    assert_eq!(silence.silent_for(B), at(615));
     // Asked for soon after the one before, and there late: whoever confirmed it did so in that time.
     prove(&mut silence, proof(2, 630, 826), &[A]);
-    assert_eq!(silence.of(B), Duration::ZERO);
+    assert_eq!(silence.silent_for(B), Duration::ZERO);
     prove(&mut silence, proof(2, 900, 910), &[A]);
-    assert_eq!(silence.of(B), at(84));
+    assert_eq!(silence.silent_for(B), at(84));
 }
 
 #[test]
 fn silence_counts_anew_in_another_term_and_after_leadership_was_lost() {
-    let mut silence = Silence::new(ELECTION);
+    let mut silence = SilenceTracker::new(ELECTION);
     prove(&mut silence, proof(2, 0, 10), &[A]);
     prove(&mut silence, proof(3, 200, 210), &[A]);
-    assert_eq!(silence.of(B), Duration::ZERO);
+    assert_eq!(silence.silent_for(B), Duration::ZERO);
     prove(&mut silence, proof(3, 400, 410), &[A]);
-    assert_eq!(silence.of(B), at(200));
+    assert_eq!(silence.silent_for(B), at(200));
     silence.reset();
     prove(&mut silence, proof(3, 500, 510), &[A]);
-    assert_eq!(silence.of(B), Duration::ZERO);
+    assert_eq!(silence.silent_for(B), Duration::ZERO);
 }
--- a/crates/sablehaven-control/src/lib.rs
+++ b/crates/sablehaven-control/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use config::{Config, PlatformConfig};
 pub use error::StartError;
-pub use leader::{ServerReading, ServerSource, ServerSourceError};
+pub use leader::{ServerListFuture, ServerSource, ServerSourceError};
 pub use quorum_call::QuorumCallError;
 pub use sablehaven_storage::RealDisk;
 pub use server::{Environment, Handle, Listeners, Peers, start, start_in};
--- a/crates/sablehaven-control/src/membership/backend.rs
+++ b/crates/sablehaven-control/src/membership/backend.rs
@@ -61,7 +61,7 @@
         observation.service == self.listed.service && observation.incarnation >= self.incarnation
     }
 
-    pub(super) fn is_news(&self, observed: &AgentObservation, now_ms: u64) -> bool {
+    pub(super) fn would_change(&self, observed: &AgentObservation, now_ms: u64) -> bool {
         if !self.concerns(observed) {
             return false;
         }
--- a/crates/sablehaven-control/src/membership/mod.rs
+++ b/crates/sablehaven-control/src/membership/mod.rs
@@ -93,9 +93,9 @@
     }
 
     /// Whether an observation would change anything; others need not enter the log.
-    pub fn is_news(&self, observed: &AgentObservation, now_ms: u64) -> bool {
+    pub fn would_change(&self, observed: &AgentObservation, now_ms: u64) -> bool {
         let known = self.backends.get(&observed.observation.backend);
-        known.is_some_and(|backend| backend.is_news(observed, now_ms))
+        known.is_some_and(|backend| backend.would_change(observed, now_ms))
     }
 
     /// Records how many agents watch each service; services that are not named have none.
--- a/crates/sablehaven-control/src/peers/listing.rs
+++ b/crates/sablehaven-control/src/peers/listing.rs
@@ -17,7 +17,7 @@
 impl PeerListing {
     /// The latest reading that this replica has.
     pub(super) fn number(&self) -> ListingNumber {
-        self.gateways.reading_number()
+        self.gateways.listing_number()
     }
 
     /// Changes with each reading.
@@ -39,6 +39,6 @@
 
     /// Takes what a leader has sent; `false` where it changes a reading that this replica does not have.
     pub(super) fn take(&self, update: ListingUpdate) -> bool {
-        self.gateways.take_update(update)
+        self.gateways.apply_listing_update(update)
     }
 }
--- a/crates/sablehaven-control/src/quotas/lease.rs
+++ b/crates/sablehaven-control/src/quotas/lease.rs
@@ -9,7 +9,7 @@
 //!   leader that counts this replica as silent therefore started to count after the probe was sent.
 //! - Without a leader, answers from so many members that every quorum contains at least one of them. Each states that it
 //!   has not heard from a leader for an election timeout. A leader's count of silence restarts after such a gap between
-//!   its proofs ([`crate::leader::Silence`]), so that count, too, started after the probe was sent, provided that the
+//!   its proofs ([`crate::leader::SilenceTracker`]), so that count, too, started after the probe was sent, provided that the
 //!   lease was still valid before the renewal.
 //!
 //! The lease runs from the time at which the probe was sent, however long its answers take: answers that are read after
--- a/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
@@ -11,7 +11,7 @@
 use crate::{
     codec,
     driver::RemovalMonitor,
-    leader::{LeadingProof, Silence},
+    leader::{LeadershipProof, SilenceTracker},
     quotas::PartGrants,
     repair::{MemberView, NewcomerView, RepairPolicy, next_change},
     replicas::{ChangePhase, ReplicaAddresses, ReplicasCommand, ReplicasState},
@@ -71,7 +71,7 @@
     pub(super) frozen_until_ms: u64,
     pub(super) inbox: Vec<(ReplicaId, Payload)>,
     pub(super) lease: PartLease,
-    pub(super) silence: Silence,
+    pub(super) silence: SilenceTracker,
     pub(super) grants: Arc<Mutex<PartGrants>>,
     pub(super) removal: RemovalMonitor,
     /// Probes that wait for the next proof of leadership.
@@ -132,11 +132,11 @@
         first_probe_number: u64,
     ) -> Self {
         let mut limits = LeaseLimits::new(at(PATIENCE_MS), at(ELECTION_TIMEOUT_MS));
-        let mut silence = Silence::new(at(ELECTION_TIMEOUT_MS));
+        let mut silence = SilenceTracker::new(at(ELECTION_TIMEOUT_MS));
         match broken {
             BrokenRule::Freshness => limits.answer_window = limits.duration,
             BrokenRule::Expiry => limits.duration = at(RUN_LENGTH_MS),
-            BrokenRule::Gaps => silence = Silence::new(at(RUN_LENGTH_MS)),
+            BrokenRule::Gaps => silence = SilenceTracker::new(at(RUN_LENGTH_MS)),
             BrokenRule::None => {}
         }
         let grants: Arc<Mutex<PartGrants>> = Arc::default();
@@ -298,14 +298,14 @@
         let mut answering: BTreeSet<ReplicaId> = active.map(|(peer, _)| *peer).collect();
         answering.insert(self.id);
         let members: Vec<ReplicaId> = self.state.replicas().keys().copied().collect();
-        let proof = LeadingProof {
+        let proof = LeadershipProof {
             term,
             asked_at: at(started_at_ms),
             proven_at: at(now_ms),
         };
         let voters = status.membership.voters.iter().copied();
         self.silence
-            .proven(proof, members.iter().copied().chain(voters), &answering);
+            .record_proof(proof, members.iter().copied().chain(voters), &answering);
         self.grants
             .lock()
             .expect("grants")
@@ -329,7 +329,7 @@
             .map(|replica| MemberView {
                 replica: *replica,
                 internal: addresses(*replica).internal,
-                silent_for: self.silence.of(*replica),
+                silent_for: self.silence.silent_for(*replica),
             })
             .collect();
         let newcomers: Vec<NewcomerView> = connected
--- a/crates/sablehaven-control/src/routes/service.rs
+++ b/crates/sablehaven-control/src/routes/service.rs
@@ -79,6 +79,6 @@
         });
         self.context
             .gateways
-            .entry(caller, &allowed.unwrap_or_default())
+            .resolve(caller, &allowed.unwrap_or_default())
     }
 }
--- a/crates/sablehaven-control/src/server/start.rs
+++ b/crates/sablehaven-control/src/server/start.rs
@@ -231,7 +231,7 @@
         Arc::clone(&state),
         metrics.clone(),
     ));
-    let (observations, observation_queue) = mpsc::channel(leader::OBSERVATION_QUEUE);
+    let (observations, observation_queue) = mpsc::channel(leader::OBSERVATION_QUEUE_LENGTH);
     let context = Arc::new(Context {
         replica,
         driver: driver_handle,
--- a/crates/sablehaven-control/tests/listing.rs
+++ b/crates/sablehaven-control/tests/listing.rs
@@ -4,7 +4,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use sablehaven_control::{ServerReading, ServerSource};
+use sablehaven_control::{ServerListFuture, ServerSource};
 use sablehaven_types::{ListedServer, ListingNumber, ListingUpdate};
 use support::{Cluster, gateway::Gateway};
 
@@ -31,7 +31,7 @@
 }
 
 impl ServerSource for ChangingList {
-    fn read(&self) -> ServerReading<'_> {
+    fn read(&self) -> ServerListFuture<'_> {
         let servers = self.servers.lock().expect("the list").clone();
         Box::pin(std::future::ready(Ok(servers)))
     }
