--- a/crates/sablehaven-control/src/gateways/crash_reports.rs
+++ b/crates/sablehaven-control/src/gateways/crash_reports.rs
@@ -1,7 +1,8 @@
-//! What gateways have reported of requests that take servers down, passed on to all of them.
+//! Crash reports: requests that crash the servers that execute them. Each gateway reports what it has observed, and the
+//! merged reports are forwarded to all gateways.
 //!
-//! Kept in memory only: gateways say all that they know at the start of each connection, so a replica that has lost
-//! everything knows it again as soon as one gateway that knows it has connected.
+//! The reports are kept in memory only. A gateway sends every report it has at the start of each connection, so a
+//! replica that has restarted gets a report back as soon as one gateway that has it connects.
 
 use std::{
     collections::HashMap,
@@ -12,40 +13,42 @@
 use sablehaven_types::{CrashReport, RequestFingerprint, fingerprint_text};
 use tokio::sync::broadcast;
 
-/// Requests that are kept; beyond them the one that changed longest ago is forgotten. Four times what a gateway keeps.
-const KEPT_REPORTS: usize = 1_024;
-/// Time after which a report is forgotten: as long as gateways keep it.
-const REPORTS_KEPT: Duration = Duration::from_secs(2 * 60 * 60);
-/// Messages with reports that a replica sends in a second, to all gateways together: about what it sends as signs of
-/// life to 7,000 gateways. What is not passed on goes out when a gateway connects, or with the request's next report.
+/// Maximum number of stored reports; beyond it the least recently changed one is evicted. Four times the number that a
+/// gateway keeps.
+const MAXIMUM_REPORTS: usize = 1_024;
+/// Time after the last change until a report expires; gateways keep it for the same time.
+const REPORT_LIFETIME: Duration = Duration::from_secs(2 * 60 * 60);
+/// Crash report messages that a replica sends per second to all gateways together: about as many as the keep-alive
+/// messages it sends to 7,000 gateways. A report that is not forwarded reaches a gateway when that gateway connects, or
+/// with the next report of the same request.
 const MESSAGES_PER_SECOND: u32 = 14_000;
-/// Least reports that are passed on in a second, however many gateways there are.
-const LEAST_REPORTS_PER_SECOND: u32 = 4;
-/// Most reports that are passed on in a second, however few gateways there are.
-const MOST_REPORTS_PER_SECOND: u32 = 100;
-/// Reports that a gateway's connection may be behind; one that is further behind is told everything anew.
-const UNSENT_REPORTS: usize = 256;
+/// Minimum number of reports that may be forwarded per second, however many gateways are connected.
+const MINIMUM_REPORTS_PER_SECOND: u32 = 4;
+/// Maximum number of reports that are forwarded per second, however few gateways are connected.
+const MAXIMUM_REPORTS_PER_SECOND: u32 = 100;
+/// Number of reports by which a gateway's connection may lag; one that lags further is sent all stored reports again.
+const BROADCAST_CAPACITY: usize = 256;
 
-/// The reports of all gateways.
+/// The merged crash reports of all gateways.
 pub(super) struct CrashReportStore {
-    reports: Mutex<HashMap<RequestFingerprint, HeldReport>>,
-    passed_on: Mutex<PassedOn>,
-    news: broadcast::Sender<CrashReport>,
+    reports: Mutex<HashMap<RequestFingerprint, StoredReport>>,
+    forward_window: Mutex<ForwardWindow>,
+    updates: broadcast::Sender<CrashReport>,
 }
 
-/// Reports that were passed on in the second that began last.
-struct PassedOn {
-    since: Instant,
+/// Number of reports forwarded in the current interval of one second.
+struct ForwardWindow {
+    started_at: Instant,
     count: u32,
 }
 
-impl PassedOn {
-    /// Counts a report; `false` when the second has had enough. Reports of lost connections leave half to those of
-    /// crashes.
-    fn count(&mut self, now: Instant, limit: u32, report: &CrashReport) -> bool {
-        if now.saturating_duration_since(self.since) >= Duration::from_secs(1) {
+impl ForwardWindow {
+    /// Counts a report; returns `false` if the limit for this second is reached. Reports of lost connections only may
+    /// use half of the limit; the other half is reserved for reports of crashes.
+    fn try_count(&mut self, now: Instant, limit: u32, report: &CrashReport) -> bool {
+        if now.saturating_duration_since(self.started_at) >= Duration::from_secs(1) {
             *self = Self {
-                since: now,
+                started_at: now,
                 count: 0,
             };
         }
@@ -54,14 +57,14 @@
         } else {
             limit
         };
-        let has_room = self.count < limit;
-        self.count += u32::from(has_room);
-        has_room
+        let is_within_limit = self.count < limit;
+        self.count += u32::from(is_within_limit);
+        is_within_limit
     }
 }
 
 #[derive(Clone, Copy)]
-struct HeldReport {
+struct StoredReport {
     report: CrashReport,
     changed_at: Instant,
 }
@@ -70,83 +73,87 @@
     pub(super) fn new() -> Self {
         Self {
             reports: Mutex::default(),
-            passed_on: Mutex::new(PassedOn {
-                since: Instant::now(),
+            forward_window: Mutex::new(ForwardWindow {
+                started_at: Instant::now(),
                 count: 0,
             }),
-            news: broadcast::channel(UNSENT_REPORTS).0,
+            updates: broadcast::channel(BROADCAST_CAPACITY).0,
         }
     }
 
-    /// Takes reports; what is new in them goes to every gateway.
-    pub(super) fn take(&self, reports: &[CrashReport]) {
+    /// Merges reports into the stored ones and forwards each one that changes to every gateway.
+    pub(super) fn record(&self, reports: &[CrashReport]) {
         for report in reports {
             if let Some(merged) = self.merge(report) {
                 log::info!(
                     event = "crash_report", target:% = fingerprint_text(merged.fingerprint),
                     revision = merged.revision, lost = merged.lost, crashes = merged.crashes;
-                    "servers end when they run a request"
+                    "crash report of a request has changed"
                 );
-                self.pass_on(merged);
+                self.forward(merged);
             }
         }
     }
 
-    fn pass_on(&self, report: CrashReport) {
-        let gateways = u32::try_from(self.news.receiver_count()).unwrap_or(u32::MAX);
+    fn forward(&self, report: CrashReport) {
+        let gateways = u32::try_from(self.updates.receiver_count()).unwrap_or(u32::MAX);
         let limit = MESSAGES_PER_SECOND / gateways.max(1);
-        let limit = limit.clamp(LEAST_REPORTS_PER_SECOND, MOST_REPORTS_PER_SECOND);
-        let mut passed_on = self
-            .passed_on
+        let limit = limit.clamp(MINIMUM_REPORTS_PER_SECOND, MAXIMUM_REPORTS_PER_SECOND);
+        let mut forward_window = self
+            .forward_window
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if passed_on.count(Instant::now(), limit, &report) {
-            // Without gateways nobody hears it.
-            let _ = self.news.send(report);
+        if forward_window.try_count(Instant::now(), limit, &report) {
+            // Fails only when no gateway is connected.
+            let _ = self.updates.send(report);
         }
     }
 
-    /// The report with what was known before, unless it says nothing new.
+    /// Merges a report into the stored one; returns the merged report, or `None` if nothing changed.
     fn merge(&self, report: &CrashReport) -> Option<CrashReport> {
-        let mut held = self.lock();
+        let mut stored = self.lock();
         let now = Instant::now();
-        if !held.contains_key(&report.fingerprint) {
-            make_room(&mut held, now);
+        if !stored.contains_key(&report.fingerprint) {
+            evict_if_full(&mut stored, now);
         }
-        let known = held.entry(report.fingerprint).or_insert(HeldReport {
+        let entry = stored.entry(report.fingerprint).or_insert(StoredReport {
             report: CrashReport::new(report.fingerprint),
             changed_at: now,
         });
-        if !known.report.merge(report) {
+        if !entry.report.merge(report) {
             return None;
         }
-        known.changed_at = now;
-        Some(known.report)
+        entry.changed_at = now;
+        Some(entry.report)
     }
 
-    /// Everything that is known, and what comes from now on.
+    /// Returns all stored reports and a receiver for later changes.
     pub(super) fn subscribe(&self) -> (Vec<CrashReport>, broadcast::Receiver<CrashReport>) {
-        let news = self.news.subscribe();
-        let held = self.lock();
-        (held.values().map(|held| held.report).collect(), news)
+        let updates = self.updates.subscribe();
+        let stored = self.lock();
+        (
+            stored.values().map(|stored| stored.report).collect(),
+            updates,
+        )
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<RequestFingerprint, HeldReport>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<RequestFingerprint, StoredReport>> {
         self.reports.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn make_room(held: &mut HashMap<RequestFingerprint, HeldReport>, now: Instant) {
-    if held.len() < KEPT_REPORTS {
+/// Makes room for one report: removes expired reports if the store is full, or else the least recently changed one.
+fn evict_if_full(stored: &mut HashMap<RequestFingerprint, StoredReport>, now: Instant) {
+    if stored.len() < MAXIMUM_REPORTS {
         return;
     }
-    held.retain(|_, each| now.saturating_duration_since(each.changed_at) < REPORTS_KEPT);
-    if held.len() < KEPT_REPORTS {
+    stored.retain(|_, each| now.saturating_duration_since(each.changed_at) < REPORT_LIFETIME);
+    if stored.len() < MAXIMUM_REPORTS {
         return;
     }
-    let oldest = held.iter().min_by_key(|(_, each)| each.changed_at);
+    let oldest = stored.iter().min_by_key(|(_, each)| each.changed_at);
     if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
-        held.remove(&fingerprint);
+        stored.remove(&fingerprint);
     }
 }
 
--- a/crates/sablehaven-control/src/gateways/crash_reports/tests.rs
+++ b/crates/sablehaven-control/src/gateways/crash_reports/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of passing on reports.
+//! Tests of storing and forwarding crash reports.
 
 use std::time::{Duration, Instant};
 
 use sablehaven_types::CrashReport;
 
-use super::{CrashReportStore, KEPT_REPORTS, MOST_REPORTS_PER_SECOND, PassedOn};
+use super::{CrashReportStore, ForwardWindow, MAXIMUM_REPORTS, MAXIMUM_REPORTS_PER_SECOND};
 
 fn report(fingerprint: u64, lost: u32, crashes: u32) -> CrashReport {
     CrashReport {
@@ -15,51 +15,57 @@
 }
 
 #[test]
-fn what_is_new_is_passed_on_once_and_kept_for_gateways_that_come_later() {
-    let board = CrashReportStore::new();
-    let (known, mut news) = board.subscribe();
-    assert!(known.is_empty());
-    board.take(&[report(1, 3, 0)]);
-    board.take(&[report(1, 2, 2), report(1, 3, 1)]);
-    assert_eq!(news.try_recv(), Ok(report(1, 3, 0)));
-    assert_eq!(news.try_recv(), Ok(report(1, 3, 2)));
-    assert!(news.try_recv().is_err(), "a repeat is no news");
-    let (known, _) = board.subscribe();
-    assert_eq!(known, [report(1, 3, 2)]);
+fn a_changed_report_is_forwarded_once_and_kept_for_gateways_that_connect_later() {
+    let store = CrashReportStore::new();
+    let (stored, mut updates) = store.subscribe();
+    assert!(stored.is_empty());
+    store.record(&[report(1, 3, 0)]);
+    store.record(&[report(1, 2, 2), report(1, 3, 1)]);
+    assert_eq!(updates.try_recv(), Ok(report(1, 3, 0)));
+    assert_eq!(updates.try_recv(), Ok(report(1, 3, 2)));
+    assert!(
+        updates.try_recv().is_err(),
+        "a repeated report is not forwarded"
+    );
+    let (stored, _) = store.subscribe();
+    assert_eq!(stored, [report(1, 3, 2)]);
 }
 
 #[test]
-fn an_answer_replaces_what_was_seen_before_it() {
-    let board = CrashReportStore::new();
-    board.take(&[report(1, 3, 2)]);
+fn a_cleared_report_replaces_the_failures_counted_before_it() {
+    let store = CrashReportStore::new();
+    store.record(&[report(1, 3, 2)]);
     let mut cleared = report(1, 3, 2);
     cleared.clear();
-    board.take(&[cleared]);
-    board.take(&[report(1, 9, 9)]);
-    assert_eq!(board.subscribe().0, [cleared]);
+    store.record(&[cleared]);
+    store.record(&[report(1, 9, 9)]);
+    assert_eq!(store.subscribe().0, [cleared]);
 }
 
 #[test]
-fn the_number_of_reports_is_bounded() {
-    let board = CrashReportStore::new();
-    for fingerprint in 0..2 * KEPT_REPORTS as u64 {
-        board.take(&[report(fingerprint, 1, 0)]);
+fn the_number_of_stored_reports_is_bounded() {
+    let store = CrashReportStore::new();
+    for fingerprint in 0..2 * MAXIMUM_REPORTS as u64 {
+        store.record(&[report(fingerprint, 1, 0)]);
     }
-    assert_eq!(board.subscribe().0.len(), KEPT_REPORTS);
+    assert_eq!(store.subscribe().0.len(), MAXIMUM_REPORTS);
 }
 
 #[test]
-fn lost_connections_leave_room_for_crashes_and_each_second_has_its_own() {
-    let limit = MOST_REPORTS_PER_SECOND;
-    let since = Instant::now();
-    let mut passed_on = PassedOn { since, count: 0 };
-    let mut pass = |at: Instant, report: &CrashReport| {
-        let passed = (0..2 * limit).filter(|_| passed_on.count(at, limit, report));
-        passed.count() as u32
+fn loss_reports_use_half_of_the_limit_and_each_second_starts_a_new_one() {
+    let limit = MAXIMUM_REPORTS_PER_SECOND;
+    let started_at = Instant::now();
+    let mut forward_window = ForwardWindow {
+        started_at,
+        count: 0,
     };
-    assert_eq!(pass(since, &report(1, 1, 0)), limit / 2);
-    assert_eq!(pass(since, &report(1, 1, 1)), limit / 2);
-    assert_eq!(pass(since, &report(1, 1, 1)), 0);
-    let later = since + Duration::from_secs(1);
-    assert_eq!(pass(later, &report(1, 1, 1)), limit);
+    let mut forward = |at: Instant, report: &CrashReport| {
+        let forwarded = (0..2 * limit).filter(|_| forward_window.try_count(at, limit, report));
+        forwarded.count() as u32
+    };
+    assert_eq!(forward(started_at, &report(1, 1, 0)), limit / 2);
+    assert_eq!(forward(started_at, &report(1, 1, 1)), limit / 2);
+    assert_eq!(forward(started_at, &report(1, 1, 1)), 0);
+    let later = started_at + Duration::from_secs(1);
+    assert_eq!(forward(later, &report(1, 1, 1)), limit);
 }
--- a/crates/sablehaven-control/src/gateways/encoded.rs
+++ b/crates/sablehaven-control/src/gateways/encoded.rs
@@ -1,4 +1,4 @@
-//! Messages to gateways that are encoded once and sent on many connections.
+//! Listings and routes for gateways, encoded once and sent on many connections.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -7,27 +7,28 @@
 };
 use sablehaven_wire::{ControlToGateway, EncodedMessage};
 
-/// Former readings of the list that are kept. Gateways are sent each new one at once, so nearly all have the
-/// one before it; a few more are for those that were slow to take it.
-const KEPT_READINGS: usize = 4;
-/// Former versions of the routes that are kept, for the same reason; each may take some megabytes.
-const KEPT_VERSIONS: usize = 4;
+/// Maximum number of former listings that are kept as bases of changes. Every new listing is sent to the gateways
+/// immediately, so nearly all of them have the previous one; the others serve gateways that were slow to receive it.
+const MAXIMUM_FORMER_LISTINGS: usize = 4;
+/// Maximum number of former versions of the routes that are kept, for the same reason; each may take some megabytes.
+const MAXIMUM_FORMER_ROUTES: usize = 4;
 
-/// An encoded message; clones share the bytes.
+/// An encoded message; clones share its bytes.
 pub(super) type Encoded = Arc<EncodedMessage<ControlToGateway>>;
 
-/// Encodes a message; `None`, with a line in the log, if that cannot be done.
+/// Encodes a message; logs the error and returns `None` on failure.
 pub(super) fn encode(message: &ControlToGateway) -> Option<Encoded> {
     match EncodedMessage::new(message) {
         Ok(encoded) => Some(Arc::new(encoded)),
         Err(error) => {
-            log::error!("encode message to gateways: {error}");
+            log::error!("encoding a message to gateways failed: {error}");
             None
         }
     }
 }
 
-/// Messages that lead to one number, by the number from which they lead; `None` is for whoever has any other.
+/// Encoded messages that bring a gateway to the version `number`, keyed by the version on which they are based. The
+/// base `None` is the complete state, for gateways with any other version or with none.
 #[derive(Default)]
 struct MessagesByBase<Number> {
     number: Number,
@@ -35,7 +36,7 @@
 }
 
 impl<Number: Copy + PartialEq> MessagesByBase<Number> {
-    /// The message from `base` to `number`, encoded once.
+    /// Returns the message from `base` to `number`, which is encoded on first use.
     fn find_or_encode(
         &mut self,
         number: Number,
@@ -56,93 +57,97 @@
     }
 }
 
-/// The latest listing as it goes to gateways, by the reading that they have.
+/// Encoded messages with the latest listing, by the listing that the receiver holds.
 #[derive(Default)]
 pub(super) struct EncodedListings {
-    /// Former readings of this replica, the oldest first.
+    /// Former listings of this replica, oldest first.
     former: VecDeque<Arc<ServerListing>>,
     messages: MessagesByBase<ListingNumber>,
 }
 
 impl EncodedListings {
-    /// Keeps a reading that is no longer the latest.
-    pub(super) fn remember(&mut self, former: Arc<ServerListing>) {
+    /// Keeps a listing that has been replaced as a base for changes.
+    pub(super) fn retain_former(&mut self, former: Arc<ServerListing>) {
         self.former.push_back(former);
-        if self.former.len() > KEPT_READINGS {
+        if self.former.len() > MAXIMUM_FORMER_LISTINGS {
             self.former.pop_front();
         }
     }
 
-    /// The message that brings a gateway from the reading `held` to `listing`.
+    /// Returns the message that brings a gateway from the listing numbered `held` to `listing`.
     pub(super) fn encode(
         &mut self,
         listing: &Arc<ServerListing>,
         held: ListingNumber,
     ) -> Option<Encoded> {
-        let base = self.known(held).cloned();
+        let base = self.find_former(held).cloned();
         let from = base.as_ref().map(|base| base.number);
-        let message = || match update(base.as_ref(), listing) {
+        let message = || match update_between(base.as_ref(), listing) {
             ListingUpdate::Whole(listing) => ControlToGateway::Listing(listing),
             ListingUpdate::Change(change) => ControlToGateway::ListingChange(change),
         };
         self.messages.find_or_encode(listing.number, from, message)
     }
 
-    /// What brings a receiver from the reading `held` to `listing`.
+    /// Returns the update that brings a receiver from the listing numbered `held` to `listing`.
     pub(super) fn update(
         &self,
         listing: &Arc<ServerListing>,
         held: ListingNumber,
     ) -> ListingUpdate {
-        update(self.known(held), listing)
+        update_between(self.find_former(held), listing)
     }
 
-    /// The former reading of this number. Before its first reading a receiver must be told all, so that it knows
-    /// that it has one.
-    fn known(&self, held: ListingNumber) -> Option<&Arc<ServerListing>> {
-        let is_first = held == ListingNumber::default();
+    /// Finds the former listing with the number `held`. The default number means that the receiver has no listing yet;
+    /// it must be sent the complete listing, so that it knows that it has one.
+    fn find_former(&self, held: ListingNumber) -> Option<&Arc<ServerListing>> {
+        let has_none = held == ListingNumber::default();
         let mut former = self.former.iter();
-        former.find(|former| !is_first && former.number == held)
+        former.find(|former| !has_none && former.number == held)
     }
 }
 
-fn update(base: Option<&Arc<ServerListing>>, listing: &Arc<ServerListing>) -> ListingUpdate {
+fn update_between(
+    base: Option<&Arc<ServerListing>>,
+    listing: &Arc<ServerListing>,
+) -> ListingUpdate {
     match base {
         Some(base) => ListingUpdate::Change(ListingChange::between(base, listing)),
         None => ListingUpdate::Whole(Arc::clone(listing)),
     }
 }
 
-/// The latest routes as they go to gateways, by the version that they have.
+/// Encoded messages with the latest routes, by the version that the gateway holds.
 #[derive(Default)]
 pub(super) struct EncodedRoutes {
     latest: Option<Arc<RouteDocument>>,
-    /// Versions that were in force before, the oldest first.
+    /// Former versions, oldest first.
     former: VecDeque<Arc<RouteDocument>>,
     messages: MessagesByBase<u64>,
 }
 
 impl EncodedRoutes {
-    /// Takes the version in force; the one before it is kept for a while, since gateways still have it.
-    pub(super) fn take(&mut self, document: &Arc<RouteDocument>) {
+    /// Sets the version in force, unless it is not newer than the known one. The replaced version is kept for a while as
+    /// a base for changes, since gateways still hold it.
+    pub(super) fn set_latest(&mut self, document: &Arc<RouteDocument>) {
         let latest = self.latest.as_ref().map(|latest| latest.version);
         if latest.is_some_and(|latest| latest >= document.version) {
             return;
         }
         self.former
             .extend(self.latest.replace(Arc::clone(document)));
-        if self.former.len() > KEPT_VERSIONS {
+        if self.former.len() > MAXIMUM_FORMER_ROUTES {
             self.former.pop_front();
         }
     }
 
-    /// The message that brings a gateway from the version `held` to the one in force.
+    /// Returns the message that brings a gateway from the version `held` to the one in force; `None` if the gateway has it.
     pub(super) fn encode(&mut self, held: u64) -> Option<Encoded> {
         let latest = self.latest.as_ref()?;
         if latest.version <= held {
             return None;
         }
-        // Before its first version a gateway has 0, which is none that was ever kept.
+        // Version 0 means that the gateway has no routes yet; no kept version can be its base.
         let mut former = self.former.iter();
         let base = former.find(|former| held > 0 && former.version == held);
         let from = base.map(|base| base.version);
--- a/crates/sablehaven-control/src/gateways/members_view.rs
+++ b/crates/sablehaven-control/src/gateways/members_view.rs
@@ -1,4 +1,4 @@
-//! Who takes part, as gateways are told.
+//! The members of the deployment, as they are sent to gateways.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,19 +8,20 @@
 use sablehaven_types::ZoneName;
 use sablehaven_wire::DeploymentMembers;
 
-/// Who takes part, as this replica sees it.
+/// The members of the deployment that this replica knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct MembersView {
+    /// Addresses of the control replicas for internal connections.
     pub(super) controls: BTreeSet<SocketAddr>,
-    /// Gateways by zone that share what servers bear.
+    /// Number of gateways in each zone that share the capacity of the servers.
     pub(super) counts: BTreeMap<ZoneName, u32>,
-    /// The same gateways by their addresses, as far as they are connected.
+    /// Addresses of those of these gateways that are connected.
     pub(super) sharers: BTreeSet<SocketAddr>,
 }
 
 impl MembersView {
-    /// What the gateway at an address is told.
-    pub(super) fn told_to(&self, gateway: SocketAddr) -> DeploymentMembers {
+    /// Returns the members message for the gateway at an address.
+    pub(super) fn members_for(&self, gateway: SocketAddr) -> DeploymentMembers {
         DeploymentMembers {
             controls: self.controls.clone(),
             gateways: self.counts.clone(),
@@ -29,11 +30,11 @@
     }
 }
 
-/// The gateways that share what servers bear.
+/// The gateways that share the capacity of the servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct GatewaySharers {
-    /// By zone; some of the counted ones may be about to become ready.
+    /// Number of gateways in each zone; includes gateways that are expected to become ready soon.
     pub(super) counts: BTreeMap<ZoneName, u32>,
-    /// By address.
+    /// Their addresses.
     pub(super) addresses: BTreeSet<SocketAddr>,
 }
--- a/crates/sablehaven-control/src/gateways/mod.rs
+++ b/crates/sablehaven-control/src/gateways/mod.rs
@@ -1,4 +1,4 @@
-//! Gateways: their connections, what they are sent, and which of them callers are told of.
+//! Gateways: their connections, the state that they are sent, and the selection of those that are advertised to callers.
 
 mod advertised;
 mod crash_reports;
--- a/crates/sablehaven-control/src/gateways/order.rs
+++ b/crates/sablehaven-control/src/gateways/order.rs
@@ -1,6 +1,7 @@
-//! The gateways by zone, each zone's in the order in which callers are told of them.
+//! The latest report of each gateway, by zone and by the rank in which gateways are advertised.
 //!
-//! Kept in order, since callers look up often and a sort of all gateways for each look-up grows with the fleet.
+//! The order is maintained on each report: callers look gateways up often, and sorting all gateways for each look-up
+//! would cost more the larger the fleet is.
 
 use std::{
     collections::BTreeMap,
@@ -12,24 +13,26 @@
 
 use super::subset::{GatewayRank, gateway_rank};
 
-/// The latest word of a gateway.
+/// The latest status and load of a gateway.
 pub(super) struct GatewayReport {
+    /// The connection that sent it.
     pub(super) session: u64,
     pub(super) status: GatewayStatus,
     pub(super) load: GatewayLoad,
-    pub(super) heard_at: Instant,
-    /// When it last served callers, by what it and the others of its zone said.
-    pub(super) served_at: Option<Instant>,
+    /// When it last sent its status or load.
+    pub(super) last_report_at: Instant,
+    /// When it last counted as serving callers, judged by its attempts compared with others of its zone.
+    pub(super) last_served_at: Option<Instant>,
 }
 
 impl GatewayReport {
-    /// How long it has been silent.
+    /// Time since the last message.
     pub(super) fn silent_for(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.heard_at)
+        now.saturating_duration_since(self.last_report_at)
     }
 }
 
-/// Where a gateway stands in the order.
+/// Key of a gateway in [`GatewayOrder`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct GatewayKey {
     zone: ZoneName,
@@ -37,7 +40,7 @@
 }
 
 impl GatewayKey {
-    /// The place of a gateway with this status.
+    /// Returns the key of the gateway with this status.
     pub(super) fn of(status: &GatewayStatus) -> Self {
         Self {
             zone: status.placement.zone.clone(),
@@ -46,55 +49,55 @@
     }
 }
 
-/// The gateways of one zone.
+/// The reports of one zone's gateways, by rank.
 pub(super) type ZoneGateways = BTreeMap<GatewayRank, GatewayReport>;
 
-/// The gateways by zone and rank.
+/// The reports of all gateways, by zone and rank.
 #[derive(Default)]
 pub(super) struct GatewayOrder {
     zones: BTreeMap<ZoneName, ZoneGateways>,
 }
 
 impl GatewayOrder {
-    /// Puts a report in the place of the gateway's former one.
+    /// Inserts a report; replaces the gateway's former one.
     pub(super) fn insert(&mut self, report: GatewayReport) {
-        let place = GatewayKey::of(&report.status);
-        let zone = self.zones.entry(place.zone).or_default();
-        zone.insert(place.rank, report);
+        let key = GatewayKey::of(&report.status);
+        let zone = self.zones.entry(key.zone).or_default();
+        zone.insert(key.rank, report);
     }
 
-    /// Forgets a gateway.
-    pub(super) fn remove(&mut self, place: &GatewayKey) {
-        let Some(zone) = self.zones.get_mut(&place.zone) else {
+    /// Removes a gateway, and its zone if that has no other.
+    pub(super) fn remove(&mut self, key: &GatewayKey) {
+        let Some(zone) = self.zones.get_mut(&key.zone) else {
             return;
         };
-        zone.remove(&place.rank);
+        zone.remove(&key.rank);
         if zone.is_empty() {
-            self.zones.remove(&place.zone);
+            self.zones.remove(&key.zone);
         }
     }
 
-    /// The report of a gateway.
-    pub(super) fn get(&self, place: &GatewayKey) -> Option<&GatewayReport> {
-        self.zones.get(&place.zone)?.get(&place.rank)
+    /// Returns the report of a gateway.
+    pub(super) fn get(&self, key: &GatewayKey) -> Option<&GatewayReport> {
+        self.zones.get(&key.zone)?.get(&key.rank)
     }
 
-    /// The same, to be changed.
-    pub(super) fn get_mut(&mut self, place: &GatewayKey) -> Option<&mut GatewayReport> {
-        self.zones.get_mut(&place.zone)?.get_mut(&place.rank)
+    /// Returns the report of a gateway for modification.
+    pub(super) fn get_mut(&mut self, key: &GatewayKey) -> Option<&mut GatewayReport> {
+        self.zones.get_mut(&key.zone)?.get_mut(&key.rank)
     }
 
-    /// The zones that have gateways.
+    /// Iterates over the zones that have gateways.
     pub(super) fn zones(&self) -> impl Iterator<Item = (&ZoneName, &ZoneGateways)> {
         self.zones.iter()
     }
 
-    /// All reports.
+    /// Iterates over all reports.
     pub(super) fn reports(&self) -> impl Iterator<Item = &GatewayReport> {
         self.zones.values().flat_map(BTreeMap::values)
     }
 
-    /// All reports, to be changed.
+    /// Iterates over all reports for modification.
     pub(super) fn reports_mut(&mut self) -> impl Iterator<Item = &mut GatewayReport> {
         self.zones.values_mut().flat_map(BTreeMap::values_mut)
     }
--- a/crates/sablehaven-control/src/gateways/registry.rs
+++ b/crates/sablehaven-control/src/gateways/registry.rs
@@ -1,4 +1,4 @@
-//! The gateways that are connected to this replica.
+//! The gateways that are connected to this replica, and the state that is distributed to them.
 
 use std::{
     collections::BTreeSet,
@@ -22,25 +22,26 @@
     sessions::Sessions,
 };
 
-/// Least time after the start in which gateways connect; before its end the picture is not whole, and
-/// callers that were told of a few gateways would all go there.
-const LEAST_SETTLING: Duration = Duration::from_millis(600);
-/// Time without a new gateway after which all have connected.
-const QUIET_TIME: Duration = Duration::from_millis(350);
-/// Longest time until what is there is taken for whole.
-const LONGEST_SETTLING: Duration = Duration::from_secs(3);
-/// Time between two counts of the gateways: each looks at all of them, and hundreds report twice a second.
+/// Minimum time after the start that gateways are given to connect. Until it is over many may be missing, and callers
+/// that were sent only a few addresses would all go to those gateways.
+const MINIMUM_SETTLING_TIME: Duration = Duration::from_millis(600);
+/// Time without a new gateway connection after which all gateways are assumed to have connected.
+const QUIET_PERIOD: Duration = Duration::from_millis(350);
+/// Maximum time after the start until the connected gateways are assumed to be all.
+const MAXIMUM_SETTLING_TIME: Duration = Duration::from_secs(3);
+/// Minimum time between two counts of the gateways: a count visits all of them, and hundreds report twice a second.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The connected gateways, and what they are to be told; cheap to share.
+/// The connected gateways, and the listing, members and crash reports that they are sent. All methods take `&self`, so it
+/// is shared behind an [`Arc`].
 pub(crate) struct Gateways {
     started_at: Instant,
     sessions: Mutex<Sessions>,
     listing: watch::Sender<Arc<ServerListing>>,
     members: watch::Sender<MembersView>,
-    /// Requests under which servers ended.
-    pub(super) crashes: CrashReportStore,
-    /// The latest routes and listing as they go out, so that many connections share the work.
+    /// Requests that crashed the servers that executed them.
+    pub(super) crash_reports: CrashReportStore,
+    /// The latest routes and listing in encoded form, so that each message is encoded once for many connections.
     encoded_routes: Mutex<EncodedRoutes>,
     encoded_listings: Mutex<EncodedListings>,
 }
@@ -52,54 +53,57 @@
             sessions: Mutex::default(),
             listing: watch::channel(Arc::default()).0,
             members: watch::channel(MembersView::default()).0,
-            crashes: CrashReportStore::new(),
+            crash_reports: CrashReportStore::new(),
             encoded_routes: Mutex::default(),
             encoded_listings: Mutex::default(),
         }
     }
 
-    /// Whether gateways have had the time to connect since this replica started.
+    /// Whether gateways have had time to connect since this replica started; see [`has_settled`].
     pub(crate) fn is_settled(&self) -> bool {
-        let latest = self.lock().latest_opened;
+        let last_opened_at = self.lock().last_opened_at;
         let since_start = self.started_at.elapsed();
-        has_settled(since_start, latest.map(|latest| latest.elapsed()))
+        has_settled(since_start, last_opened_at.map(|at| at.elapsed()))
     }
 
-    pub(super) fn open(&self) -> u64 {
+    /// Starts the session of a gateway connection and returns its number.
+    pub(super) fn open_session(&self) -> u64 {
         let mut sessions = self.lock();
-        sessions.opened += 1;
-        sessions.latest_opened = Some(Instant::now());
-        sessions.opened
+        sessions.opened_count += 1;
+        sessions.last_opened_at = Some(Instant::now());
+        sessions.opened_count
     }
 
-    /// Takes a gateway's status.
-    pub(super) fn report(&self, session: u64, status: GatewayStatus) {
-        self.lock().take(session, status);
+    /// Records a gateway's status.
+    pub(super) fn record_status(&self, session: u64, status: GatewayStatus) {
+        self.lock().record_status(session, status);
         self.count_gateways();
     }
 
-    /// Takes a gateway's sign of life.
-    pub(super) fn report_load(&self, session: u64, load: GatewayLoad) {
-        self.lock().take_load(session, load);
+    /// Records the load in a gateway's keep-alive message.
+    pub(super) fn record_load(&self, session: u64, load: GatewayLoad) {
+        self.lock().record_load(session, load);
         self.count_gateways();
     }
 
-    /// A gateway's connection has ended.
-    pub(super) fn close(&self, session: u64) {
+    /// Removes the session of a gateway connection that has ended.
+    pub(super) fn close_session(&self, session: u64) {
         self.lock().remove(session);
         self.count_gateways();
     }
 
-    /// Where a caller of a place is to go: near gateways first, then those of the regions that may serve
-    /// what it asks for.
+    /// Returns the addresses of the gateways that a caller at a placement should use: those of the nearest scope that has
+    /// any, where `allowed` are the regions that may serve its request.
     pub(crate) fn resolve(&self, caller: &Placement, allowed: &AllowedRegions) -> Vec<SocketAddr> {
         let sessions = self.lock();
-        let named = AdvertisedGateways::new(&sessions.order, &sessions.sizes, Instant::now());
-        named.near(caller, allowed)
+        let advertised =
+            AdvertisedGateways::new(&sessions.order, &sessions.subset_sizes, Instant::now());
+        advertised.nearest(caller, allowed)
     }
 
-    /// Gateways share what servers bear by their number, so a picture that is not whole yet would make
-    /// each of them take too much.
+    /// Updates the subset sizes and the members, at most once per interval. Gateways divide the capacity of the servers
+    /// by the number of sharers, so nothing is counted before the gateways have had time to connect: too low a count
+    /// would make each gateway use too much.
     fn count_gateways(&self) {
         if !self.is_settled() {
             return;
@@ -111,38 +115,39 @@
             return;
         }
         sessions.counted_at = Some(now);
-        sessions.resize(now);
+        sessions.update_subset_sizes(now);
         let sharers = sessions.sharers(now);
         drop(sessions);
         self.members.send_if_modified(|members| {
-            let is_new = members.counts != sharers.counts || members.sharers != sharers.addresses;
+            let is_changed =
+                members.counts != sharers.counts || members.sharers != sharers.addresses;
             members.counts = sharers.counts;
             members.sharers = sharers.addresses;
-            is_new
+            is_changed
         });
     }
 
-    /// Takes the addresses of the control replicas.
+    /// Sets the addresses of the control replicas.
     pub(crate) fn set_controls(&self, controls: BTreeSet<SocketAddr>) {
         self.members.send_if_modified(|members| {
-            let is_new = members.controls != controls;
+            let is_changed = members.controls != controls;
             members.controls = controls;
-            is_new
+            is_changed
         });
     }
 
-    /// Takes a reading of the platform's list; one that says nothing new keeps its number, so that
-    /// it is not sent again.
+    /// Applies the server list that the leader of `term` has read from the platform. A list without changes keeps the
+    /// number of the former one, so that it is not sent again.
     pub(crate) fn apply_read_listing(&self, term: u64, servers: Vec<ListedServer>) {
         let servers = ServerListing::latest_starts(servers);
         self.listing.send_if_modified(|held| {
             let mut number = held.number;
-            // A later leader's reading has come meanwhile.
+            // A listing of a later leader has arrived meanwhile.
             if term < number.term {
                 return false;
             }
-            if number.term == term && !is_news(&held.servers, &servers) {
-                // Whether a server turns cold anew is told from the latest reading.
+            if number.term == term && !has_changes(&held.servers, &servers) {
+                // Whether a server has become cold again is detected by comparison with the latest list.
                 *held = Arc::new(ServerListing { number, servers });
                 return false;
             }
@@ -157,8 +162,8 @@
         });
     }
 
-    /// Takes a reading of the leader, so that gateways near this replica have it from here, and that the next leader
-    /// goes on from it. `false` where it changes a reading that this replica does not have.
+    /// Applies a listing sent by the leader, so that gateways near this replica get it from here, and so that the next
+    /// leader continues from it. Returns `false` if it is a change to a listing that this replica does not have.
     pub(crate) fn apply_listing_update(&self, update: ListingUpdate) -> bool {
         let mut is_known = true;
         self.listing.send_if_modified(|held| {
@@ -178,7 +183,8 @@
         is_known
     }
 
-    /// What brings another replica from the reading `held` to the latest; `None` where it has that.
+    /// Returns the update that brings another replica from the listing numbered `held` to the latest one, and the number
+    /// of the latter; `None` if the replica has it already.
     pub(crate) fn listing_update(
         &self,
         held: ListingNumber,
@@ -190,37 +196,39 @@
         })
     }
 
-    /// Puts a reading in the place of the latest one, which gateways may still have.
+    /// Replaces the latest listing, and keeps the former one as a base for changes, since gateways may still have it.
     fn replace(&self, held: &mut Arc<ServerListing>, next: Arc<ServerListing>) {
         let former = std::mem::replace(held, next);
-        self.encoded_listings().remember(former);
+        self.encoded_listings().retain_former(former);
     }
 
-    /// The number of the latest reading.
+    /// Returns the number of the latest listing.
     pub(crate) fn listing_number(&self) -> ListingNumber {
         self.listing.borrow().number
     }
 
-    /// The term of the latest reading.
+    /// Returns the term of the latest listing.
     pub(crate) fn listing_term(&self) -> u64 {
         self.listing.borrow().number.term
     }
 
+    /// Returns a receiver for the latest listing.
     pub(crate) fn listing(&self) -> watch::Receiver<Arc<ServerListing>> {
         self.listing.subscribe()
     }
 
+    /// Returns a receiver for the members of the deployment.
     pub(super) fn members(&self) -> watch::Receiver<MembersView> {
         self.members.subscribe()
     }
 
-    /// Takes the routes in force, so that later ones go out as what differs from them.
-    pub(super) fn take_routes(&self, routes: &Arc<RouteDocument>) {
-        self.encoded_routes().take(routes);
+    /// Sets the routes in force, so that later ones can be sent as changes to them.
+    pub(super) fn set_latest_routes(&self, routes: &Arc<RouteDocument>) {
+        self.encoded_routes().set_latest(routes);
     }
 
-    /// The routes in force as they go to a gateway that has the version `held`: what has changed since, or all of them
-    /// where this replica does not know that version. `None` where the gateway has them.
+    /// Encodes the routes in force for a gateway that has the version `held`: as a change, or completely if this replica
+    /// does not have that version. Returns `None` if the gateway has them already.
     pub(super) fn encode_routes(&self, held: u64) -> Option<Encoded> {
         self.encoded_routes().encode(held)
     }
@@ -231,8 +239,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The listing as it goes to a gateway that has the reading `held`: what has changed since, or all of it
-    /// where this replica does not know that reading.
+    /// Encodes the listing for a gateway that has the listing numbered `held`: as a change, or completely if this replica
+    /// does not have that listing.
     pub(super) fn encode_listing(
         &self,
         listing: &Arc<ServerListing>,
@@ -252,14 +260,15 @@
     }
 }
 
-/// Whether gateways have had the time to connect, and no new one has come for a while.
-pub(super) fn has_settled(since_start: Duration, since_latest: Option<Duration>) -> bool {
-    let is_quiet = since_latest.is_some_and(|since| since >= QUIET_TIME);
-    since_start >= LONGEST_SETTLING || (since_start >= LEAST_SETTLING && is_quiet)
+/// Whether gateways have had time to connect: after the maximum settling time, or after the minimum one if no gateway has
+/// connected for the quiet period.
+pub(super) fn has_settled(since_start: Duration, since_last_opened: Option<Duration>) -> bool {
+    let is_quiet = since_last_opened.is_some_and(|since| since >= QUIET_PERIOD);
+    since_start >= MAXIMUM_SETTLING_TIME || (since_start >= MINIMUM_SETTLING_TIME && is_quiet)
 }
 
-/// Whether a reading says something that the former one did not.
-fn is_news(former: &[ListedServer], next: &[ListedServer]) -> bool {
+/// Whether a list of servers differs from the former one in a way that gateways must know.
+fn has_changes(former: &[ListedServer], next: &[ListedServer]) -> bool {
     let mut pairs = former.iter().zip(next);
     former.len() != next.len() || pairs.any(|(former, next)| next.is_news_after(former))
 }
--- a/crates/sablehaven-control/src/gateways/session.rs
+++ b/crates/sablehaven-control/src/gateways/session.rs
@@ -1,4 +1,4 @@
-//! One connection of a gateway.
+//! The connection of a gateway: receives its messages and hands its requests to the [`Writer`].
 
 mod writer;
 
@@ -16,60 +16,63 @@
 use self::writer::Writer;
 use crate::{quotas::ReplySender, server::Context};
 
-/// A gateway that is silent for so long is gone.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
-/// Requests of a gateway that wait until what was sent before has been taken; it asks twice a second at most.
-const WAITING_REQUESTS: usize = 8;
+/// Time without a message after which the connection is closed.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Requests of a gateway that may wait while earlier messages are being written; it sends two per second at most.
+const REQUEST_QUEUE_LENGTH: usize = 8;
 
-/// Answers to requests for tokens that wait until what was sent before has been taken. Beyond them the gateway has long
-/// asked elsewhere.
-const WAITING_REPLIES: usize = 256;
+/// Batches of token replies that may wait while earlier messages are being written. Further ones are dropped: by then the
+/// gateway has asked another replica.
+const REPLY_QUEUE_LENGTH: usize = 256;
 
-/// Errors of a gateway's connection.
+/// Errors of a gateway connection.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub(crate) enum GatewaySessionError {
     /// {0}
     Wire(#[from] WireError),
-    /// connection of gateway {peer}: no message in time
-    Silent {
-        /// The gateway.
+    /// gateway {peer} sent no message within the timeout
+    ReceiveTimeout {
+        /// The address of the gateway.
         peer: String,
     },
-    /// send to gateway {peer}: not taken in time
-    Slow {
-        /// The gateway.
+    /// sending to gateway {peer} timed out
+    SendTimeout {
+        /// The address of the gateway.
         peer: String,
     },
 }
 
-/// What a gateway asks for.
+/// A request of a gateway.
 enum GatewayRequest {
-    /// Routes that are newer than this version.
+    /// The routes, if they are newer than this version.
     Routes(u64),
-    /// What leads from this reading of the list to the latest.
+    /// The update from the listing with this number to the latest one.
     Listing(ListingNumber),
-    /// To be told who takes part, or no more.
+    /// Whether to send the members of the deployment from now on.
     Prefer(bool),
 }
 
-/// Serves a gateway until its connection ends: takes its status, tells it which versions there are as they change,
-/// and sends the routes, the list of servers and the members that it asks for.
+/// Serves a gateway until its connection ends: records its status, announces the versions of the routes and the listing
+/// as they change, and sends the routes, the listing and the members that it requests.
 pub(crate) async fn serve_gateway(
     context: Arc<Context>,
     connection: Connection<GatewayToControl, ControlToGateway>,
 ) {
-    let session = context.gateways.open();
+    let session = context.gateways.open_session();
     let peer = connection.peer_address.to_string();
-    let (reported, status) = watch::channel(None);
-    let (asked, requests) = mpsc::channel(WAITING_REQUESTS);
-    let (replying, replies) = mpsc::channel(WAITING_REPLIES);
-    let answers = GatewayAnswers { asked, replying };
-    let reader = take_messages(
+    let (status_sender, status) = watch::channel(None);
+    let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE_LENGTH);
+    let (reply_sender, replies) = mpsc::channel(REPLY_QUEUE_LENGTH);
+    let queues = WriterQueues {
+        request_sender,
+        reply_sender,
+    };
+    let reader = receive_messages(
         &context,
         session,
         connection.reader,
-        reported,
-        answers,
+        status_sender,
+        queues,
         &peer,
     );
     let writer = Writer::new(
@@ -77,62 +80,65 @@
         connection.peer_address,
         connection.writer,
     );
-    let ended = tokio::select! {
-        ended = reader => ended,
-        ended = writer.run(status, requests, replies) => ended,
+    let result = tokio::select! {
+        result = reader => result,
+        result = writer.run(status, requests, replies) => result,
     };
-    context.gateways.close(session);
-    if let Err(error) = ended {
+    context.gateways.close_session(session);
+    if let Err(error) = result {
         log::info!("{error}");
     }
 }
 
-async fn take_messages(
+/// Receives messages until the connection fails or times out.
+async fn receive_messages(
     context: &Context,
     session: u64,
     mut reader: FrameReader<GatewayToControl>,
-    reported: watch::Sender<Option<GatewayStatus>>,
-    answers: GatewayAnswers,
+    status_sender: watch::Sender<Option<GatewayStatus>>,
+    queues: WriterQueues,
     peer: &str,
 ) -> Result<(), GatewaySessionError> {
-    // Known with the first status, which comes first.
+    // Set by the status, which is the first message on the connection.
     let mut distance = Distance::Zone;
     let mut counted_bytes = 0;
     loop {
-        let Ok(received) = timeout(SILENCE_LIMIT, reader.receive()).await else {
+        let Ok(received) = timeout(SILENCE_TIMEOUT, reader.receive()).await else {
             let peer = peer.to_owned();
-            return Err(GatewaySessionError::Silent { peer });
+            return Err(GatewaySessionError::ReceiveTimeout { peer });
         };
         let name = match received? {
             GatewayToControl::Status(status) => {
                 distance = Distance::between(&context.config.placement, &status.placement);
-                context.gateways.report(session, status.clone());
-                reported.send_replace(Some(status));
+                context.gateways.record_status(session, status.clone());
+                status_sender.send_replace(Some(status));
                 "status"
             }
             GatewayToControl::Alive(load) => {
-                context.gateways.report_load(session, load);
+                context.gateways.record_load(session, load);
                 "gateway_alive"
             }
             GatewayToControl::Crashes(reports) => {
-                context.gateways.crashes.take(&reports);
+                context.gateways.crash_reports.record(&reports);
                 "crashes"
             }
             GatewayToControl::FetchRoutes(held) => {
-                answers.ask(GatewayRequest::Routes(held)).await;
+                queues.enqueue_request(GatewayRequest::Routes(held)).await;
                 "fetch_routes"
             }
             GatewayToControl::FetchListing(held) => {
-                answers.ask(GatewayRequest::Listing(held)).await;
+                queues.enqueue_request(GatewayRequest::Listing(held)).await;
                 "fetch_listing"
             }
             GatewayToControl::TakeTokens(requests) => {
-                let replies = context.quotas.take(&requests, &answers.replying);
-                answers.reply(context, replies);
+                let replies = context.quotas.take(&requests, &queues.reply_sender);
+                queues.enqueue_replies(context, replies);
                 "take_tokens"
             }
             GatewayToControl::Prefer(is_preferred) => {
-                answers.ask(GatewayRequest::Prefer(is_preferred)).await;
+                queues
+                    .enqueue_request(GatewayRequest::Prefer(is_preferred))
+                    .await;
                 "prefer"
             }
         };
@@ -144,24 +150,24 @@
     }
 }
 
-/// The way from what a gateway asks to the connection's writer.
-struct GatewayAnswers {
-    asked: mpsc::Sender<GatewayRequest>,
-    replying: ReplySender,
+/// Queues from the receiving side of the connection to its writer.
+struct WriterQueues {
+    request_sender: mpsc::Sender<GatewayRequest>,
+    reply_sender: ReplySender,
 }
 
-impl GatewayAnswers {
-    /// The writer ends with the connection, and this with it.
-    async fn ask(&self, request: GatewayRequest) {
-        let _ = self.asked.send(request).await;
+impl WriterQueues {
+    /// Sending fails only if the writer has ended; the connection ends then as well.
+    async fn enqueue_request(&self, request: GatewayRequest) {
+        let _ = self.request_sender.send(request).await;
     }
 
-    /// Never waits: others' requests for tokens are behind this one.
-    fn reply(&self, context: &Context, replies: Vec<TokenReply>) {
+    /// Never waits, since further token requests are queued behind this one; replies are dropped if the queue is full.
+    fn enqueue_replies(&self, context: &Context, replies: Vec<TokenReply>) {
         if replies.is_empty() {
             return;
         }
-        if self.replying.try_send(replies).is_err() {
+        if self.reply_sender.try_send(replies).is_err() {
             context.metrics.token_replies_dropped.inc();
         }
     }
--- a/crates/sablehaven-control/src/gateways/session/writer.rs
+++ b/crates/sablehaven-control/src/gateways/session/writer.rs
@@ -1,4 +1,4 @@
-//! What is sent to one gateway.
+//! The sending side of a gateway connection.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,32 +17,33 @@
 use super::{GatewayRequest, GatewaySessionError};
 use crate::{driver::read, server::Context};
 
-/// Time between two signs of life towards a gateway.
+/// Time between two keep-alive messages to a gateway.
 const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time that one write may take.
+/// Maximum time for the write of one message.
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Writes to one gateway.
+/// Sends messages to one gateway.
 pub(super) struct Writer {
     context: Arc<Context>,
     peer: String,
     writer: FrameWriter<ControlToGateway>,
-    /// How far the gateway is; known with its first status.
+    /// Distance to the gateway; set from its first status.
     distance: Distance,
-    /// Bytes that the metrics have counted.
+    /// Sent bytes that are already counted in the metrics.
     counted_bytes: u64,
-    /// The latest word of which versions this replica has.
+    /// The versions that were last announced to the gateway.
     sent_versions: StateVersions,
+    /// Revision of the evacuated zones that the gateway has.
     sent_evacuation: u64,
-    /// Whether the gateway hears from this replica who takes part.
+    /// Whether the gateway wants the members of the deployment from this replica.
     is_preferred: bool,
     sent_members: Option<DeploymentMembers>,
-    /// Where callers reach the gateway; known with its first status.
+    /// Address at which callers reach the gateway; set from its first status.
     address: SocketAddr,
 }
 
 impl Writer {
-    /// A writer that has sent nothing yet.
+    /// Creates a writer for a new connection.
     pub(super) fn new(
         context: Arc<Context>,
         peer: SocketAddr,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Sends what changes and what the gateway asks for, until the connection fails.
+    /// Sends state changes and the replies to the gateway's requests until the connection fails.
     pub(super) async fn run(
         mut self,
         mut status: watch::Receiver<Option<GatewayStatus>>,
@@ -72,7 +73,7 @@
         let mut published = self.context.published.clone();
         let mut listing = self.context.gateways.listing();
         let mut members = self.context.gateways.members();
-        let (known_crashes, mut crashes) = self.context.gateways.crashes.subscribe();
+        let (stored_reports, mut crash_reports) = self.context.gateways.crash_reports.subscribe();
         if let Ok(first) = status.wait_for(Option::is_some).await
             && let Some(first) = &*first
         {
@@ -85,7 +86,7 @@
             .await?;
         let mut alive = interval(ALIVE_INTERVAL);
         alive.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        self.send_crashes(known_crashes).await?;
+        self.send_crash_reports(stored_reports).await?;
         loop {
             self.send_evacuation().await?;
             self.send_versions().await?;
@@ -102,26 +103,26 @@
                     }
                 },
                 Ok(()) = members.changed(), if self.is_preferred => {
-                    let members = members.borrow_and_update().told_to(self.address);
+                    let members = members.borrow_and_update().members_for(self.address);
                     self.send_members(members).await?;
                 }
-                report = crashes.recv() => {
+                report = crash_reports.recv() => {
                     let reports = match report {
                         Ok(report) => vec![report],
                         Err(RecvError::Lagged(_) | RecvError::Closed) => {
-                            let (known, news) = self.context.gateways.crashes.subscribe();
-                            crashes = news;
-                            known
+                            let (stored, updates) = self.context.gateways.crash_reports.subscribe();
+                            crash_reports = updates;
+                            stored
                         }
                     };
-                    self.send_crashes(reports).await?;
+                    self.send_crash_reports(reports).await?;
                 }
                 _ = alive.tick() => self.send("alive", &ControlToGateway::Alive).await?,
             }
         }
     }
 
-    /// Sends the evacuated zones that the gateway lacks. They are few and urgent, so every replica does.
+    /// Sends the evacuated zones if the gateway has an older revision. They are few and urgent, so every replica sends them.
     async fn send_evacuation(&mut self) -> Result<(), GatewaySessionError> {
         let zones = read(&self.context.state, |state| {
             let zones = state.evacuation().zones();
@@ -135,15 +136,15 @@
         self.send("evacuation", &message).await
     }
 
-    /// Says which versions this replica has, where that has changed.
+    /// Announces the versions of the routes and the listing that this replica has, if they have changed.
     async fn send_versions(&mut self) -> Result<(), GatewaySessionError> {
         let versions = self.versions();
         if versions == self.sent_versions {
             return Ok(());
         }
-        // Every session does, so that the replica knows each version that it may have told of.
+        // Every session does this, so that each announced version is later available as the base of a change.
         if let Some(routes) = self.routes() {
-            self.context.gateways.take_routes(&routes);
+            self.context.gateways.set_latest_routes(&routes);
         }
         self.sent_versions = versions;
         self.send("versions", &ControlToGateway::Versions(versions))
@@ -165,11 +166,11 @@
         Arc::clone(&self.context.gateways.listing().borrow())
     }
 
-    /// Sends the routes where they are newer than what the gateway has, and the evacuated zones before them.
+    /// Sends the routes if they are newer than the version `held`, and the evacuated zones before them.
     async fn send_routes(&mut self, held: u64) -> Result<(), GatewaySessionError> {
         self.send_evacuation().await?;
         if let Some(routes) = self.routes() {
-            self.context.gateways.take_routes(&routes);
+            self.context.gateways.set_latest_routes(&routes);
         }
         match self.context.gateways.encode_routes(held) {
             Some(encoded) => self.send_encoded("routes", &encoded).await,
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Sends what leads from the reading that the gateway has to the latest one.
+    /// Sends the update from the listing numbered `held` to the latest one.
     async fn send_listing(&mut self, held: ListingNumber) -> Result<(), GatewaySessionError> {
         let listing = self.listing();
         if listing.number <= held {
@@ -189,9 +190,12 @@
         }
     }
 
-    /// Sends what is known of requests under which servers ended. Every replica does: each gateway must hear it before the
-    /// same request comes to it, also while it has lost some of the replicas.
-    async fn send_crashes(&mut self, reports: Vec<CrashReport>) -> Result<(), GatewaySessionError> {
+    /// Sends crash reports. Every replica sends them: each gateway must have a report before it receives the same request,
+    /// even while it has no connection to some of the replicas.
+    async fn send_crash_reports(
+        &mut self,
+        reports: Vec<CrashReport>,
+    ) -> Result<(), GatewaySessionError> {
         if reports.is_empty() {
             return Ok(());
         }
@@ -199,19 +203,19 @@
             .await
     }
 
-    /// Sends all answers to requests for tokens that wait.
+    /// Sends all waiting token replies in one message.
     async fn send_tokens(
         &mut self,
-        mut first: Vec<TokenReply>,
+        mut batch: Vec<TokenReply>,
         replies: &mut mpsc::Receiver<Vec<TokenReply>>,
     ) -> Result<(), GatewaySessionError> {
         while let Ok(more) = replies.try_recv() {
-            first.extend(more);
+            batch.extend(more);
         }
-        self.send("tokens", &ControlToGateway::Tokens(first)).await
+        self.send("tokens", &ControlToGateway::Tokens(batch)).await
     }
 
-    /// Sends who takes part, unless that says what the gateway was told already.
+    /// Sends the members of the deployment, unless they are the same as those sent last.
     async fn send_members(
         &mut self,
         members: DeploymentMembers,
@@ -229,7 +233,7 @@
         name: &'static str,
         message: &ControlToGateway,
     ) -> Result<(), GatewaySessionError> {
-        within_limit(&self.peer, self.writer.send(message)).await?;
+        with_send_timeout(&self.peer, self.writer.send(message)).await?;
         self.count_bytes(name);
         Ok(())
     }
@@ -243,11 +247,12 @@
             self.writer.feed_encoded(message).await?;
             self.writer.flush().await
         };
-        within_limit(&self.peer, sending).await?;
+        with_send_timeout(&self.peer, sending).await?;
         self.count_bytes(name);
         Ok(())
     }
 
+    /// Adds the bytes sent since the last call to the metrics, under the name of the message.
     fn count_bytes(&mut self, name: &'static str) {
         let bytes = self.writer.sent_bytes();
         let metrics = &self.context.metrics;
@@ -256,13 +261,13 @@
     }
 }
 
-async fn within_limit(
+async fn with_send_timeout(
     peer: &str,
     sending: impl Future<Output = Result<(), WireError>>,
 ) -> Result<(), GatewaySessionError> {
     match timeout(SEND_TIMEOUT, sending).await {
         Ok(result) => Ok(result?),
-        Err(_) => Err(GatewaySessionError::Slow {
+        Err(_) => Err(GatewaySessionError::SendTimeout {
             peer: peer.to_owned(),
         }),
     }
--- a/crates/sablehaven-control/src/gateways/sessions.rs
+++ b/crates/sablehaven-control/src/gateways/sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of gateways, and what each gateway has said last.
+//! The sessions of gateways, the latest report of each gateway, and the sizes of the advertised subsets.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,29 +16,31 @@
     subset::ZoneLoad,
 };
 
-/// Time for which a gateway that has taken requests shares what servers bear, named or not: about as long
-/// as it keeps its connections to them.
-const SHARING_TIME: Duration = Duration::from_secs(10);
+/// Time for which a gateway that has served requests counts as a sharer of the servers' capacity, whether it is advertised
+/// or not: about as long as it keeps its connections to them.
+const SHARING_DURATION: Duration = Duration::from_secs(10);
 
-/// The sessions of gateways, and what each gateway has said last.
+/// The sessions of gateways, the latest report of each gateway, and the sizes of the advertised subsets.
 #[derive(Default)]
 pub(super) struct Sessions {
-    pub(super) opened: u64,
-    pub(super) latest_opened: Option<Instant>,
-    /// Where the gateway of each session stands in the order.
-    places: BTreeMap<u64, GatewayKey>,
+    /// Number of sessions opened so far; also the number of the latest one.
+    pub(super) opened_count: u64,
+    pub(super) last_opened_at: Option<Instant>,
+    /// The key of each session's gateway in `order`.
+    keys: BTreeMap<u64, GatewayKey>,
     /// The latest report of each gateway.
     pub(super) order: GatewayOrder,
+    /// When the gateways were last counted.
     pub(super) counted_at: Option<Instant>,
-    pub(super) sizes: SubsetSizes,
+    pub(super) subset_sizes: SubsetSizes,
 }
 
 impl Sessions {
-    /// Takes a report; one of a session that a later one of the same gateway has replaced is ignored.
-    pub(super) fn take(&mut self, session: u64, status: GatewayStatus) {
-        let place = GatewayKey::of(&status);
-        self.places.insert(session, place.clone());
-        let former = self.order.get(&place);
+    /// Records a status. It is ignored if a later session of the same gateway has replaced this one.
+    pub(super) fn record_status(&mut self, session: u64, status: GatewayStatus) {
+        let key = GatewayKey::of(&status);
+        self.keys.insert(session, key.clone());
+        let former = self.order.get(&key);
         if former.is_some_and(|report| report.session > session) {
             return;
         }
@@ -46,78 +48,83 @@
             session,
             status,
             load: former.map(|report| report.load).unwrap_or_default(),
-            heard_at: Instant::now(),
-            served_at: former.and_then(|report| report.served_at),
+            last_report_at: Instant::now(),
+            last_served_at: former.and_then(|report| report.last_served_at),
         };
         self.order.insert(report);
     }
 
-    /// Takes a sign of life, with what the gateway has had to do.
-    pub(super) fn take_load(&mut self, session: u64, load: GatewayLoad) {
-        let place = self.places.get(&session);
-        let report = place.and_then(|place| self.order.get_mut(place));
+    /// Records the load in a keep-alive message.
+    pub(super) fn record_load(&mut self, session: u64, load: GatewayLoad) {
+        let key = self.keys.get(&session);
+        let report = key.and_then(|key| self.order.get_mut(key));
         // A later session of the same gateway has replaced this one.
         let Some(report) = report.filter(|report| report.session == session) else {
             return;
         };
         report.load = load;
-        report.heard_at = Instant::now();
+        report.last_report_at = Instant::now();
     }
 
-    /// Forgets a session that has ended, and its gateway unless a later session has replaced it.
+    /// Removes a session that has ended, and its gateway unless a later session has replaced this one.
     pub(super) fn remove(&mut self, session: u64) {
-        let Some(place) = self.places.remove(&session) else {
+        let Some(key) = self.keys.remove(&session) else {
             return;
         };
-        let report = self.order.get(&place);
+        let report = self.order.get(&key);
         if report.map(|report| report.session) == Some(session) {
-            self.order.remove(&place);
+            self.order.remove(&key);
         }
     }
 
-    /// Sets the size of each zone's subset by what its gateways have to do, and notes which of them serve.
-    pub(super) fn resize(&mut self, now: Instant) {
+    /// Sets the subset size of each zone by the load of its gateways, and records which gateways serve callers.
+    pub(super) fn update_subset_sizes(&mut self, now: Instant) {
         let mut loads: BTreeMap<&ZoneName, ZoneLoad> = BTreeMap::new();
         for report in self.order.reports() {
             let zone = &report.status.placement.zone;
             loads.entry(zone).or_default().add(report.load);
         }
-        let mut least_attempts: BTreeMap<ZoneName, u32> = BTreeMap::new();
+        let mut minimum_attempts: BTreeMap<ZoneName, u32> = BTreeMap::new();
         for (zone, load) in loads {
-            let size = self.sizes.entry(zone.clone()).or_default();
+            let size = self.subset_sizes.entry(zone.clone()).or_default();
             let former = size.size();
-            let least = load.least_attempts(former);
-            least_attempts.insert(zone.clone(), least);
-            size.observe(now, load.traffic(least));
+            let minimum = load.minimum_attempts(former);
+            minimum_attempts.insert(zone.clone(), minimum);
+            size.observe(now, load.traffic(minimum));
             if size.size() != former {
                 log::info!(event = "gateway_subset", zone:% = zone, size = size.size(), former = former;
-                    "gateways that callers are told of");
+                    "number of advertised gateways has changed");
             }
         }
         for report in self.order.reports_mut() {
-            let least = least_attempts.get(&report.status.placement.zone);
-            if least.is_some_and(|least| report.load.attempts >= *least) {
-                report.served_at = Some(now);
+            let minimum = minimum_attempts.get(&report.status.placement.zone);
+            if minimum.is_some_and(|minimum| report.load.attempts >= *minimum) {
+                report.last_served_at = Some(now);
             }
         }
     }
 
-    /// The gateways that share what servers bear: those that are named, and those that still take requests.
+    /// Returns the gateways that share the capacity of the servers: those that are advertised, and those that have served
+    /// requests recently.
     pub(super) fn sharers(&self, now: Instant) -> GatewaySharers {
-        let named = AdvertisedGateways::new(&self.order, &self.sizes, now);
+        let advertised = AdvertisedGateways::new(&self.order, &self.subset_sizes, now);
         let serves = |report: &GatewayReport| {
-            let since = report.served_at.map(|at| now.saturating_duration_since(at));
-            since.is_some_and(|since| since < SHARING_TIME)
+            let since = report
+                .last_served_at
+                .map(|at| now.saturating_duration_since(at));
+            since.is_some_and(|since| since < SHARING_DURATION)
         };
         let mut sharers = GatewaySharers::default();
         for (name, zone) in self.order.zones() {
-            let told = named.of_zone(name, zone).map(|(_, address)| address);
+            let advertised_addresses = advertised
+                .subset_of_zone(name, zone)
+                .map(|(_, address)| address);
             let serving = zone.values().filter(|report| serves(report));
             let serving = serving.map(|report| report.status.address);
-            let sharing: BTreeSet<SocketAddr> = told.chain(serving).collect();
-            let size = self.sizes.get(name).copied().unwrap_or_default();
-            let least = size.size().min(zone.len());
-            let count = u32::try_from(sharing.len().max(least)).unwrap_or(u32::MAX);
+            let sharing: BTreeSet<SocketAddr> = advertised_addresses.chain(serving).collect();
+            let size = self.subset_sizes.get(name).copied().unwrap_or_default();
+            let minimum = size.size().min(zone.len());
+            let count = u32::try_from(sharing.len().max(minimum)).unwrap_or(u32::MAX);
             sharers.counts.insert(name.clone(), count);
             sharers.addresses.extend(sharing);
         }
--- a/crates/sablehaven-control/src/gateways/subset.rs
+++ b/crates/sablehaven-control/src/gateways/subset.rs
@@ -1,10 +1,11 @@
-//! How many gateways of a zone take callers, and which, as pure decisions.
+//! The subset of a zone's gateways that is advertised to callers: its size and its order, as pure functions.
 //!
-//! A gateway that sees many queries keeps its connections in use, knows the pace of the servers, and has a
-//! part of the budgets that is worth something. Where a zone has many more gateways than its traffic needs,
-//! callers are therefore told of some of them. How many follows from what they report; which ones, from
-//! their addresses alone, so that all replicas name the same ones and little moves when one comes or goes.
-//! The others stay ready: they have routes and the list of servers, and are named as soon as they are needed.
+//! A gateway that handles many queries keeps its connections in use, has current measurements of the servers' speed,
+//! and holds a share of the budgets that is large enough to be useful. If a zone has many more gateways than its traffic
+//! needs, callers are therefore sent the addresses of only some of them. Their number is derived from the reported load.
+//! Which ones they are depends on their addresses alone, so that all replicas advertise the same gateways and the subset
+//! changes little when a gateway is added or removed. The others are on standby: they have the routes and the list of
+//! servers, and are advertised as soon as they are needed.
 
 use std::{
     net::SocketAddr,
@@ -14,25 +15,26 @@
 use sablehaven_wire::GatewayLoad;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Gateways of a zone that are named however little they have to do: two may be lost at once, and those
-/// that are left bear twice their load.
-const LEAST_GATEWAYS: u32 = 4;
-/// Part of its time that a named gateway should be at work: twice the traffic is then still borne until
-/// callers have renewed what they were told.
-const WANTED_BUSY: f64 = 0.35;
-/// Time for which a subset must have been larger than needed before it shrinks: callers' traffic comes in
-/// waves of some seconds, and each change costs new connections.
-const SHRINK_PAUSE: Duration = Duration::from_secs(10);
-/// A gateway with this part of the attempts of the busiest ones serves callers too. Others have a few, of
-/// callers that look at every gateway or kept an old address; what they share would be missing elsewhere.
-const SERVING_PART: f64 = 0.25;
-/// Part of what is too much that goes at a time.
-const SHRINK_PART: f64 = 0.5;
+/// Minimum number of advertised gateways of a zone, however low the load: two may be lost at once, and the remaining ones
+/// can take twice their load.
+const MINIMUM_GATEWAYS: u32 = 4;
+/// Fraction of its time that an advertised gateway should be busy. It leaves room for twice the traffic until callers have
+/// refreshed their addresses.
+const TARGET_UTILISATION: f64 = 0.35;
+/// Time for which a subset must have been larger than needed before it shrinks: traffic fluctuates over several seconds,
+/// and each change of the subset costs new connections.
+const SHRINK_DELAY: Duration = Duration::from_secs(10);
+/// A gateway counts as serving callers if it has at least this fraction of the mean attempts of the busiest ones. Others
+/// have a few attempts, from callers that check every gateway or still use an old address; a share of the servers'
+/// capacity given to them would be missing at the serving gateways.
+const SERVING_ATTEMPTS_RATIO: f64 = 0.25;
+/// Fraction of the excess by which a subset shrinks at a time.
+const SHRINK_RATIO: f64 = 0.5;
 
-/// The place of a gateway in the order in which the gateways of a zone are named.
+/// The rank of a gateway: the gateways of a zone with the lowest ranks are advertised.
 pub(super) type GatewayRank = (u64, SocketAddr);
 
-/// The rank of a gateway; the address tells equal hashes apart.
+/// Returns the rank of a gateway: the hash of its address, with the address itself to order equal hashes.
 pub(super) fn gateway_rank(address: SocketAddr) -> GatewayRank {
     let mut hasher = Xxh3::new();
     match address {
@@ -43,76 +45,77 @@
     (hasher.digest(), address)
 }
 
-/// The load of the gateways of one zone.
+/// The load of each gateway of one zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ZoneLoad {
     loads: Vec<GatewayLoad>,
 }
 
 impl ZoneLoad {
-    /// Adds a gateway.
+    /// Adds the load of a gateway.
     pub(super) fn add(&mut self, load: GatewayLoad) {
         self.loads.push(load);
     }
 
-    /// The fewest attempts with which a gateway counts as serving: a part of the mean of the `size` busiest.
-    pub(super) fn least_attempts(&self, size: usize) -> u32 {
+    /// Returns the minimum number of attempts with which a gateway counts as serving: a fraction of the mean of the `size`
+    /// gateways with the most attempts, but at least 1.
+    pub(super) fn minimum_attempts(&self, size: usize) -> u32 {
         let mut attempts: Vec<u32> = self.loads.iter().map(|load| load.attempts).collect();
         attempts.sort_unstable_by(|one, other| other.cmp(one));
         attempts.truncate(size);
         let sum: u64 = attempts.iter().copied().map(u64::from).sum();
         let mean = sum as f64 / attempts.len().max(1) as f64;
-        ((mean * SERVING_PART).ceil() as u32).max(1)
+        ((mean * SERVING_ATTEMPTS_RATIO).ceil() as u32).max(1)
     }
 
-    /// What the serving gateways have to do together, in gateways that are always at work.
-    pub(super) fn traffic(&self, least_attempts: u32) -> f64 {
+    /// Returns the total load of the serving gateways, as an equivalent number of gateways that are always busy.
+    pub(super) fn traffic(&self, minimum_attempts: u32) -> f64 {
         let loads = self.loads.iter();
-        let serving = loads.filter(|load| load.attempts >= least_attempts);
+        let serving = loads.filter(|load| load.attempts >= minimum_attempts);
         let busy = serving.map(|load| f64::from(load.busy_permille) / 1_000.0);
         busy.sum()
     }
 }
 
-/// How many gateways of one zone are named: grows at once, shrinks slowly.
+/// The number of advertised gateways of one zone. It grows immediately and shrinks slowly.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SubsetSize {
     size: u32,
-    /// Since when it has been larger than needed.
-    too_large_since: Option<Instant>,
+    /// When it became larger than needed, or last shrank since then.
+    oversized_since: Option<Instant>,
 }
 
 impl Default for SubsetSize {
     fn default() -> Self {
         Self {
-            size: LEAST_GATEWAYS,
-            too_large_since: None,
+            size: MINIMUM_GATEWAYS,
+            oversized_since: None,
         }
     }
 }
 
 impl SubsetSize {
-    /// The number of gateways to name, which may be more than there are.
+    /// Returns the number of gateways to advertise, which may exceed the number of gateways in the zone.
     pub(super) fn size(self) -> usize {
         self.size as usize
     }
 
-    /// Takes the traffic of the zone, as [`ZoneLoad::traffic`] sums it.
+    /// Updates the size for the traffic of the zone, as returned by [`ZoneLoad::traffic`].
     pub(super) fn observe(&mut self, now: Instant, traffic: f64) {
-        let needed = (traffic / WANTED_BUSY).ceil() as u32;
-        let needed = needed.max(LEAST_GATEWAYS);
+        let needed = (traffic / TARGET_UTILISATION).ceil() as u32;
+        let needed = needed.max(MINIMUM_GATEWAYS);
         if needed >= self.size {
             self.size = needed;
-            self.too_large_since = None;
+            self.oversized_since = None;
             return;
         }
-        let since = *self.too_large_since.get_or_insert(now);
-        if now.saturating_duration_since(since) < SHRINK_PAUSE {
+        let since = *self.oversized_since.get_or_insert(now);
+        if now.saturating_duration_since(since) < SHRINK_DELAY {
             return;
         }
         let excess = f64::from(self.size - needed);
-        self.size -= (excess * SHRINK_PART).ceil() as u32;
-        self.too_large_since = Some(now);
+        self.size -= (excess * SHRINK_RATIO).ceil() as u32;
+        self.oversized_since = Some(now);
     }
 }
 
--- a/crates/sablehaven-control/src/gateways/tests.rs
+++ b/crates/sablehaven-control/src/gateways/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the directory's decision and of readings of the list.
+//! Tests of the selection of advertised gateways and of the distribution of listings.
 
 use std::{
     collections::BTreeSet,
@@ -19,7 +19,7 @@
     subset::SubsetSize,
 };
 
-fn place(region: &str, zone: &str) -> Placement {
+fn placement(region: &str, zone: &str) -> Placement {
     Placement {
         region: region.into(),
         zone: zone.into(),
@@ -29,7 +29,7 @@
 fn gateway(port: u16, region: &str, zone: &str, is_ready: bool) -> GatewayStatus {
     GatewayStatus {
         address: ([127, 0, 0, 1], port).into(),
-        placement: place(region, zone),
+        placement: placement(region, zone),
         is_ready,
         routes_version: 1,
         listing: ListingNumber::default(),
@@ -37,28 +37,32 @@
     }
 }
 
-/// A gateway's status, and how long it has been silent.
-type Heard = (GatewayStatus, Duration);
+/// A gateway's status, and the time since its last message.
+type StatusAndSilence = (GatewayStatus, Duration);
 
-fn fresh(status: GatewayStatus) -> Heard {
+fn fresh(status: GatewayStatus) -> StatusAndSilence {
     (status, Duration::ZERO)
 }
 
-fn silent(status: GatewayStatus) -> Heard {
+fn silent(status: GatewayStatus) -> StatusAndSilence {
     (status, Duration::from_secs(1))
 }
 
-fn ports(gateways: &[Heard], caller: &Placement) -> Vec<u16> {
+fn ports(gateways: &[StatusAndSilence], caller: &Placement) -> Vec<u16> {
     ports_of_subset(gateways, &SubsetSizes::new(), caller)
 }
 
-fn ports_of_subset(gateways: &[Heard], sizes: &SubsetSizes, caller: &Placement) -> Vec<u16> {
+fn ports_of_subset(
+    gateways: &[StatusAndSilence],
+    sizes: &SubsetSizes,
+    caller: &Placement,
+) -> Vec<u16> {
     ports_for(gateways, sizes, caller, &AllowedRegions::default())
 }
 
-/// As [`ports_of_subset`], for a host whose routes are bound to regions.
+/// Like [`ports_of_subset`], for a host that only the `allowed` regions may serve.
 fn ports_for(
-    gateways: &[Heard],
+    gateways: &[StatusAndSilence],
     sizes: &SubsetSizes,
     caller: &Placement,
     allowed: &AllowedRegions,
@@ -70,18 +74,18 @@
             session: 1,
             status: status.clone(),
             load: GatewayLoad::default(),
-            heard_at: now - *silent_for,
-            served_at: None,
+            last_report_at: now - *silent_for,
+            last_served_at: None,
         });
     }
-    let chosen = AdvertisedGateways::new(&order, sizes, now).near(caller, allowed);
+    let chosen = AdvertisedGateways::new(&order, sizes, now).nearest(caller, allowed);
     let mut ports: Vec<u16> = chosen.iter().map(std::net::SocketAddr::port).collect();
     ports.sort_unstable();
     ports
 }
 
 #[test]
-fn the_nearest_place_with_a_ready_gateway_is_told() {
+fn the_nearest_scope_with_a_ready_gateway_is_advertised() {
     let gateways = [
         gateway(1, "north", "a", true),
         gateway(2, "north", "a", false),
@@ -89,68 +93,69 @@
         gateway(4, "south", "c", true),
     ]
     .map(fresh);
-    assert_eq!(ports(&gateways, &place("north", "a")), [1]);
-    assert_eq!(ports(&gateways, &place("north", "z")), [1, 3]);
-    assert_eq!(ports(&gateways, &place("west", "y")), [1, 3, 4]);
-    assert_eq!(ports(&gateways[1..2], &place("north", "a")), [0_u16; 0]);
+    assert_eq!(ports(&gateways, &placement("north", "a")), [1]);
+    assert_eq!(ports(&gateways, &placement("north", "z")), [1, 3]);
+    assert_eq!(ports(&gateways, &placement("west", "y")), [1, 3, 4]);
+    assert_eq!(ports(&gateways[1..2], &placement("north", "a")), [0_u16; 0]);
 }
 
 #[test]
-fn a_caller_without_near_gateways_is_told_those_of_the_allowed_regions() {
+fn a_caller_without_near_gateways_gets_those_of_the_allowed_regions() {
     let gateways = [
         gateway(1, "north", "a", true),
         gateway(2, "south", "b", true),
         gateway(3, "west", "c", false),
     ]
     .map(fresh);
-    let told = |caller: &Placement, regions: &[&str]| {
+    let advertised_ports = |caller: &Placement, regions: &[&str]| {
         let allowed = regions.iter().map(|region| (*region).into()).collect();
         ports_for(&gateways, &SubsetSizes::new(), caller, &allowed)
     };
-    assert_eq!(told(&place("west", "c"), &["south"]), [2]);
-    assert_eq!(told(&place("west", "c"), &[]), [1, 2]);
-    // A gateway of the caller's own region may read the request, wherever it is served.
-    assert_eq!(told(&place("north", "a"), &["south"]), [1]);
-    // Better far away than nowhere: servers elsewhere are not asked all the same.
-    assert_eq!(told(&place("west", "c"), &["west"]), [1, 2]);
+    assert_eq!(advertised_ports(&placement("west", "c"), &["south"]), [2]);
+    assert_eq!(advertised_ports(&placement("west", "c"), &[]), [1, 2]);
+    // A gateway of the caller's own region may read the request, whichever region serves it.
+    assert_eq!(advertised_ports(&placement("north", "a"), &["south"]), [1]);
+    // No gateway of an allowed region is ready, so those of all regions are returned: they still send requests only to
+    // servers of allowed regions.
+    assert_eq!(advertised_ports(&placement("west", "c"), &["west"]), [1, 2]);
 }
 
 #[test]
-fn a_silent_gateway_is_told_only_where_no_other_is_heard() {
+fn a_silent_gateway_is_advertised_only_if_no_other_is_fresh() {
     let gateways = [
         silent(gateway(1, "north", "a", true)),
         fresh(gateway(2, "north", "a", true)),
         silent(gateway(3, "north", "b", true)),
     ];
-    assert_eq!(ports(&gateways, &place("north", "a")), [2]);
-    assert_eq!(ports(&gateways, &place("north", "b")), [2]);
+    assert_eq!(ports(&gateways, &placement("north", "a")), [2]);
+    assert_eq!(ports(&gateways, &placement("north", "b")), [2]);
     let all_silent = gateways.map(|(status, _)| silent(status));
-    assert_eq!(ports(&all_silent, &place("north", "a")), [1, 2]);
+    assert_eq!(ports(&all_silent, &placement("north", "a")), [1, 2]);
 }
 
-/// Sizes where zone `a` has the traffic of `busy` gateways that are always at work.
+/// Returns the subset sizes for a zone `a` whose traffic keeps `busy` gateways always busy.
 fn sizes_for(busy: f64) -> SubsetSizes {
     let mut size = SubsetSize::default();
     size.observe(Instant::now(), busy);
     SubsetSizes::from([("a".into(), size)])
 }
 
-fn many(count: u16) -> Vec<Heard> {
+fn many(count: u16) -> Vec<StatusAndSilence> {
     let all = 1..=count;
     all.map(|port| fresh(gateway(port, "north", "a", true)))
         .collect()
 }
 
 #[test]
-fn no_more_addresses_are_told_than_callers_take() {
+fn the_number_of_advertised_addresses_is_bounded() {
     let sizes = sizes_for(90.0);
-    let told = ports_of_subset(&many(90), &sizes, &place("north", "a"));
-    assert_eq!(told.len(), 64);
+    let advertised_ports = ports_of_subset(&many(90), &sizes, &placement("north", "a"));
+    assert_eq!(advertised_ports.len(), 64);
 }
 
 #[test]
-fn callers_are_told_of_few_gateways_where_the_traffic_needs_no_more() {
-    let caller = place("north", "a");
+fn few_gateways_are_advertised_if_the_traffic_needs_no_more() {
+    let caller = placement("north", "a");
     let calm = ports(&many(34), &caller);
     assert_eq!(calm.len(), 4);
     let busy = ports_of_subset(&many(34), &sizes_for(5.0), &caller);
@@ -160,8 +165,8 @@
 }
 
 #[test]
-fn a_named_gateway_that_is_lost_is_replaced_and_the_others_stay() {
-    let caller = place("north", "a");
+fn a_lost_advertised_gateway_is_replaced_and_the_others_stay() {
+    let caller = placement("north", "a");
     let mut gateways = many(34);
     let before = ports(&gateways, &caller);
     for lost in before.clone() {
@@ -180,8 +185,8 @@
 }
 
 #[test]
-fn one_gateway_more_moves_one_named_gateway_at_most() {
-    let caller = place("north", "a");
+fn an_added_gateway_replaces_at_most_one_advertised_gateway() {
+    let caller = placement("north", "a");
     for count in 4..60 {
         let before = ports(&many(count), &caller);
         let after = ports(&many(count + 1), &caller);
@@ -190,7 +195,7 @@
     }
 }
 
-/// The load of a gateway that has begun so many attempts.
+/// Returns the load of a gateway with this number of attempts.
 fn attempts(attempts: u32) -> GatewayLoad {
     GatewayLoad {
         busy_permille: 10,
@@ -199,48 +204,48 @@
 }
 
 #[test]
-fn those_that_are_named_or_have_served_lately_share_what_servers_bear() {
+fn advertised_and_recently_serving_gateways_are_sharers() {
     let mut sessions = Sessions::default();
-    let named = ports(&many(30), &place("north", "a"));
-    let other = (1..=30).find(|port| !named.contains(port));
-    let other = other.expect("one is not named");
+    let advertised = ports(&many(30), &placement("north", "a"));
+    let other = (1..=30).find(|port| !advertised.contains(port));
+    let other = other.expect("one gateway is not advertised");
     for port in 1..=30 {
         let session = u64::from(port);
-        let load = attempts(if named.contains(&port) { 100 } else { 3 });
-        sessions.take(session, gateway(port, "north", "a", true));
-        sessions.take_load(session, load);
+        let load = attempts(if advertised.contains(&port) { 100 } else { 3 });
+        sessions.record_status(session, gateway(port, "north", "a", true));
+        sessions.record_load(session, load);
     }
     let now = Instant::now();
-    sessions.resize(now);
+    sessions.update_subset_sizes(now);
     let sharers = sessions.sharers(now);
     assert_eq!(sharers.counts[&"a".into()], 4);
     let sharing: BTreeSet<u16> = sharers.addresses.iter().map(SocketAddr::port).collect();
-    assert_eq!(sharing, named.iter().copied().collect());
-    sessions.take_load(u64::from(other), attempts(50));
-    sessions.resize(now);
-    sessions.take_load(u64::from(other), attempts(0));
-    sessions.resize(now + Duration::from_secs(1));
+    assert_eq!(sharing, advertised.iter().copied().collect());
+    sessions.record_load(u64::from(other), attempts(50));
+    sessions.update_subset_sizes(now);
+    sessions.record_load(u64::from(other), attempts(0));
+    sessions.update_subset_sizes(now + Duration::from_secs(1));
     assert_eq!(sessions.sharers(now).counts[&"a".into()], 5);
     let later = now + Duration::from_secs(11);
     assert_eq!(sessions.sharers(later).counts[&"a".into()], 4);
 }
 
 #[test]
-fn a_replaced_session_says_nothing_any_more_and_takes_nothing_with_it() {
+fn a_replaced_session_neither_changes_nor_removes_the_report_of_its_gateway() {
     let mut sessions = Sessions::default();
     let ready = |is_ready| gateway(1, "north", "a", is_ready);
-    sessions.take(1, ready(false));
-    sessions.take(2, ready(true));
-    sessions.take(1, ready(false));
-    let heard = |sessions: &Sessions| -> Vec<bool> {
+    sessions.record_status(1, ready(false));
+    sessions.record_status(2, ready(true));
+    sessions.record_status(1, ready(false));
+    let readiness = |sessions: &Sessions| -> Vec<bool> {
         let reports = sessions.order.reports();
         reports.map(|report| report.status.is_ready).collect()
     };
-    assert_eq!(heard(&sessions), [true]);
+    assert_eq!(readiness(&sessions), [true]);
     sessions.remove(1);
-    assert_eq!(heard(&sessions).len(), 1);
+    assert_eq!(readiness(&sessions).len(), 1);
     sessions.remove(2);
-    assert!(heard(&sessions).is_empty());
+    assert!(readiness(&sessions).is_empty());
 }
 
 fn listed(warmup_left_ms: u64, is_draining: bool) -> ListedServer {
@@ -257,7 +262,7 @@
 }
 
 #[test]
-fn a_reading_without_news_keeps_its_number_and_a_new_term_starts_over() {
+fn a_list_without_changes_keeps_its_number_and_a_new_term_gets_a_new_one() {
     let gateways = Gateways::new();
     let number = || gateways.listing().borrow().number;
     gateways.apply_read_listing(3, vec![listed(900, false)]);
@@ -272,7 +277,7 @@
 }
 
 #[test]
-fn a_server_that_turns_cold_again_is_news_and_one_that_has_become_warm_is_none() {
+fn a_server_that_becomes_cold_is_a_change_and_one_that_becomes_warm_is_not() {
     let gateways = Gateways::new();
     let number = || gateways.listing().borrow().number;
     gateways.apply_read_listing(3, vec![listed(900, false)]);
@@ -283,19 +288,19 @@
     assert!(number() > first);
     let listing = Arc::clone(&gateways.listing().borrow());
     let encoded = gateways.encode_listing(&listing, first).expect("a message");
-    let message = rmp_serde::from_slice(&encoded.bytes()).expect("it can be decoded");
+    let message = rmp_serde::from_slice(&encoded.bytes()).expect("message decodes");
     let ControlToGateway::ListingChange(change) = message else {
         panic!("{message:?}");
     };
     assert_eq!(change.changed, [listed(2_500, false)]);
 }
 
-/// The name of the message that brings a gateway from the reading `held` to the latest.
+/// Returns the kind of the message that brings a gateway from the listing numbered `held` to the latest one.
 fn listing_message(gateways: &Gateways, held: ListingNumber) -> &'static str {
     let listing = Arc::clone(&gateways.listing().borrow());
     let encoded = gateways.encode_listing(&listing, held);
-    let bytes = encoded.expect("it can be encoded").bytes();
-    match rmp_serde::from_slice(&bytes).expect("it can be decoded") {
+    let bytes = encoded.expect("listing encodes").bytes();
+    match rmp_serde::from_slice(&bytes).expect("message decodes") {
         ControlToGateway::Listing(whole) => {
             assert_eq!(whole.number, listing.number);
             "whole"
@@ -309,7 +314,7 @@
 }
 
 #[test]
-fn a_gateway_is_sent_what_has_changed_or_all_where_its_reading_is_not_known() {
+fn a_gateway_is_sent_a_change_or_the_complete_listing_if_its_listing_is_unknown() {
     let gateways = Gateways::new();
     let number = || gateways.listing().borrow().number;
     let none = ListingNumber::default();
@@ -319,11 +324,11 @@
     gateways.apply_read_listing(3, vec![listed(0, true)]);
     assert_eq!(listing_message(&gateways, first), "change");
     assert_eq!(listing_message(&gateways, none), "whole");
-    let of_another = ListingNumber {
+    let of_another_leader = ListingNumber {
         term: 2,
         reading: 1,
     };
-    assert_eq!(listing_message(&gateways, of_another), "whole");
+    assert_eq!(listing_message(&gateways, of_another_leader), "whole");
     for _ in 0..4 {
         gateways.apply_read_listing(3, vec![listed(0, false)]);
         gateways.apply_read_listing(3, vec![listed(0, true)]);
@@ -332,7 +337,7 @@
 }
 
 #[test]
-fn the_picture_of_the_gateways_is_whole_when_no_new_one_has_come_for_a_while() {
+fn gateways_have_settled_after_a_quiet_period_or_the_maximum_time() {
     let ms = Duration::from_millis;
     assert!(!has_settled(ms(500), Some(ms(400))));
     assert!(!has_settled(ms(700), Some(ms(100))));
--- a/crates/sablehaven-control/src/leader/listing.rs
+++ b/crates/sablehaven-control/src/leader/listing.rs
@@ -7,31 +7,31 @@
 
 use crate::server::Context;
 
-/// Time that one reading may take, all its pages together.
-const READING_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of one read of the list, including all its pages.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a reading failed: step and peer.
+/// Why a read of the list failed; names the step and the peer.
 pub type ServerSourceError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A reading under way.
+/// A read of the list in progress.
 pub type ServerListFuture<'a> =
     Pin<Box<dyn Future<Output = Result<Vec<ListedServer>, ServerSourceError>> + Send + 'a>>;
 
-/// Where the list of servers comes from.
+/// A source of the list of servers.
 pub trait ServerSource: Send + Sync {
-    /// Reads the whole list.
+    /// Reads the complete list.
     fn read(&self) -> ServerListFuture<'_>;
 }
 
-/// Reads the list while this replica leads, until it stops. The list lags and a reading may fail:
-/// what is known stays in force meanwhile.
+/// Reads the list periodically while this replica leads, until it stops. The platform's list lags behind the servers, and
+/// a read may fail; the last list stays in force in the meantime.
 pub(crate) async fn read_listing(context: Arc<Context>, source: Arc<dyn ServerSource>) {
     let mut ticker = interval(Duration::from_millis(context.config.listing_interval_ms));
     ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut published = context.published.clone();
     let mut is_failing = false;
     loop {
-        // A new leader reads at once.
+        // A new leader reads the list immediately.
         tokio::select! {
             _ = ticker.tick() => {}
             Ok(()) = published.changed() => {
@@ -49,26 +49,28 @@
         if !is_leader {
             continue;
         }
-        let result = match timeout(READING_TIMEOUT, source.read()).await {
+        let result = match timeout(READ_TIMEOUT, source.read()).await {
             Ok(Ok(servers)) => {
                 context.gateways.apply_read_listing(term, servers);
                 Ok(())
             }
             Ok(Err(error)) => Err(error.to_string()),
-            Err(_) => Err("read list of servers: not done in time".to_owned()),
+            Err(_) => Err("reading the list of servers timed out".to_owned()),
         };
-        log_change(&result, &mut is_failing);
+        log_transition(&result, &mut is_failing);
         if result.is_err() {
             context.metrics.error("read_listing");
         }
     }
 }
 
-/// One line when the source is lost, one when it is back.
-fn log_change(result: &Result<(), String>, is_failing: &mut bool) {
+/// Logs the first failure and the first success after failures.
+fn log_transition(result: &Result<(), String>, is_failing: &mut bool) {
     match result {
-        Err(error) if !*is_failing => log::warn!("list of servers lost: {error}"),
-        Ok(()) if *is_failing => log::info!("list of servers is read again"),
+        Err(error) if !*is_failing => {
+            log::warn!("cannot read the list of servers; the last list stays in force: {error}")
+        }
+        Ok(()) if *is_failing => log::info!("reading the list of servers works again"),
         _ => {}
     }
     *is_failing = result.is_err();
--- a/crates/sablehaven-control/src/leader/mod.rs
+++ b/crates/sablehaven-control/src/leader/mod.rs
@@ -1,5 +1,5 @@
-//! The duties of group 0's leader apart from the log: the platform's list, agents' observations and
-//! the number of agents per service. Each runs on every replica and acts only while it leads.
+//! Background tasks of group 0's leader: reading the platform's lists, proposing agents' observations and the number of
+//! agents per service, and repairing the group's members. Each task runs on every replica and acts only while it leads.
 
 mod listing;
 mod observations;
--- a/crates/sablehaven-control/src/leader/observations.rs
+++ b/crates/sablehaven-control/src/leader/observations.rs
@@ -1,4 +1,4 @@
-//! Agents' observations, gathered into few log entries.
+//! Proposes agents' observations, batched into few log entries.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,55 +12,55 @@
     shared::SharedCommand,
 };
 
-/// Observations that may wait; more are dropped, and agents report again while it matters.
+/// Maximum number of waiting observations; further ones are dropped, and agents repeat them while they are still valid.
 pub(crate) const OBSERVATION_QUEUE_LENGTH: usize = 16_384;
 
-/// Time over which observations are gathered: many agents see a rack go at nearly the same moment,
-/// and their reports become one update.
-const GATHER_INTERVAL: Duration = Duration::from_millis(100);
+/// Time over which observations are batched: if a rack fails, many agents observe it at nearly the same time, and their
+/// reports become one update.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Observations in one log entry.
-const BATCH_LIMIT: usize = 4_096;
+/// Maximum number of observations in one log entry.
+const MAXIMUM_BATCH_LENGTH: usize = 4_096;
 
-/// Proposes what is news in the observations, until this replica stops.
+/// Proposes the observations that change the membership state, until this replica stops.
 pub(crate) async fn propose_observations(
     context: Arc<Context>,
     mut queue: mpsc::Receiver<AgentObservation>,
 ) {
-    let mut ticker = interval(GATHER_INTERVAL);
+    let mut ticker = interval(BATCH_INTERVAL);
     loop {
         ticker.tick().await;
-        let mut gathered = Vec::new();
-        while gathered.len() < BATCH_LIMIT {
+        let mut batch = Vec::new();
+        while batch.len() < MAXIMUM_BATCH_LENGTH {
             match queue.try_recv() {
-                Ok(observed) => gathered.push(observed),
+                Ok(observation) => batch.push(observation),
                 Err(_) => break,
             }
         }
         if !context.is_leader() {
-            let dropped = gathered.len() as u64;
+            let dropped = batch.len() as u64;
             context.metrics.observations_dropped.inc_by(dropped);
             continue;
         }
-        propose(&context, gathered).await;
+        propose(&context, batch).await;
     }
 }
 
 async fn propose(context: &Context, mut observations: Vec<AgentObservation>) {
     let now_ms = clock::unix_ms();
-    let is_due = read(&context.state, |state| {
+    let has_changes = read(&context.state, |state| {
         let membership = state.membership();
-        observations.retain(|observed| membership.would_change(observed, now_ms));
+        observations.retain(|observation| membership.would_change(observation, now_ms));
         !observations.is_empty() || membership.has_expired_suspicion(now_ms)
     });
-    if !is_due {
+    if !has_changes {
         return;
     }
     let batch = ObservationBatch {
         proposed_at_ms: now_ms,
         observations,
     };
-    // Without a leader the observations are lost; agents report again to the next one.
+    // Without a leader the observations are lost; agents repeat them to the next leader.
     if context
         .driver
         .propose(SharedCommand::Observations(batch))
--- a/crates/sablehaven-control/src/leader/platform.rs
+++ b/crates/sablehaven-control/src/leader/platform.rs
@@ -1,4 +1,4 @@
-//! Polls the platform's list of machines.
+//! Polls the platform's list of machines and proposes its changes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,47 +12,47 @@
     shared::SharedCommand,
 };
 
-/// Time that one poll may take.
+/// Timeout of one poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The largest list that is taken, in bytes; 7,100 machines take about 2 MB.
+/// Maximum size of the list; 7,100 machines take about 2 MB.
 const MAXIMUM_LIST_BYTES: usize = 32 * 1024 * 1024;
 
-/// Errors of a poll; each names the step and the platform's address.
+/// Errors of a poll; each names the step and the URL of the platform.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 enum PollError {
-    /// poll platform list at {url}: {source}
+    /// polling the platform list at {url} failed: {source}
     Request {
-        /// The platform.
+        /// The URL of the list.
         url: String,
         /// The cause.
         source: reqwest::Error,
     },
-    /// poll platform list at {url}: more than {limit} bytes
+    /// platform list at {url} is larger than {limit} bytes
     TooLarge {
-        /// The platform.
+        /// The URL of the list.
         url: String,
         /// The limit, in bytes.
         limit: usize,
     },
-    /// decode platform list of {url}: {source}
+    /// decoding the platform list of {url} failed: {source}
     Decode {
-        /// The platform.
+        /// The URL of the list.
         url: String,
         /// The cause.
         source: serde_json::Error,
     },
-    /// record platform list of {url}: {source}
+    /// proposing the changes of the platform list of {url} failed: {source}
     Propose {
-        /// The platform.
+        /// The URL of the list.
         url: String,
         /// The cause.
         source: ProposeError,
     },
 }
 
-/// Polls while this replica leads, until it stops. The list lags and a poll may fail: what is known
-/// stays in force meanwhile.
+/// Polls the list periodically while this replica leads, until it stops. The list lags behind the machines, and a poll may
+/// fail; the recorded machines stay in force in the meantime.
 pub(crate) async fn poll_platform(context: Arc<Context>, config: PlatformConfig) {
     let client = match reqwest::Client::builder()
         .timeout(POLL_TIMEOUT)
@@ -62,7 +62,7 @@
     {
         Ok(client) => client,
         Err(error) => {
-            log::error!("set up platform client: {error}");
+            log::error!("creating the HTTP client for the platform failed: {error}");
             return;
         }
     };
--- a/crates/sablehaven-control/src/leader/repair.rs
+++ b/crates/sablehaven-control/src/leader/repair.rs
@@ -1,5 +1,5 @@
-//! The leader's own changes of the control replicas, and its answers to members that ask for their parts of the quotas:
-//! both stand on the same proofs that it leads.
+//! Automatic repair of the control replicas by the leader, and its answers to members that ask for their shares of the
+//! quotas. Both depend on the same proofs that this replica leads.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -18,13 +18,13 @@
     shared::SharedCommand,
 };
 
-/// Longest time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// Members beyond which nobody is added: larger groups sync and vote more slowly.
+/// Maximum time between two checks of the members.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of members that repair adds up to: larger groups replicate and vote more slowly.
 const MAXIMUM_MEMBERS: usize = 9;
 
-/// Brings the members back to strength while this replica leads, unless `minimum_members` is 0, and answers those that
-/// ask for their parts of the quotas, until it stops.
+/// Replaces failed members while this replica leads, unless `minimum_members` is 0, and answers members that ask for their
+/// shares of the quotas, until it stops.
 pub(crate) async fn watch_members(context: Arc<Context>, minimum_members: usize) {
     let policy = (minimum_members > 0).then(|| RepairPolicy {
         patience: Duration::from_millis(context.config.repair_patience_ms),
@@ -32,7 +32,7 @@
         maximum_members: MAXIMUM_MEMBERS,
     });
     let election_timeout = context.config.election_timeout();
-    let mut ticker = interval(LOOK_INTERVAL.min(election_timeout / 5));
+    let mut ticker = interval(CHECK_INTERVAL.min(election_timeout / 5));
     ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut silence = SilenceTracker::new(election_timeout);
     loop {
@@ -48,8 +48,8 @@
             silence.reset();
             continue;
         }
-        let looked = look(&context, &mut silence, &probes).await;
-        let Some(status) = looked else {
+        let confirmed = confirm_leadership(&context, &mut silence, &probes).await;
+        let Some(status) = confirmed else {
             silence.reset();
             continue;
         };
@@ -59,7 +59,7 @@
     }
 }
 
-/// Tells gateways where the control replicas are.
+/// Publishes the addresses of the control replicas to gateways.
 fn publish_controls(context: &Context) {
     let mut controls = read(&context.state, |state| {
         let replicas = state.replicas().replicas().values();
@@ -71,8 +71,9 @@
     context.gateways.set_controls(controls);
 }
 
-/// Has a quorum confirm that this replica leads, and answers the members that asked before. `None` if it does not lead.
-async fn look(
+/// Has a quorum confirm that this replica leads, then answers the members that asked before that. Returns `None` if it
+/// does not lead.
+async fn confirm_leadership(
     context: &Context,
     silence: &mut SilenceTracker,
     probes: &[(ReplicaId, ProbeNumber)],
@@ -80,7 +81,7 @@
     let term = context.published.borrow().term;
     let asked_at = context.age_clock.now();
     for (member, _) in probes {
-        // Before the members are looked at: one that is taken out after that look is known to have asked.
+        // Recorded before the members are read, so that a member that is removed after that read is known to have asked.
         context.quotas.grants().record_probe(asked_at, *member);
     }
     context.driver.prove_leadership().await?;
@@ -90,7 +91,7 @@
     if status.role != Role::Leader || status.term != term {
         return None;
     }
-    let answering = answering(&status);
+    let responsive = responsive(&status);
     let proof = LeadershipProof {
         term,
         asked_at,
@@ -99,29 +100,30 @@
     let members = read(&context.state, |state| state.replicas().clone());
     let members = members.replicas().keys().copied();
     let voters = status.membership.voters.iter().copied();
-    silence.record_proof(proof, members.chain(voters), &answering);
+    silence.record_proof(proof, members.chain(voters), &responsive);
     context.quotas.grants().record_leadership(proven_at, term);
-    grant(context, &status, &answering, probes);
+    answer_probes(context, &status, &responsive, probes);
     Some(status)
 }
 
-fn answering(status: &Status) -> BTreeSet<ReplicaId> {
+/// Returns the members that respond to this replica, including itself.
+fn responsive(status: &Status) -> BTreeSet<ReplicaId> {
     let active = status.peers.iter().filter(|(_, peer)| peer.active);
-    let mut answering: BTreeSet<ReplicaId> = active.map(|(replica, _)| *replica).collect();
-    answering.insert(status.id);
-    answering
+    let mut responsive: BTreeSet<ReplicaId> = active.map(|(replica, _)| *replica).collect();
+    responsive.insert(status.id);
+    responsive
 }
 
-/// Grants the members that answer their parts: the others count as silent.
-fn grant(
+/// Grants the quota shares of responsive voters that asked. The other members count as silent.
+fn answer_probes(
     context: &Context,
     status: &Status,
-    answering: &BTreeSet<ReplicaId>,
+    responsive: &BTreeSet<ReplicaId>,
     probes: &[(ReplicaId, ProbeNumber)],
 ) {
     let voters = &status.membership.voters;
-    let is_granted = |member: &ReplicaId| voters.contains(member) && answering.contains(member);
-    for (member, number) in probes.iter().filter(|(member, _)| is_granted(member)) {
+    let gets_grant = |member: &ReplicaId| voters.contains(member) && responsive.contains(member);
+    for (member, number) in probes.iter().filter(|(member, _)| gets_grant(member)) {
         if *member == context.replica {
             context.quotas.record_grant(*number);
             continue;
@@ -131,6 +133,7 @@
     }
 }
 
+/// Proposes the next change of the members, if one is due.
 async fn repair(
     context: &Context,
     policy: &RepairPolicy,
@@ -146,17 +149,21 @@
     let Some(planned) = next_change(&members, &newcomers, replicas.change(), policy) else {
         return;
     };
-    log::info!("change of control replicas: {:?}", planned.kind);
+    log::info!(
+        "proposing a change of the control replicas: {:?}",
+        planned.kind
+    );
     let command = SharedCommand::Replicas(ReplicasCommand::Begin {
         kind: planned.kind,
         addresses: planned.addresses,
     });
-    // Without a leader the next one looks anew.
+    // If the proposal fails, the next leader decides again.
     if context.driver.propose(command).await.is_err() {
         context.metrics.error("repair_members");
     }
 }
 
+/// Returns the members with the time since each last responded; zero for this replica.
 fn members(replicas: &ReplicasState, silence: &SilenceTracker, status: &Status) -> Vec<MemberView> {
     let members = replicas.replicas().iter();
     members
@@ -172,7 +179,7 @@
         .collect()
 }
 
-/// Connected replicas that are no members.
+/// Returns the connected replicas that are not members.
 fn newcomers(context: &Context, replicas: &ReplicasState) -> Vec<NewcomerView> {
     let heard = context.peers.directory.others();
     heard
--- a/crates/sablehaven-control/src/leader/silence.rs
+++ b/crates/sablehaven-control/src/leader/silence.rs
@@ -1,4 +1,5 @@
-//! Since when each member has been silent to a leader that proves again and again that it leads, as a pure decision.
+//! Tracks for how long each member has not responded to a leader that repeatedly proves its leadership, as a pure state
+//! machine.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,67 +8,71 @@
 
 use sablehaven_consensus::ReplicaId;
 
-/// A proof that this replica led.
+/// A quorum's confirmation that this replica led at some time between the request and its completion.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeadershipProof {
+    /// The term in which it led.
     pub(crate) term: u64,
-    /// When it was asked for.
+    /// When the proof was requested.
     pub(crate) asked_at: Duration,
-    /// When it was there.
+    /// When the proof was complete.
     pub(crate) proven_at: Duration,
 }
 
-/// Since when each member has been silent. Times are steady and count suspension.
+/// Tracks for how long each member has been silent. Times are those of a monotonic clock that includes system suspension.
 #[derive(Debug)]
 pub(crate) struct SilenceTracker {
-    /// Longest time that two proofs may be apart.
-    longest_gap: Duration,
+    /// Maximum time from the request of a proof to the completion of the next one.
+    maximum_gap: Duration,
     last_proof: Option<LeadershipProof>,
     last_answers: BTreeMap<ReplicaId, Duration>,
 }
 
 impl SilenceTracker {
-    /// Two proofs that are further apart than five eighths of an election timeout leave room for members to have missed
-    /// the leader meanwhile: those then keep their parts of the quotas without it for the repair patience, so silence
-    /// counts from the later one. The rest of the timeout is for the members' answers to each other.
+    /// Creates a tracker without proofs.
+    ///
+    /// If two proofs are further apart than five eighths of an election timeout, members may have missed the leader
+    /// between them. Such members keep their shares of the quotas without the leader for the repair patience, so silence
+    /// must be counted from the later proof. The remaining three eighths of the timeout are reserved for the members'
+    /// answers to each other.
     pub(crate) fn new(election_timeout: Duration) -> Self {
         Self {
-            longest_gap: election_timeout * 5 / 8,
+            maximum_gap: election_timeout * 5 / 8,
             last_proof: None,
             last_answers: BTreeMap::new(),
         }
     }
 
-    /// This replica does not lead, or cannot prove it.
+    /// Discards all proofs and answers; called when this replica does not lead or cannot prove that it does.
     pub(crate) fn reset(&mut self) {
         self.last_proof = None;
         self.last_answers.clear();
     }
 
-    /// Takes a proof, and the members that answer.
+    /// Records a proof, and the members that were responsive at that time.
     pub(crate) fn record_proof(
         &mut self,
         proof: LeadershipProof,
         members: impl IntoIterator<Item = ReplicaId>,
-        answering: &BTreeSet<ReplicaId>,
+        responsive: &BTreeSet<ReplicaId>,
     ) {
-        let goes_on = self.last_proof.is_some_and(|last| {
+        let is_continuous = self.last_proof.is_some_and(|last| {
             let gap = proof.proven_at.saturating_sub(last.asked_at);
-            last.term == proof.term && gap <= self.longest_gap
+            last.term == proof.term && gap <= self.maximum_gap
         });
-        if !goes_on {
+        if !is_continuous {
             self.reset();
         }
         self.last_proof = Some(proof);
         for member in members {
             let last = self.last_answers.entry(member).or_insert(proof.proven_at);
-            if answering.contains(&member) {
+            if responsive.contains(&member) {
                 *last = proof.proven_at;
             }
         }
     }
 
-    /// How long a member has been silent as of the latest proof.
+    /// Returns for how long a member had been silent at the latest proof.
     pub(crate) fn silent_for(&self, member: ReplicaId) -> Duration {
         let last_answer = self.last_answers.get(&member);
         match (self.last_proof, last_answer) {
--- a/crates/sablehaven-control/src/leader/silence/tests.rs
+++ b/crates/sablehaven-control/src/leader/silence/tests.rs
@@ -1,6 +1,8 @@
+//! Tests of the silence of members.
+
 use super::*;
 
-const ELECTION: Duration = Duration::from_millis(1_000);
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(1_000);
 const A: ReplicaId = ReplicaId(1);
 const B: ReplicaId = ReplicaId(2);
 
@@ -16,14 +18,14 @@
     }
 }
 
-fn prove(silence: &mut SilenceTracker, proof: LeadershipProof, answering: &[ReplicaId]) {
-    let answering = answering.iter().copied().collect();
-    silence.record_proof(proof, [A, B], &answering);
+fn prove(silence: &mut SilenceTracker, proof: LeadershipProof, responsive: &[ReplicaId]) {
+    let responsive = responsive.iter().copied().collect();
+    silence.record_proof(proof, [A, B], &responsive);
 }
 
 #[test]
-fn silence_counts_from_the_last_answer() {
-    let mut silence = SilenceTracker::new(ELECTION);
+fn silence_is_counted_from_the_last_answer() {
+    let mut silence = SilenceTracker::new(ELECTION_TIMEOUT);
     prove(&mut silence, proof(2, 0, 10), &[A, B]);
     prove(&mut silence, proof(2, 200, 210), &[A]);
     prove(&mut silence, proof(2, 400, 410), &[A]);
@@ -33,19 +35,20 @@
 
 #[test]
 fn a_member_that_never_answered_is_silent_from_the_first_proof() {
-    let mut silence = SilenceTracker::new(ELECTION);
+    let mut silence = SilenceTracker::new(ELECTION_TIMEOUT);
     prove(&mut silence, proof(2, 0, 500), &[A]);
     prove(&mut silence, proof(2, 520, 600), &[A]);
     assert_eq!(silence.silent_for(B), at(100));
 }
 
 #[test]
-fn silence_counts_anew_after_a_gap_in_the_proofs() {
-    let mut silence = SilenceTracker::new(ELECTION);
+fn silence_is_reset_after_a_gap_between_proofs() {
+    let mut silence = SilenceTracker::new(ELECTION_TIMEOUT);
     prove(&mut silence, proof(2, 0, 10), &[A]);
     prove(&mut silence, proof(2, 200, 625), &[A]);
     assert_eq!(silence.silent_for(B), at(615));
-    // Asked for soon after the one before, and there late: whoever confirmed it did so in that time.
+    // Requested soon after the previous proof but completed late: members may have confirmed it at any time in between, so
+    // the gap is measured from the previous request to this completion.
     prove(&mut silence, proof(2, 630, 826), &[A]);
     assert_eq!(silence.silent_for(B), Duration::ZERO);
     prove(&mut silence, proof(2, 900, 910), &[A]);
@@ -53,8 +56,8 @@
 }
 
 #[test]
-fn silence_counts_anew_in_another_term_and_after_leadership_was_lost() {
-    let mut silence = SilenceTracker::new(ELECTION);
+fn silence_is_reset_in_a_new_term_and_after_loss_of_leadership() {
+    let mut silence = SilenceTracker::new(ELECTION_TIMEOUT);
     prove(&mut silence, proof(2, 0, 10), &[A]);
     prove(&mut silence, proof(3, 200, 210), &[A]);
     assert_eq!(silence.silent_for(B), Duration::ZERO);
--- a/crates/sablehaven-control/src/leader/watchers.rs
+++ b/crates/sablehaven-control/src/leader/watchers.rs
@@ -1,4 +1,4 @@
-//! How many agents watch each service, rounded so that it changes seldom.
+//! Proposes how many agents watch each service, rounded so that the counts change rarely.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,9 +17,9 @@
 /// Time between two counts.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time for which a lower count must last before it is believed: agents that restart or change
-/// their relay must not make all subsets larger for a moment.
-const LOWERING_DELAY: Duration = Duration::from_secs(10);
+/// Time for which a count must stay lower before it is proposed: agents that restart or change their relay must not
+/// enlarge all subsets temporarily.
+const DECREASE_DELAY: Duration = Duration::from_secs(10);
 
 type Counts = BTreeMap<ServiceName, ServiceWatchers>;
 
@@ -45,14 +45,14 @@
             continue;
         }
         let command = SharedCommand::Watchers(damped);
-        // Without a leader the next one counts anew.
+        // If the proposal fails, the next leader counts again.
         if context.driver.propose(command).await.is_err() {
             context.metrics.error("propose_watchers");
         }
     }
 }
 
-/// Counts the agents and their zones of each service, agents rounded up to a power of two.
+/// Counts the interested agents and their zones for each service; the number of agents is rounded up to a power of two.
 fn count(agents: &[AgentReport], services: &[ServiceName]) -> Counts {
     let mut counts = Counts::new();
     for service in services {
@@ -76,29 +76,31 @@
     counts
 }
 
-/// Lets counts rise at once and fall only after a while.
+/// Lets counts increase immediately and decrease only after [`DECREASE_DELAY`].
 #[derive(Default)]
 struct Damping {
-    lower_since: BTreeMap<ServiceName, Instant>,
+    /// When the count of each service first fell below the known one.
+    decreased_since: BTreeMap<ServiceName, Instant>,
 }
 
 impl Damping {
+    /// Returns the counts to propose: those of `counted`, except that decreases wait.
     fn apply(&mut self, known: &Counts, counted: Counts, now: Instant) -> Counts {
         let mut result = counted;
-        let mut lower_since = BTreeMap::new();
+        let mut decreased_since = BTreeMap::new();
         for (service, before) in known {
             let counted = result.get(service).copied().unwrap_or_default();
             if counted.agents >= before.agents {
                 continue;
             }
-            let since = self.lower_since.get(service).copied().unwrap_or(now);
-            if now.duration_since(since) >= LOWERING_DELAY {
+            let since = self.decreased_since.get(service).copied().unwrap_or(now);
+            if now.duration_since(since) >= DECREASE_DELAY {
                 continue;
             }
-            lower_since.insert(service.clone(), since);
+            decreased_since.insert(service.clone(), since);
             result.insert(service.clone(), *before);
         }
-        self.lower_since = lower_since;
+        self.decreased_since = decreased_since;
         result
     }
 }
--- a/crates/sablehaven-control/src/membership/backend.rs
+++ b/crates/sablehaven-control/src/membership/backend.rs
@@ -1,4 +1,4 @@
-//! One back end with every signal about it.
+//! The state of one back end, derived from all signals about it.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,23 @@
 
 use super::AgentObservation;
 
-/// Agents whose suspicion of one back end is kept; above the quorum that is ever needed.
-const SUSPICION_LIMIT: usize = 64;
+/// Maximum number of suspicions stored for one back end; more than are ever required for its removal.
+const MAXIMUM_SUSPICIONS: usize = 64;
 
+/// A back end and the signals about it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Backend {
-    /// As the platform last listed it.
+    /// Its record in the latest list of the platform.
     listed: BackendRecord,
-    /// The latest start that the platform or an agent saw.
+    /// The latest incarnation that the platform listed or an agent observed.
     incarnation: u64,
-    /// The start that said of itself that it drains.
+    /// The incarnation that reported itself as draining, if any.
     draining: Option<u64>,
+    /// Suspicions of the current incarnation, by agent.
     suspicions: BTreeMap<AgentId, Suspicion>,
 }
 
+/// An agent's report that it cannot reach the back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspicion {
     zone: Option<ZoneName>,
@@ -41,13 +44,14 @@
         &self.listed
     }
 
-    pub(super) fn list(&mut self, listed: BackendRecord) {
-        self.see_incarnation(listed.incarnation);
+    /// Replaces the listed record.
+    pub(super) fn set_listed(&mut self, listed: BackendRecord) {
+        self.update_incarnation(listed.incarnation);
         self.listed = listed;
     }
 
-    /// A later start is another server: what was known of the earlier one is void.
-    fn see_incarnation(&mut self, incarnation: u64) {
+    /// Records a later incarnation. It is another server process, so all signals about the earlier one are discarded.
+    fn update_incarnation(&mut self, incarnation: u64) {
         if incarnation <= self.incarnation {
             return;
         }
@@ -56,13 +60,15 @@
         self.suspicions.clear();
     }
 
-    fn concerns(&self, observed: &AgentObservation) -> bool {
+    /// Whether an observation is about this service, and about the current or a later incarnation.
+    fn is_relevant(&self, observed: &AgentObservation) -> bool {
         let observation = &observed.observation;
         observation.service == self.listed.service && observation.incarnation >= self.incarnation
     }
 
+    /// Whether an observation would change the state of the back end.
     pub(super) fn would_change(&self, observed: &AgentObservation, now_ms: u64) -> bool {
-        if !self.concerns(observed) {
+        if !self.is_relevant(observed) {
             return false;
         }
         if observed.observation.incarnation > self.incarnation {
@@ -71,33 +77,34 @@
         match observed.observation.kind {
             ObservationKind::Draining => self.draining.is_none(),
             ObservationKind::Reachable => !self.suspicions.is_empty(),
-            ObservationKind::Unreachable => self.is_new_suspicion(&observed.agent, now_ms),
+            ObservationKind::Unreachable => self.would_add_suspicion(&observed.agent, now_ms),
         }
     }
 
-    /// A suspicion is renewed only when half of its lifetime is over, to spare the log.
-    fn is_new_suspicion(&self, agent: &AgentId, now_ms: u64) -> bool {
+    /// Whether a suspicion of this agent would be stored. It is renewed only after half of its lifetime, to save log entries.
+    fn would_add_suspicion(&self, agent: &AgentId, now_ms: u64) -> bool {
         match self.suspicions.get(agent) {
             Some(known) => known.at_ms + super::SUSPICION_LIFETIME_MS / 2 <= now_ms,
-            None => self.suspicions.len() < SUSPICION_LIMIT,
+            None => self.suspicions.len() < MAXIMUM_SUSPICIONS,
         }
     }
 
-    pub(super) fn observe(&mut self, observed: AgentObservation, now_ms: u64) {
-        if !self.concerns(&observed) {
+    /// Applies an observation; an irrelevant one is ignored.
+    pub(super) fn apply(&mut self, observed: AgentObservation, now_ms: u64) {
+        if !self.is_relevant(&observed) {
             return;
         }
-        self.see_incarnation(observed.observation.incarnation);
+        self.update_incarnation(observed.observation.incarnation);
         match observed.observation.kind {
             ObservationKind::Draining => self.draining = Some(self.incarnation),
             ObservationKind::Reachable => self.suspicions.clear(),
-            ObservationKind::Unreachable => self.suspect(observed, now_ms),
+            ObservationKind::Unreachable => self.add_suspicion(observed, now_ms),
         }
     }
 
-    fn suspect(&mut self, observed: AgentObservation, now_ms: u64) {
+    fn add_suspicion(&mut self, observed: AgentObservation, now_ms: u64) {
         let known = self.suspicions.contains_key(&observed.agent);
-        if !known && self.suspicions.len() >= SUSPICION_LIMIT {
+        if !known && self.suspicions.len() >= MAXIMUM_SUSPICIONS {
             return;
         }
         let suspicion = Suspicion {
@@ -127,11 +134,12 @@
         zones.collect::<std::collections::BTreeSet<_>>().len()
     }
 
-    /// Leaving by the platform's word or its own, whichever came first.
+    /// Whether it is leaving, by the platform's list or by its own report, whichever comes first.
     pub(super) fn is_leaving(&self) -> bool {
         self.listed.state == BackendState::Leaving || self.draining == Some(self.incarnation)
     }
 
+    /// Returns the record for agents; `suspected` applies unless the back end is leaving.
     pub(super) fn record(&self, suspected: bool) -> BackendRecord {
         let state = if self.is_leaving() {
             BackendState::Leaving
--- a/crates/sablehaven-control/src/membership/command.rs
+++ b/crates/sablehaven-control/src/membership/command.rs
@@ -1,41 +1,41 @@
-//! What membership commands carry.
+//! The contents of membership commands.
 
 use std::collections::BTreeSet;
 
 use sablehaven_types::{AgentId, BackendId, BackendRecord, Observation, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// What changed in the platform's list.
+/// The changes in the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformUpdate {
-    /// Machines that are new or listed otherwise than before.
+    /// Machines that are new or whose record has changed.
     pub machines: Vec<BackendRecord>,
-    /// Machines that the list no longer holds.
+    /// Machines that are no longer listed.
     pub removed: BTreeSet<BackendId>,
 }
 
 impl PlatformUpdate {
-    /// Whether nothing changed.
+    /// Whether there are no changes.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty() && self.removed.is_empty()
     }
 }
 
-/// What one agent saw.
+/// An observation of one agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentObservation {
     /// The agent.
     pub agent: AgentId,
-    /// Where it runs, if known.
+    /// The zone in which it runs, if known.
     pub zone: Option<ZoneName>,
-    /// What it saw.
+    /// Its observation.
     pub observation: Observation,
 }
 
-/// What agents saw since the last batch; an empty batch only drops suspicions that expired.
+/// Observations of agents since the last batch. An empty batch only drops expired suspicions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservationBatch {
-    /// The proposer's time, in milliseconds since the Unix epoch.
+    /// The proposer's clock, in milliseconds since the Unix epoch.
     pub proposed_at_ms: u64,
     /// The observations, in order of arrival.
     pub observations: Vec<AgentObservation>,
@@ -44,8 +44,8 @@
 /// How many agents watch a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceWatchers {
-    /// Agents, rounded up to a power of two.
+    /// The number of agents, rounded up to a power of two.
     pub agents: u32,
-    /// Zones in which they run.
+    /// The number of zones in which they run.
     pub zones: u32,
 }
--- a/crates/sablehaven-control/src/membership/evaluation.rs
+++ b/crates/sablehaven-control/src/membership/evaluation.rs
@@ -1,9 +1,9 @@
-//! Which suspicions take a back end out of service.
+//! Decides which suspected back ends are taken out of service.
 //!
-//! A back end is a candidate when enough distinct agents suspect it, from two zones where agents
-//! run in two. Of the candidates, no more are taken out than the service's limit allows, and never
-//! the last replica of a shard: when everything is suspected at once, the fault is more likely on
-//! the agents' side, and an answer from a suspected replica is better than none.
+//! A back end is a candidate for removal if enough distinct agents suspect it. If the service's agents run in two or more
+//! zones, the suspicions must come from at least two. Of the candidates, no more are removed than the service's limit
+//! allows, and never the last replica of a shard: if all back ends are suspected at the same time, the fault is more
+//! likely on the agents' side, and an answer from a suspected replica is better than none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,35 +13,39 @@
 
 use super::{ServiceWatchers, backend::Backend};
 
-/// Fewest agents whose suspicion counts: one agent alone removes nobody.
+/// Minimum number of agents that must suspect a back end: one agent alone must not remove any.
 const MINIMUM_SUSPECTING_AGENTS: u32 = 2;
 
-/// Most agents that are asked for. A server is used by at most as many agents as it accepts
-/// connections (65 to 110 in the brief); a quarter of that is enough.
+/// Maximum number of agents that are required. A server is used by at most as many agents as it accepts connections (65 to
+/// 110 in the specification); a quarter of that is enough.
 const MAXIMUM_SUSPECTING_AGENTS: u32 = 16;
 
-/// The share of a service's agents that must agree is one in this many.
-const SUSPECTING_SHARE: u32 = 4;
+/// One in this many of a service's agents must suspect a back end.
+const SUSPECTING_AGENTS_DIVISOR: u32 = 4;
 
+/// The result of an evaluation.
 #[derive(Debug, Default)]
-pub(super) struct Verdict {
+pub(super) struct Evaluation {
+    /// Back ends that are taken out of service.
     pub(super) suspected: BTreeSet<BackendId>,
+    /// Candidates that the limits keep in service.
     pub(super) held_back: BTreeSet<BackendId>,
 }
 
 type Backends = BTreeMap<BackendId, Backend>;
 
+/// Evaluates the suspicions of all back ends.
 pub(super) fn evaluate(
     backends: &Backends,
     watchers: &BTreeMap<ServiceName, ServiceWatchers>,
     configuration: &Configuration,
-) -> Verdict {
+) -> Evaluation {
     let mut members: BTreeMap<&ServiceName, Vec<(&BackendId, &Backend)>> = BTreeMap::new();
     for (id, backend) in backends {
         let service = members.entry(&backend.listed().service).or_default();
         service.push((id, backend));
     }
-    let mut verdict = Verdict::default();
+    let mut evaluation = Evaluation::default();
     for (name, members) in members {
         let watchers = watchers.get(name).copied().unwrap_or_default();
         let candidates = candidates(&members, watchers);
@@ -55,22 +59,22 @@
         for id in candidates {
             if removed < allowed && coverage.remove(id) {
                 removed += 1;
-                verdict.suspected.insert(id.clone());
+                evaluation.suspected.insert(id.clone());
             } else {
-                verdict.held_back.insert(id.clone());
+                evaluation.held_back.insert(id.clone());
             }
         }
     }
-    verdict
+    evaluation
 }
 
-/// Agents that must suspect a back end of a service.
+/// Returns the number of agents that must suspect a back end of a service.
 fn required_agents(watchers: ServiceWatchers) -> usize {
-    let share = watchers.agents.div_ceil(SUSPECTING_SHARE);
+    let share = watchers.agents.div_ceil(SUSPECTING_AGENTS_DIVISOR);
     share.clamp(MINIMUM_SUSPECTING_AGENTS, MAXIMUM_SUSPECTING_AGENTS) as usize
 }
 
-/// The back ends that enough agents suspect, the most suspected first.
+/// Returns the back ends that enough agents suspect, those with the most suspicions first.
 fn candidates<'a>(
     members: &[(&'a BackendId, &'a Backend)],
     watchers: ServiceWatchers,
@@ -88,6 +92,7 @@
     found.into_iter().map(|(_, id)| id).collect()
 }
 
+/// Returns how many back ends of a service may be removed: a share of those that are not leaving.
 fn allowed_removals(
     members: &[(&BackendId, &Backend)],
     settings: Option<&ServiceConfiguration>,
@@ -103,7 +108,7 @@
     staying * per_mille as usize / 1_000
 }
 
-/// How many replicas in service each shard still has.
+/// Counts the replicas of each shard that are still in service.
 struct ShardCoverage<'a> {
     shards_of: BTreeMap<&'a BackendId, Vec<usize>>,
     replicas: Vec<usize>,
@@ -138,7 +143,7 @@
         coverage
     }
 
-    /// Takes a back end out unless it is the last replica of a shard.
+    /// Removes a back end; returns `false` if it is the last replica of a shard and therefore stays.
     fn remove(&mut self, id: &BackendId) -> bool {
         let Some(shards) = self.shards_of.get(id) else {
             return true;
--- a/crates/sablehaven-control/src/membership/mod.rs
+++ b/crates/sablehaven-control/src/membership/mod.rs
@@ -1,8 +1,8 @@
-//! Back ends as a deterministic state machine, from three signals: the platform's list, the back
-//! end's own word, and agents' suspicions. The earliest sign of leaving wins.
+//! The back ends as a deterministic state machine with three inputs: the platform's list, the back ends' own draining
+//! reports, and agents' suspicions. A back end is leaving as soon as the list or its own report says so.
 //!
-//! A suspicion is the absence of an answer, so it needs several agents and never removes more than
-//! a share of a service; an answer is proof of life, so one `Reachable` heals.
+//! A suspicion is only the absence of an answer, so several agents must agree on it, and suspicions never remove more than
+//! a share of a service. An answer proves that the back end is alive, so a single `Reachable` clears all suspicions.
 
 mod backend;
 mod command;
@@ -20,40 +20,40 @@
     platform::{ABSENCES_BEFORE_REMOVAL, PlatformAbsences, PlatformList},
 };
 
-/// Time after which a suspicion that is not renewed is dropped, in milliseconds.
+/// Time after which a suspicion expires unless it is renewed, in milliseconds.
 pub const SUSPICION_LIFETIME_MS: u64 = 30_000;
 
-/// The back ends of a deployment and how many agents watch each service.
+/// The back ends of a deployment, and how many agents watch each service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipState {
     backends: BTreeMap<BackendId, Backend>,
     watchers: BTreeMap<ServiceName, ServiceWatchers>,
-    /// What agents are told; derived from the above at each [`Self::refresh`].
+    /// The records that agents are sent; derived from the fields above by [`Self::refresh`].
     records: BTreeMap<BackendId, BackendRecord>,
-    /// Back ends that agents suspect but that the floor keeps in service.
+    /// Back ends that enough agents suspect but that the limits on removal keep in service.
     held_back: BTreeSet<BackendId>,
-    /// The latest proposer's time seen; never goes back.
+    /// The highest proposer's time applied so far; it never decreases.
     clock_ms: u64,
 }
 
 impl MembershipState {
-    /// Every known back end.
+    /// Returns the records of all known back ends.
     pub fn records(&self) -> &BTreeMap<BackendId, BackendRecord> {
         &self.records
     }
 
-    /// How many agents watch each service.
+    /// Returns how many agents watch each service.
     pub fn watchers(&self) -> &BTreeMap<ServiceName, ServiceWatchers> {
         &self.watchers
     }
 
-    /// Back ends that agents suspect but that the floor keeps in service.
+    /// Back ends that enough agents suspect but that the limits on removal keep in service.
     pub fn held_back(&self) -> &BTreeSet<BackendId> {
         &self.held_back
     }
 
-    /// Whether a suspicion has outlived [`SUSPICION_LIFETIME_MS`] at `now_ms`, so that a command is
-    /// due to drop it.
+    /// Whether a suspicion is older than [`SUSPICION_LIFETIME_MS`] at `now_ms`, so that a command must be proposed to drop
+    /// it.
     pub fn has_expired_suspicion(&self, now_ms: u64) -> bool {
         let oldest_kept = now_ms.saturating_sub(SUSPICION_LIFETIME_MS);
         self.backends
@@ -61,11 +61,11 @@
             .any(|backend| backend.has_suspicion_before(oldest_kept))
     }
 
-    /// Applies what changed in the platform's list.
+    /// Applies changes in the platform's list.
     pub fn apply_platform(&mut self, update: PlatformUpdate) {
         for machine in update.machines {
             match self.backends.get_mut(&machine.id) {
-                Some(backend) => backend.list(machine),
+                Some(backend) => backend.set_listed(machine),
                 None => {
                     let id = machine.id.clone();
                     self.backends.insert(id, Backend::new(machine));
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Applies what agents saw; an observation of an unknown back end or an earlier start is ignored.
+    /// Applies agents' observations. Those of an unknown back end or an earlier incarnation are ignored.
     pub fn apply_observations(&mut self, batch: ObservationBatch) {
         self.clock_ms = self.clock_ms.max(batch.proposed_at_ms);
         for observed in batch.observations {
             let known = self.backends.get_mut(&observed.observation.backend);
             if let Some(backend) = known {
-                backend.observe(observed, self.clock_ms);
+                backend.apply(observed, self.clock_ms);
             }
         }
         let oldest_kept = self.clock_ms.saturating_sub(SUSPICION_LIFETIME_MS);
@@ -92,13 +92,14 @@
         }
     }
 
-    /// Whether an observation would change anything; others need not enter the log.
+    /// Whether an observation would change the state; others need not be proposed.
     pub fn would_change(&self, observed: &AgentObservation, now_ms: u64) -> bool {
         let known = self.backends.get(&observed.observation.backend);
         known.is_some_and(|backend| backend.would_change(observed, now_ms))
     }
 
-    /// Records how many agents watch each service; services that are not named have none.
+    /// Sets how many agents watch each service; services that are not listed have none. Returns the services whose number of
+    /// agents has changed.
     pub fn apply_watchers(
         &mut self,
         watchers: BTreeMap<ServiceName, ServiceWatchers>,
@@ -120,16 +121,16 @@
         changed
     }
 
-    /// Derives the records again and returns the back ends whose record changed or went.
+    /// Derives the records again, and returns the back ends whose record was added, changed or removed.
     pub fn refresh(&mut self, configuration: &Configuration) -> BTreeSet<BackendId> {
-        let verdict = evaluation::evaluate(&self.backends, &self.watchers, configuration);
+        let evaluation = evaluation::evaluate(&self.backends, &self.watchers, configuration);
         let mut records = BTreeMap::new();
         for (id, backend) in &self.backends {
-            let suspected = verdict.suspected.contains(id);
+            let suspected = evaluation.suspected.contains(id);
             records.insert(id.clone(), backend.record(suspected));
         }
         let before = std::mem::replace(&mut self.records, records);
-        self.held_back = verdict.held_back;
+        self.held_back = evaluation.held_back;
         let ids: BTreeSet<&BackendId> = before.keys().chain(self.records.keys()).collect();
         let changed = ids
             .into_iter()
--- a/crates/sablehaven-control/src/repair/mod.rs
+++ b/crates/sablehaven-control/src/repair/mod.rs
@@ -1,5 +1,7 @@
-//! Changes of the control replicas that need no operator, as a pure decision: a replica that lost
-//! its disk, one that is gone for good, and one that has joined.
+//! Decides on automatic changes of the control replicas, as a pure function: the replacement of a replica that has lost its
+//! disk or has failed permanently, the addition of a new replica, and the removal of a surplus one.
+//!
+//! A newcomer is a connected replica that is not a member.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,18 +12,18 @@
 #[cfg(test)]
 mod tests;
 
-/// When the leader changes the replicas by itself.
+/// The conditions under which the leader changes the replicas automatically.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RepairPolicy {
-    /// Silence after which a member counts as gone if another can take its place.
+    /// Silence after which a member counts as failed, so that it may be replaced or removed.
     pub(crate) patience: Duration,
-    /// Members that stay even while one of them is silent and nobody can take its place.
+    /// Number of members down to which silent ones are removed while no newcomer can replace them.
     pub(crate) minimum_members: usize,
-    /// Members beyond which nobody is added.
+    /// Number of members up to which newcomers are added.
     pub(crate) maximum_members: usize,
 }
 
-/// A member as the leader sees it.
+/// A member, as observed by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MemberView {
     pub(crate) replica: ReplicaId,
@@ -31,14 +33,14 @@
     pub(crate) silent_for: Duration,
 }
 
-/// A connected replica that is no member.
+/// A connected replica that is not a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NewcomerView {
     pub(crate) replica: ReplicaId,
     pub(crate) addresses: ReplicaAddresses,
 }
 
-/// A change to begin.
+/// A change to propose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PlannedChange {
     pub(crate) kind: ChangeKind,
@@ -46,16 +48,16 @@
     pub(crate) addresses: Option<ReplicaAddresses>,
 }
 
-/// The next change, if one is due. One at a time: while another is under way it may only be called
-/// off, when the replica that joins has gone.
+/// Returns the next change, if one is due. Only one change runs at a time: while one is in progress it may only be
+/// cancelled, if the replica that joins has failed.
 pub(crate) fn next_change(
     members: &[MemberView],
     newcomers: &[NewcomerView],
-    under_way: Option<&ReplicaChange>,
+    current_change: Option<&ReplicaChange>,
     policy: &RepairPolicy,
 ) -> Option<PlannedChange> {
-    if let Some(change) = under_way {
-        return call_off(members, newcomers, change, policy);
+    if let Some(change) = current_change {
+        return cancel(members, newcomers, change, policy);
     }
     replace_lost_disk(members, newcomers)
         .or_else(|| replace_silent(members, newcomers, policy))
@@ -63,7 +65,8 @@
         .or_else(|| remove_surplus(members, newcomers, policy))
 }
 
-fn call_off(
+/// Returns the removal of the joining replica, if that is silent for the repair patience or has lost its disk.
+fn cancel(
     members: &[MemberView],
     newcomers: &[NewcomerView],
     change: &ReplicaChange,
@@ -72,15 +75,15 @@
     let joining = change.kind.added()?;
     let member = members.iter().find(|member| member.replica == joining)?;
     let has_lost_disk = newcomer_at(newcomers, member.internal).is_some();
-    let is_gone =
+    let has_failed =
         member.silent_for >= policy.patience || (has_lost_disk && !member.silent_for.is_zero());
-    is_gone.then_some(PlannedChange {
+    has_failed.then_some(PlannedChange {
         kind: ChangeKind::Remove { replica: joining },
         addresses: None,
     })
 }
 
-/// A member whose address another replica answers at has lost its disk and can never come back.
+/// Replaces a silent member by a newcomer at the same address: the member has lost its disk and can never return.
 fn replace_lost_disk(members: &[MemberView], newcomers: &[NewcomerView]) -> Option<PlannedChange> {
     members.iter().find_map(|member| {
         let newcomer = newcomer_at(newcomers, member.internal)?;
@@ -88,6 +91,7 @@
     })
 }
 
+/// Replaces the longest silent member by a newcomer after the repair patience.
 fn replace_silent(
     members: &[MemberView],
     newcomers: &[NewcomerView],
@@ -98,22 +102,22 @@
     (silent.silent_for >= policy.patience).then(|| replacement(silent, newcomer))
 }
 
-/// A newcomer joins beside members that all answer: the one that it is to replace goes later, and
-/// until then every quorum is as safe as before.
+/// Adds a newcomer if all members respond. The member that it is meant to replace is removed later, and until then every
+/// quorum is as safe as before.
 fn add_newcomer(
     members: &[MemberView],
     newcomers: &[NewcomerView],
     policy: &RepairPolicy,
 ) -> Option<PlannedChange> {
-    // One at a member's own address takes that one's place and no other.
+    // A newcomer at the address of a member can only replace that member.
     let is_elsewhere = |newcomer: &&NewcomerView| {
         let mut taken = members.iter().map(|member| member.internal);
         taken.all(|address| address != newcomer.addresses.internal)
     };
     let newcomer = newcomers.iter().find(is_elsewhere)?;
-    let is_whole = members.iter().all(|member| member.silent_for.is_zero());
+    let all_respond = members.iter().all(|member| member.silent_for.is_zero());
     let has_room = members.len() < policy.maximum_members;
-    (is_whole && has_room).then_some(PlannedChange {
+    (all_respond && has_room).then_some(PlannedChange {
         kind: ChangeKind::Add {
             replica: newcomer.replica,
         },
@@ -121,7 +125,7 @@
     })
 }
 
-/// Beyond the minimum a silent member only makes quorums larger.
+/// Removes the longest silent member after the repair patience: above the minimum, it only makes quorums larger.
 fn remove_surplus(
     members: &[MemberView],
     newcomers: &[NewcomerView],
@@ -149,7 +153,7 @@
         .find(|newcomer| newcomer.addresses.internal == address)
 }
 
-/// The one that goes is dead, so it goes first; see [`ReplacementOrder`].
+/// Returns the replacement of a failed member. It is removed first, since it has failed; see [`ReplacementOrder`].
 fn replacement(old: &MemberView, new: &NewcomerView) -> PlannedChange {
     PlannedChange {
         kind: ChangeKind::Replace {
--- a/crates/sablehaven-control/src/repair/tests.rs
+++ b/crates/sablehaven-control/src/repair/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the leader's own changes of the replicas.
+//! Tests of automatic changes of the control replicas.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -38,9 +38,9 @@
 fn decide(
     members: &[MemberView],
     newcomers: &[NewcomerView],
-    under_way: Option<&ReplicaChange>,
+    current_change: Option<&ReplicaChange>,
 ) -> Option<ChangeKind> {
-    next_change(members, newcomers, under_way, &POLICY).map(|planned| planned.kind)
+    next_change(members, newcomers, current_change, &POLICY).map(|planned| planned.kind)
 }
 
 fn replace(old: u64, new: u64) -> ChangeKind {
@@ -52,42 +52,45 @@
 }
 
 #[test]
-fn nothing_is_changed_while_all_answer_or_nobody_can_step_in() {
-    let whole = [member(1, 0), member(2, 0), member(3, 0)];
-    assert_eq!(decide(&whole, &[], None), None);
+fn nothing_is_changed_if_all_members_respond_or_no_newcomer_is_connected() {
+    let responsive = [member(1, 0), member(2, 0), member(3, 0)];
+    assert_eq!(decide(&responsive, &[], None), None);
     let one_silent = [member(1, 0), member(2, 0), member(3, 60_000)];
     assert_eq!(decide(&one_silent, &[], None), None);
 }
 
 #[test]
-fn a_lost_disk_is_replaced_at_once_by_the_new_one_at_its_address() {
+fn a_member_that_lost_its_disk_is_replaced_immediately_by_the_newcomer_at_its_address() {
     let members = [member(1, 0), member(2, 0), member(3, 400)];
     let found = decide(&members, &[newcomer(9, 3)], None);
     assert_eq!(found, Some(replace(3, 9)));
 }
 
 #[test]
-fn an_address_whose_member_still_answers_is_not_given_away() {
+fn a_member_that_still_responds_is_not_replaced_by_a_newcomer_at_its_address() {
     let members = [member(1, 0), member(2, 0), member(3, 0)];
     let found = decide(&members, &[newcomer(9, 3)], None);
     assert_eq!(found, None);
 }
 
 #[test]
-fn a_newcomer_elsewhere_replaces_a_silent_member_only_after_a_while() {
-    let patient = [member(1, 0), member(2, 0), member(3, 1_900)];
-    assert_eq!(decide(&patient, &[newcomer(9, 9)], None), None);
-    let gone = [member(1, 0), member(2, 0), member(3, 2_000)];
-    assert_eq!(decide(&gone, &[newcomer(9, 9)], None), Some(replace(3, 9)));
+fn a_newcomer_at_another_address_replaces_a_silent_member_only_after_the_patience() {
+    let within_patience = [member(1, 0), member(2, 0), member(3, 1_900)];
+    assert_eq!(decide(&within_patience, &[newcomer(9, 9)], None), None);
+    let failed = [member(1, 0), member(2, 0), member(3, 2_000)];
+    assert_eq!(
+        decide(&failed, &[newcomer(9, 9)], None),
+        Some(replace(3, 9))
+    );
 }
 
 #[test]
-fn a_newcomer_joins_a_whole_group_and_the_silent_one_goes_later() {
-    let whole = [member(1, 0), member(2, 0), member(3, 0)];
+fn a_newcomer_is_added_to_a_responsive_group_and_a_silent_member_is_removed_later() {
+    let responsive = [member(1, 0), member(2, 0), member(3, 0)];
     let added = ChangeKind::Add {
         replica: ReplicaId(9),
     };
-    assert_eq!(decide(&whole, &[newcomer(9, 9)], None), Some(added));
+    assert_eq!(decide(&responsive, &[newcomer(9, 9)], None), Some(added));
     let four = [member(1, 0), member(2, 0), member(3, 2_500), member(9, 0)];
     let removed = ChangeKind::Remove {
         replica: ReplicaId(3),
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn a_change_whose_newcomer_has_gone_is_called_off() {
+fn a_change_whose_newcomer_has_failed_is_cancelled() {
     let change = |phase| ReplicaChange {
         number: 1,
         kind: replace(3, 9),
@@ -108,11 +111,14 @@
         member(3, 5_000),
         member(9, 2_100),
     ];
-    let off = ChangeKind::Remove {
+    let cancellation = ChangeKind::Remove {
         replica: ReplicaId(9),
     };
     for phase in [ChangePhase::Learning, ChangePhase::Promoting] {
-        assert_eq!(decide(&members, &[], Some(&change(phase))), Some(off));
+        assert_eq!(
+            decide(&members, &[], Some(&change(phase))),
+            Some(cancellation)
+        );
     }
     let alive = [member(1, 0), member(2, 0), member(3, 5_000), member(9, 0)];
     assert_eq!(
@@ -122,7 +128,7 @@
 }
 
 #[test]
-fn a_newcomer_that_lost_its_disk_again_is_called_off_at_once() {
+fn a_change_whose_newcomer_lost_its_disk_is_cancelled_immediately() {
     let change = ReplicaChange {
         number: 1,
         kind: replace(3, 9),
@@ -131,11 +137,11 @@
     let mut joining = member(9, 300);
     joining.internal = address(3);
     let members = [member(1, 0), member(2, 0), member(3, 5_000), joining];
-    let off = ChangeKind::Remove {
+    let cancellation = ChangeKind::Remove {
         replica: ReplicaId(9),
     };
     assert_eq!(
         decide(&members, &[newcomer(10, 3)], Some(&change)),
-        Some(off)
+        Some(cancellation)
     );
 }
--- a/crates/sablehaven-control/src/replicas/change.rs
+++ b/crates/sablehaven-control/src/replicas/change.rs
@@ -1,72 +1,72 @@
-//! One change of the control replicas and its phases.
+//! A change of the control replicas, and its phases.
 
 use sablehaven_consensus::ReplicaId;
 use serde::{Deserialize, Serialize};
 
-/// What is changed.
+/// The kind of a change, with the replicas that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// A replica joins.
+    /// Adds a replica.
     Add {
         /// The replica.
         replica: ReplicaId,
     },
-    /// A replica goes.
+    /// Removes a replica.
     Remove {
         /// The replica.
         replica: ReplicaId,
     },
-    /// A replica takes the place of another.
+    /// Replaces one replica by another.
     Replace {
-        /// The replica that goes.
+        /// The replica that is removed.
         old: ReplicaId,
-        /// The replica that joins.
+        /// The replica that is added.
         new: ReplicaId,
-        /// Which of the two steps comes first.
+        /// The order of the two steps.
         order: ReplacementOrder,
     },
 }
 
-/// Which step of a replacement comes first.
+/// The order of the steps of a replacement.
 ///
-/// With the old replica alive, promoting first keeps one more voter at every moment. With it dead,
-/// removing first does: {A, B, C†, D} needs three of A, B and D, whereas {A, B} needs both and does
-/// not depend on a machine that has only just joined.
+/// While the old replica is alive, promoting the new one first is safer: there is one more voter throughout the change.
+/// If the old replica has failed, removing it first is safer. With C failed, {A, B, C, D} has a quorum only if A, B and D
+/// all respond, whereas {A, B} needs both but does not depend on a machine that has only just joined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplacementOrder {
-    /// The new replica gets its vote before the old one goes.
+    /// The new replica is promoted to voter before the old one is removed.
     PromoteFirst,
-    /// The old replica goes before the new one gets its vote.
+    /// The old replica is removed before the new one is promoted to voter.
     RemoveFirst,
 }
 
-/// How far a change is.
+/// The phase of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangePhase {
-    /// The new replica follows every group without a vote until it has caught up.
+    /// The new replica is a learner, without a vote, in every group until it has caught up.
     Learning,
-    /// The new replica gets its vote in every group.
+    /// The new replica becomes a voter in every group.
     Promoting,
-    /// The old replica is taken out of every group.
+    /// The old replica is removed from every group.
     Removing,
 }
 
 /// A change of the control replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaChange {
-    /// Counts the changes of the deployment from 1.
+    /// The number of the change; the changes of a deployment are numbered from 1.
     pub number: u64,
-    /// What is changed.
+    /// The kind of the change.
     pub kind: ChangeKind,
-    /// How far it is.
+    /// Its current phase.
     pub phase: ChangePhase,
 }
 
 impl ChangeKind {
-    /// The replica that joins, if any.
+    /// Returns the replica that is added, if any.
     pub fn added(self) -> Option<ReplicaId> {
         match self {
             Self::Add { replica } | Self::Replace { new: replica, .. } => Some(replica),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The replica that goes, if any.
+    /// Returns the replica that is removed, if any.
     pub fn removed(self) -> Option<ReplicaId> {
         match self {
             Self::Remove { replica } | Self::Replace { old: replica, .. } => Some(replica),
@@ -82,11 +82,12 @@
         }
     }
 
-    /// Whether another change lets the same replica join and the same one go, in whatever order.
+    /// Whether another change adds the same replica and removes the same one, in any order.
     pub(super) fn has_same_members(self, other: Self) -> bool {
         self.added() == other.added() && self.removed() == other.removed()
     }
 
+    /// Returns the phases of the change in order.
     fn phases(self) -> &'static [ChangePhase] {
         use ChangePhase::{Learning, Promoting, Removing};
         match self {
@@ -109,23 +110,24 @@
         }
     }
 
-    /// The phase after the current one; `None` after the last.
+    /// Returns the phase after the current one; `None` if that is the last.
     pub fn next_phase(&self) -> Option<ChangePhase> {
         let phases = self.kind.phases();
         phases.get(self.position(self.phase)? + 1).copied()
     }
 
-    /// Whether the new replica is to vote by now.
-    pub(super) fn has_promoted(&self) -> bool {
+    /// Whether the new replica should be a voter in the current phase.
+    pub(super) fn has_reached_promotion(&self) -> bool {
         self.has_reached(ChangePhase::Promoting)
     }
 
-    /// Whether the old replica is to be out by now.
-    pub(super) fn has_removed(&self) -> bool {
+    /// Whether the old replica should be removed in the current phase.
+    pub(super) fn has_reached_removal(&self) -> bool {
         self.has_reached(ChangePhase::Removing)
     }
 
-    fn is_promoted_last(&self) -> bool {
+    /// Whether the change is promoting the new replica as its last step.
+    fn promotes_last(&self) -> bool {
         self.next_phase().is_none() && self.phase == ChangePhase::Promoting
     }
 
@@ -138,18 +140,20 @@
         self.kind.phases().iter().position(|each| *each == phase)
     }
 
-    /// Removing the new replica calls a change off while nobody counts on it yet. When the old replica
-    /// has been taken out, or there is none, also while the new one is being promoted: a newcomer that
-    /// is gone for good would otherwise hold up every later change.
-    pub(super) fn may_be_called_off_by(&self, kind: ChangeKind) -> bool {
+    /// Whether a change of this kind cancels the current one.
+    ///
+    /// The removal of the new replica cancels a change while that replica is still a learner. If its promotion is the last
+    /// step, because the old replica has been removed or there is none, the change can also be cancelled during the
+    /// promotion: a new replica that has failed permanently would otherwise block every later change.
+    pub(super) fn can_be_cancelled_by(&self, kind: ChangeKind) -> bool {
         let ChangeKind::Remove { replica } = kind else {
             return false;
         };
-        let may_stop = match self.phase {
+        let can_stop = match self.phase {
             ChangePhase::Learning => true,
-            ChangePhase::Promoting => self.is_promoted_last(),
+            ChangePhase::Promoting => self.promotes_last(),
             ChangePhase::Removing => false,
         };
-        may_stop && self.kind.added() == Some(replica)
+        can_stop && self.kind.added() == Some(replica)
     }
 }
--- a/crates/sablehaven-control/src/replicas/mod.rs
+++ b/crates/sablehaven-control/src/replicas/mod.rs
@@ -1,9 +1,8 @@
-//! The control replicas as a deterministic state machine: their addresses, and one change of them
-//! at a time.
+//! The control replicas as a deterministic state machine: their addresses, and one membership change at a time.
 //!
-//! The state says what every consensus group's members are to be; the leader of each group brings
-//! its group there (see [`Target`]). A change moves through phases, each of which starts only when
-//! the one before is done in every group, so that a second change cannot start half-way.
+//! The state defines the members that every consensus group should have (see [`Target`]); the leader of each group changes
+//! its group accordingly. A change proceeds in phases. Each phase starts only when the previous one is complete in every
+//! group, so that a second change cannot start while some groups have not finished the first.
 
 mod change;
 
@@ -17,24 +16,24 @@
 
 pub use self::change::{ChangeKind, ChangePhase, ReplacementOrder, ReplicaChange};
 
-/// Changes that are remembered after they are done.
+/// Maximum number of finished changes that are kept.
 const HISTORY_LIMIT: usize = 32;
 
-/// Where a control replica is reached.
+/// The addresses of a control replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaAddresses {
-    /// For internal connections.
+    /// Its address for internal connections.
     pub internal: SocketAddr,
-    /// Its operators' interface.
+    /// The address of its operator interface.
     pub http: SocketAddr,
 }
 
 /// A command about the control replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicasCommand {
-    /// The first members of a new deployment; ignored once there are any.
+    /// Sets the first members of a new deployment; ignored if there are members already.
     Form(BTreeMap<ReplicaId, ReplicaAddresses>),
-    /// A known replica is reached elsewhere.
+    /// Updates the addresses of a known replica.
     Announce {
         /// The replica.
         replica: ReplicaId,
@@ -48,48 +47,48 @@
         /// The addresses of the replica that is added, if any.
         addresses: Option<ReplicaAddresses>,
     },
-    /// The phase is done in every group.
+    /// Reports that a phase is complete in every group.
     Advance {
         /// The change's number.
         change: u64,
-        /// The phase that is done.
+        /// The phase that is complete.
         phase: ChangePhase,
     },
 }
 
-/// What became of a command about the control replicas.
+/// The outcome of a command about the control replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum ReplicasOutcome {
-    /// The change has started, with this number.
+    /// The change has started.
     Started {
         /// The change's number.
         change: u64,
     },
-    /// Another change is not done yet.
+    /// Another change is in progress.
     Busy {
-        /// The change that is under way.
+        /// The change that is in progress.
         current: ReplicaChange,
     },
-    /// The change makes no sense here.
+    /// The change is not valid for the current members.
     Refused {
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// Recorded, or already so.
+    /// The command has been applied, or it had no effect.
     Recorded,
 }
 
-/// What the members of every group are to be now.
+/// The members that every group should have.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Target {
-    /// Replicas that are to vote.
+    /// Replicas that should be voters.
     pub voters: BTreeSet<ReplicaId>,
-    /// Replicas that are to follow without a vote.
+    /// Replicas that should be learners, without a vote.
     pub learners: BTreeSet<ReplicaId>,
 }
 
-/// The control replicas and the change under way.
+/// The control replicas, and the change in progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicasState {
     replicas: BTreeMap<ReplicaId, ReplicaAddresses>,
@@ -99,23 +98,23 @@
 }
 
 impl ReplicasState {
-    /// Every replica that is or becomes a member, with its addresses.
+    /// Returns every replica that is or will become a member, with its addresses.
     pub fn replicas(&self) -> &BTreeMap<ReplicaId, ReplicaAddresses> {
         &self.replicas
     }
 
-    /// The change under way.
+    /// Returns the change in progress.
     pub fn change(&self) -> Option<&ReplicaChange> {
         self.change.as_ref()
     }
 
-    /// Whether the change with this number is done (or was called off).
+    /// Whether the change with this number is finished or was cancelled.
     pub fn is_finished(&self, number: u64) -> bool {
-        let under_way = self.change.as_ref();
-        number <= self.changes && under_way.is_none_or(|change| change.number != number)
+        let current = self.change.as_ref();
+        number <= self.changes && current.is_none_or(|change| change.number != number)
     }
 
-    /// What the members of every group are to be now.
+    /// Returns the members that every group should have in the current phase.
     pub fn target(&self) -> Target {
         let mut target = Target {
             voters: self.replicas.keys().copied().collect(),
@@ -125,13 +124,13 @@
             return target;
         };
         if let Some(added) = change.kind.added()
-            && !change.has_promoted()
+            && !change.has_reached_promotion()
         {
             target.voters.remove(&added);
             target.learners.insert(added);
         }
         if let Some(removed) = change.kind.removed()
-            && change.has_removed()
+            && change.has_reached_removal()
         {
             target.voters.remove(&removed);
         }
@@ -169,13 +168,13 @@
         if let Some(current) = &self.change
             && current.kind.has_same_members(kind)
         {
-            // The operator's answer was lost, and it has sent the same again.
+            // The operator did not receive the response and has repeated the command.
             return ReplicasOutcome::Started {
                 change: current.number,
             };
         }
         if let Some(current) = &self.change
-            && !current.may_be_called_off_by(kind)
+            && !current.can_be_cancelled_by(kind)
         {
             return ReplicasOutcome::Busy {
                 current: current.clone(),
@@ -184,14 +183,14 @@
         if let Err(reason) = self.check(kind, addresses) {
             return refused(reason);
         }
-        if let Some(called_off) = self.change.take() {
-            // What is out of every group already must not be taken back in.
-            if called_off.has_removed()
-                && let Some(removed) = called_off.kind.removed()
+        if let Some(cancelled) = self.change.take() {
+            // A replica that has already been removed from every group must not be added again.
+            if cancelled.has_reached_removal()
+                && let Some(removed) = cancelled.kind.removed()
             {
                 self.replicas.remove(&removed);
             }
-            self.remember(called_off);
+            self.record_finished(cancelled);
         }
         if let (Some(added), Some(addresses)) = (kind.added(), addresses) {
             self.replicas.insert(added, addresses);
@@ -203,6 +202,7 @@
         }
     }
 
+    /// Checks that a change is valid for the current members; the error is the reason of the refusal.
     fn check(&self, kind: ChangeKind, addresses: Option<ReplicaAddresses>) -> Result<(), String> {
         if let Some(added) = kind.added() {
             if self.replicas.contains_key(&added) {
@@ -225,7 +225,7 @@
         Ok(())
     }
 
-    /// A replacement may take the address of the replica that it replaces, and no other.
+    /// Checks that no member uses the address of the new replica, except the one that it replaces.
     fn check_address_is_free(
         &self,
         kind: ChangeKind,
@@ -243,7 +243,8 @@
         }
     }
 
-    /// A phase that is not the current one is an old leader's word and changes nothing.
+    /// Moves to the next phase, or finishes the change after the last one. A report of any other phase than the current one
+    /// comes from a former leader and is ignored.
     fn advance(&mut self, number: u64, phase: ChangePhase) -> ReplicasOutcome {
         let Some(change) = &mut self.change else {
             return ReplicasOutcome::Recorded;
@@ -259,12 +260,13 @@
             if let Some(removed) = done.kind.removed() {
                 self.replicas.remove(&removed);
             }
-            self.remember(done);
+            self.record_finished(done);
         }
         ReplicasOutcome::Recorded
     }
 
-    fn remember(&mut self, change: ReplicaChange) {
+    /// Adds a change to the bounded history.
+    fn record_finished(&mut self, change: ReplicaChange) {
         self.finished.push_back(change);
         while self.finished.len() > HISTORY_LIMIT {
             self.finished.pop_front();
