--- a/crates/sablehaven-control/src/gateways/members_view.rs
+++ b/crates/sablehaven-control/src/gateways/members_view.rs
@@ -15,7 +15,7 @@
     pub(super) controls: BTreeSet<SocketAddr>,
     /// Number of gateways in each zone that share the capacity of the servers.
     pub(super) counts: BTreeMap<ZoneName, u32>,
-    /// Addresses of those of these gateways that are connected.
+    /// The addresses of the connected gateways among them.
     pub(super) sharers: BTreeSet<SocketAddr>,
 }
 
@@ -35,6 +35,6 @@
 pub(super) struct GatewaySharers {
     /// Number of gateways in each zone; includes gateways that are expected to become ready soon.
     pub(super) counts: BTreeMap<ZoneName, u32>,
-    /// Their addresses.
+    /// The addresses of those that are connected.
     pub(super) addresses: BTreeSet<SocketAddr>,
 }
--- a/crates/sablehaven-control/src/leader/repair.rs
+++ b/crates/sablehaven-control/src/leader/repair.rs
@@ -20,7 +20,7 @@
 
 /// Maximum time between two checks of the members.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Maximum number of members that repair adds up to: larger groups replicate and vote more slowly.
+/// Number of members up to which newcomers are added: larger groups replicate and vote more slowly.
 const MAXIMUM_MEMBERS: usize = 9;
 
 /// Replaces failed members while this replica leads, unless `minimum_members` is 0, and answers members that ask for their
@@ -181,8 +181,8 @@
 
 /// Returns the connected replicas that are not members.
 fn newcomers(context: &Context, replicas: &ReplicasState) -> Vec<NewcomerView> {
-    let heard = context.peers.directory.others();
-    heard
+    let others = context.peers.directory.others();
+    others
         .into_iter()
         .filter(|(replica, _)| !replicas.replicas().contains_key(replica))
         .filter(|(replica, _)| context.links.is_connected(*replica))
--- a/crates/sablehaven-control/src/leader/silence.rs
+++ b/crates/sablehaven-control/src/leader/silence.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns for how long a member had been silent at the latest proof.
+    /// Returns for how long a member had been silent at the latest proof; zero without a proof.
     pub(crate) fn silent_for(&self, member: ReplicaId) -> Duration {
         let last_answer = self.last_answers.get(&member);
         match (self.last_proof, last_answer) {
--- a/crates/sablehaven-control/src/leader/watchers.rs
+++ b/crates/sablehaven-control/src/leader/watchers.rs
@@ -79,7 +79,7 @@
 /// Lets counts increase immediately and decrease only after [`DECREASE_DELAY`].
 #[derive(Default)]
 struct Damping {
-    /// When the count of each service first fell below the known one.
+    /// Since when the count of each service has been below the known one.
     decreased_since: BTreeMap<ServiceName, Instant>,
 }
 
--- a/crates/sablehaven-control/src/membership/platform.rs
+++ b/crates/sablehaven-control/src/membership/platform.rs
@@ -7,7 +7,7 @@
 
 use super::{MembershipState, PlatformUpdate};
 
-/// Number of consecutive lists without a machine after which it is removed: the list lags and may be wrong, and a machine
+/// Number of consecutive lists that must lack a machine before it is removed. The list lags and may be wrong, and a machine
 /// that leaves in the normal way is first listed as leaving.
 pub const ABSENCES_BEFORE_REMOVAL: u32 = 3;
 
--- a/crates/sablehaven-control/src/repair/mod.rs
+++ b/crates/sablehaven-control/src/repair/mod.rs
@@ -65,7 +65,8 @@
         .or_else(|| remove_surplus(members, newcomers, policy))
 }
 
-/// Returns the removal of the joining replica, if that is silent for the repair patience or has lost its disk.
+/// Returns the removal of the joining replica, if it has been silent for the repair patience, or is silent and has lost its
+/// disk.
 fn cancel(
     members: &[MemberView],
     newcomers: &[NewcomerView],
--- a/crates/sablehaven-control/src/replicas/mod.rs
+++ b/crates/sablehaven-control/src/replicas/mod.rs
@@ -244,7 +244,7 @@
     }
 
     /// Moves to the next phase, or finishes the change after the last one. A report of any other phase than the current one
-    /// comes from a former leader and is ignored.
+    /// was proposed by a former leader and is ignored.
     fn advance(&mut self, number: u64, phase: ChangePhase) -> ReplicasOutcome {
         let Some(change) = &mut self.change else {
             return ReplicasOutcome::Recorded;
