--- a/crates/sablehaven-control/src/leader/silence.rs
+++ b/crates/sablehaven-control/src/leader/silence.rs
@@ -32,7 +32,7 @@
     /// Creates a tracker without proofs.
     ///
     /// If two proofs are further apart than five eighths of an election timeout, members may have missed the leader
-    /// between them. Such members keep their shares of the quotas without the leader for the repair patience, so silence
+    /// between them. Such members keep their parts of the quotas without the leader for the repair patience, so silence
     /// must be counted from the later proof. The remaining three eighths of the timeout are reserved for the members'
     /// answers to each other.
     pub(crate) fn new(election_timeout: Duration) -> Self {
