--- a/crates/sablehaven-control/src/gateways/advertised.rs
+++ b/crates/sablehaven-control/src/gateways/advertised.rs
@@ -1,7 +1,7 @@
 //! Selects the gateways that are advertised to a caller, as a pure function of the gateways' reports.
 //!
-//! A gateway is advertised if it belongs to the subset of its zone (see [`super::subset`]) and is in the nearest scope to
-//! the caller that has any gateway: its zone, its region, the allowed regions, or everywhere.
+//! A gateway is advertised if it belongs to the subset of its zone (see [`super::subset`]) and is in the nearest scope
+//! to the caller that has any gateway: its zone, its region, the allowed regions, or everywhere.
 
 use std::{
     collections::BTreeMap,
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Returns the advertised gateways of the nearest scope that has any: the caller's zone, its region, the regions that
-    /// may serve its request, or everywhere. Scopes are not mixed: callers choose among the addresses at random, so
-    /// distant gateways would get as many requests as near ones.
+    /// Returns the advertised gateways of the nearest scope that has any: the caller's zone, its region, the regions
+    /// that may serve its request, or everywhere. Scopes are not mixed: callers choose among the addresses at random,
+    /// so distant gateways would get as many requests as near ones.
     pub(super) fn nearest(&self, caller: &Placement, allowed: &AllowedRegions) -> Vec<SocketAddr> {
         let in_zone = |placement: &Placement| placement.zone == caller.zone;
         let in_region = |placement: &Placement| placement.region == caller.region;
--- a/crates/sablehaven-control/src/gateways/encoded.rs
+++ b/crates/sablehaven-control/src/gateways/encoded.rs
@@ -127,8 +127,8 @@
 }
 
 impl EncodedRoutes {
-    /// Sets the version in force, unless it is not newer than the known one. The replaced version is kept for a while as
-    /// a base for changes, since gateways still hold it.
+    /// Sets the version in force, unless it is not newer than the known one. The replaced version is kept for a while
+    /// as a base for changes, since gateways still hold it.
     pub(super) fn set_latest(&mut self, document: &Arc<RouteDocument>) {
         let latest = self.latest.as_ref().map(|latest| latest.version);
         if latest.is_some_and(|latest| latest >= document.version) {
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Returns the message that brings a gateway from the version `held` to the one in force; `None` if the gateway has it.
+    /// Returns the message that brings a gateway from the version `held` to the one in force; `None` if the gateway has
+    /// it.
     pub(super) fn encode(&mut self, held: u64) -> Option<Encoded> {
         let latest = self.latest.as_ref()?;
         if latest.version <= held {
--- a/crates/sablehaven-control/src/gateways/mod.rs
+++ b/crates/sablehaven-control/src/gateways/mod.rs
@@ -1,4 +1,5 @@
-//! Gateways: their connections, the state that they are sent, and the selection of those that are advertised to callers.
+//! Gateways: their connections, the state that they are sent, and the selection of those that are advertised to
+//! callers.
 
 mod advertised;
 mod crash_reports;
--- a/crates/sablehaven-control/src/gateways/registry.rs
+++ b/crates/sablehaven-control/src/gateways/registry.rs
@@ -32,8 +32,8 @@
 /// Minimum time between two counts of the gateways: a count visits all of them, and hundreds report twice a second.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The connected gateways, and the listing, members and crash reports that they are sent. All methods take `&self`, so it
-/// is shared behind an [`Arc`].
+/// The connected gateways, and the listing, members and crash reports that they are sent. All methods take `&self`, so
+/// it is shared behind an [`Arc`].
 pub(crate) struct Gateways {
     started_at: Instant,
     sessions: Mutex<Sessions>,
@@ -92,8 +92,8 @@
         self.count_gateways();
     }
 
-    /// Returns the addresses of the gateways that a caller at a placement should use: those of the nearest scope that has
-    /// any, where `allowed` are the regions that may serve its request.
+    /// Returns the addresses of the gateways that a caller at a placement should use: those of the nearest scope that
+    /// has any, where `allowed` are the regions that may serve its request.
     pub(crate) fn resolve(&self, caller: &Placement, allowed: &AllowedRegions) -> Vec<SocketAddr> {
         let sessions = self.lock();
         let advertised =
@@ -183,8 +183,8 @@
         is_known
     }
 
-    /// Returns the update that brings another replica from the listing numbered `held` to the latest one, and the number
-    /// of the latter; `None` if the replica has it already.
+    /// Returns the update that brings another replica from the listing numbered `held` to the latest one, and the
+    /// number of the latter; `None` if the replica has it already.
     pub(crate) fn listing_update(
         &self,
         held: ListingNumber,
@@ -227,8 +227,8 @@
         self.encoded_routes().set_latest(routes);
     }
 
-    /// Encodes the routes in force for a gateway that has the version `held`: as a change, or completely if this replica
-    /// does not have that version. Returns `None` if the gateway has them already.
+    /// Encodes the routes in force for a gateway that has the version `held`: as a change, or completely if this
+    /// replica does not have that version. Returns `None` if the gateway has them already.
     pub(super) fn encode_routes(&self, held: u64) -> Option<Encoded> {
         self.encoded_routes().encode(held)
     }
@@ -239,8 +239,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Encodes the listing for a gateway that has the listing numbered `held`: as a change, or completely if this replica
-    /// does not have that listing.
+    /// Encodes the listing for a gateway that has the listing numbered `held`: as a change, or completely if this
+    /// replica does not have that listing.
     pub(super) fn encode_listing(
         &self,
         listing: &Arc<ServerListing>,
@@ -260,8 +260,8 @@
     }
 }
 
-/// Whether gateways have had time to connect: after the maximum settling time, or after the minimum one if no gateway has
-/// connected for the quiet period.
+/// Whether gateways have had time to connect: after the maximum settling time, or after the minimum one if no gateway
+/// has connected for the quiet period.
 pub(super) fn has_settled(since_start: Duration, since_last_opened: Option<Duration>) -> bool {
     let is_quiet = since_last_opened.is_some_and(|since| since >= QUIET_PERIOD);
     since_start >= MAXIMUM_SETTLING_TIME || (since_start >= MINIMUM_SETTLING_TIME && is_quiet)
--- a/crates/sablehaven-control/src/gateways/session.rs
+++ b/crates/sablehaven-control/src/gateways/session.rs
@@ -21,8 +21,8 @@
 /// Requests of a gateway that may wait while earlier messages are being written; it sends two per second at most.
 const REQUEST_QUEUE_LENGTH: usize = 8;
 
-/// Batches of token replies that may wait while earlier messages are being written. Further ones are dropped: by then the
-/// gateway has asked another replica.
+/// Batches of token replies that may wait while earlier messages are being written. Further ones are dropped: by then
+/// the gateway has asked another replica.
 const REPLY_QUEUE_LENGTH: usize = 256;
 
 /// Errors of a gateway connection.
--- a/crates/sablehaven-control/src/gateways/session/writer.rs
+++ b/crates/sablehaven-control/src/gateways/session/writer.rs
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Sends the evacuated zones if the gateway has an older revision. They are few and urgent, so every replica sends them.
+    /// Sends the evacuated zones if the gateway has an older revision. They are few and urgent, so every replica sends
+    /// them.
     async fn send_evacuation(&mut self) -> Result<(), GatewaySessionError> {
         let zones = read(&self.context.state, |state| {
             let zones = state.evacuation().zones();
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Sends crash reports. Every replica sends them: each gateway must have a report before it receives the same request,
-    /// even while it has no connection to some of the replicas.
+    /// Sends crash reports. Every replica sends them: each gateway must have a report before it receives the same
+    /// request, even while it has no connection to some of the replicas.
     async fn send_crash_reports(
         &mut self,
         reports: Vec<CrashReport>,
--- a/crates/sablehaven-control/src/gateways/sessions.rs
+++ b/crates/sablehaven-control/src/gateways/sessions.rs
@@ -16,8 +16,8 @@
     subset::ZoneLoad,
 };
 
-/// Time for which a gateway that has served requests counts as a sharer of the servers' capacity, whether it is advertised
-/// or not: about as long as it keeps its connections to them.
+/// Time for which a gateway that has served requests counts as a sharer of the servers' capacity, whether it is
+/// advertised or not: about as long as it keeps its connections to them.
 const SHARING_DURATION: Duration = Duration::from_secs(10);
 
 /// The sessions of gateways, the latest report of each gateway, and the sizes of the advertised subsets.
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Returns the gateways that share the capacity of the servers: those that are advertised, and those that have served
-    /// requests recently.
+    /// Returns the gateways that share the capacity of the servers: those that are advertised, and those that have
+    /// served requests recently.
     pub(super) fn sharers(&self, now: Instant) -> GatewaySharers {
         let advertised = AdvertisedGateways::new(&self.order, &self.subset_sizes, now);
         let serves = |report: &GatewayReport| {
--- a/crates/sablehaven-control/src/gateways/subset.rs
+++ b/crates/sablehaven-control/src/gateways/subset.rs
@@ -1,11 +1,11 @@
 //! The subset of a zone's gateways that is advertised to callers: its size and its order, as pure functions.
 //!
 //! A gateway that handles many queries keeps its connections in use, has current measurements of the servers' speed,
-//! and holds a share of the budgets that is large enough to be useful. If a zone has many more gateways than its traffic
-//! needs, callers are therefore sent the addresses of only some of them. Their number is derived from the reported load.
-//! Which ones they are depends on their addresses alone, so that all replicas advertise the same gateways and the subset
-//! changes little when a gateway is added or removed. The others are on standby: they have the routes and the list of
-//! servers, and are advertised as soon as they are needed.
+//! and holds a share of the budgets that is large enough to be useful. If a zone has many more gateways than its
+//! traffic needs, callers are therefore sent the addresses of only some of them. Their number is derived from the
+//! reported load. Which ones they are depends on their addresses alone, so that all replicas advertise the same
+//! gateways and the subset changes little when a gateway is added or removed. The others are on standby: they have the
+//! routes and the list of servers, and are advertised as soon as they are needed.
 
 use std::{
     net::SocketAddr,
@@ -15,18 +15,18 @@
 use sablehaven_wire::GatewayLoad;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Minimum number of advertised gateways of a zone, however low the load: two may be lost at once, and the remaining ones
-/// can take twice their load.
+/// Minimum number of advertised gateways of a zone, however low the load: two may be lost at once, and the remaining
+/// ones can take twice their load.
 const MINIMUM_GATEWAYS: u32 = 4;
-/// Fraction of its time that an advertised gateway should be busy. It leaves room for twice the traffic until callers have
-/// refreshed their addresses.
+/// Fraction of its time that an advertised gateway should be busy. It leaves room for twice the traffic until callers
+/// have refreshed their addresses.
 const TARGET_UTILISATION: f64 = 0.35;
-/// Time for which a subset must have been larger than needed before it shrinks: traffic fluctuates over several seconds,
-/// and each change of the subset costs new connections.
+/// Time for which a subset must have been larger than needed before it shrinks: traffic fluctuates over several
+/// seconds, and each change of the subset costs new connections.
 const SHRINK_DELAY: Duration = Duration::from_secs(10);
-/// A gateway counts as serving callers if it has at least this fraction of the mean attempts of the busiest ones. Others
-/// have a few attempts, from callers that check every gateway or still use an old address; a share of the servers'
-/// capacity given to them would be missing at the serving gateways.
+/// A gateway counts as serving callers if it has at least this fraction of the mean attempts of the busiest ones.
+/// Others have a few attempts, from callers that check every gateway or still use an old address; a share of the
+/// servers' capacity given to them would be missing at the serving gateways.
 const SERVING_ATTEMPTS_RATIO: f64 = 0.25;
 /// Fraction of the excess by which a subset shrinks at a time.
 const SHRINK_RATIO: f64 = 0.5;
@@ -57,8 +57,8 @@
         self.loads.push(load);
     }
 
-    /// Returns the minimum number of attempts with which a gateway counts as serving: a fraction of the mean of the `size`
-    /// gateways with the most attempts, but at least 1.
+    /// Returns the minimum number of attempts with which a gateway counts as serving: a fraction of the mean of the
+    /// `size` gateways with the most attempts, but at least 1.
     pub(super) fn minimum_attempts(&self, size: usize) -> u32 {
         let mut attempts: Vec<u32> = self.loads.iter().map(|load| load.attempts).collect();
         attempts.sort_unstable_by(|one, other| other.cmp(one));
--- a/crates/sablehaven-control/src/leader/listing.rs
+++ b/crates/sablehaven-control/src/leader/listing.rs
@@ -23,8 +23,8 @@
     fn read(&self) -> ServerListFuture<'_>;
 }
 
-/// Reads the list periodically while this replica leads, until it stops. The platform's list lags behind the servers, and
-/// a read may fail; the last list stays in force in the meantime.
+/// Reads the list periodically while this replica leads, until it stops. The platform's list lags behind the servers,
+/// and a read may fail; the last list stays in force in the meantime.
 pub(crate) async fn read_listing(context: Arc<Context>, source: Arc<dyn ServerSource>) {
     let mut ticker = interval(Duration::from_millis(context.config.listing_interval_ms));
     ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/sablehaven-control/src/leader/platform.rs
+++ b/crates/sablehaven-control/src/leader/platform.rs
@@ -51,8 +51,8 @@
     },
 }
 
-/// Polls the list periodically while this replica leads, until it stops. The list lags behind the machines, and a poll may
-/// fail; the recorded machines stay in force in the meantime.
+/// Polls the list periodically while this replica leads, until it stops. The list lags behind the machines, and a poll
+/// may fail; the recorded machines stay in force in the meantime.
 pub(crate) async fn poll_platform(context: Arc<Context>, config: PlatformConfig) {
     let client = match reqwest::Client::builder()
         .timeout(POLL_TIMEOUT)
--- a/crates/sablehaven-control/src/leader/repair.rs
+++ b/crates/sablehaven-control/src/leader/repair.rs
@@ -1,5 +1,5 @@
-//! Automatic repair of the control replicas by the leader, and its answers to members that probe for a lease on their parts
-//! of the quotas. Both depend on the same proofs that this replica leads.
+//! Automatic repair of the control replicas by the leader, and its answers to members that probe for a lease on their
+//! parts of the quotas. Both depend on the same proofs that this replica leads.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -23,8 +23,8 @@
 /// Number of members up to which newcomers are added: larger groups replicate and vote more slowly.
 const MAXIMUM_MEMBERS: usize = 9;
 
-/// While this replica leads, replaces failed members, unless `minimum_members` is 0, and answers members that probe for a
-/// lease on their parts of the quotas. Runs until this replica stops.
+/// While this replica leads, replaces failed members, unless `minimum_members` is 0, and answers members that probe for
+/// a lease on their parts of the quotas. Runs until this replica stops.
 pub(crate) async fn watch_members(context: Arc<Context>, minimum_members: usize) {
     let policy = (minimum_members > 0).then(|| RepairPolicy {
         patience: Duration::from_millis(context.config.repair_patience_ms),
@@ -71,8 +71,8 @@
     context.gateways.set_controls(controls);
 }
 
-/// Has a quorum confirm that this replica leads, then answers the probes that were received before that. Returns `None` if it
-/// does not lead.
+/// Has a quorum confirm that this replica leads, then answers the probes that were received before that. Returns `None`
+/// if it does not lead.
 async fn confirm_leadership(
     context: &Context,
     silence: &mut SilenceTracker,
@@ -81,7 +81,8 @@
     let term = context.published.borrow().term;
     let asked_at = context.age_clock.now();
     for (member, _) in probes {
-        // Recorded before the members are read, so that a member that is removed after that read is known to have sent a probe.
+        // Recorded before the members are read, so that a member that is removed after that read is known to have sent
+        // a probe.
         context.quotas.grants().record_probe(asked_at, *member);
     }
     context.driver.prove_leadership().await?;
--- a/crates/sablehaven-control/src/leader/silence.rs
+++ b/crates/sablehaven-control/src/leader/silence.rs
@@ -19,7 +19,8 @@
     pub(crate) proven_at: Duration,
 }
 
-/// Tracks for how long each member has been silent. Times are those of a monotonic clock that includes system suspension.
+/// Tracks for how long each member has been silent. Times are those of a monotonic clock that includes system
+/// suspension.
 #[derive(Debug)]
 pub(crate) struct SilenceTracker {
     /// Maximum time from the request of a proof to the completion of the next one.
--- a/crates/sablehaven-control/src/leader/silence/tests.rs
+++ b/crates/sablehaven-control/src/leader/silence/tests.rs
@@ -47,8 +47,8 @@
     prove(&mut silence, proof(2, 0, 10), &[A]);
     prove(&mut silence, proof(2, 200, 625), &[A]);
     assert_eq!(silence.silent_for(B), at(615));
-    // Requested soon after the previous proof but completed late: members may have confirmed it at any time in between, so
-    // the gap is measured from the previous request to this completion.
+    // Requested soon after the previous proof but completed late: members may have confirmed it at any time in between,
+    // so the gap is measured from the previous request to this completion.
     prove(&mut silence, proof(2, 630, 826), &[A]);
     assert_eq!(silence.silent_for(B), Duration::ZERO);
     prove(&mut silence, proof(2, 900, 910), &[A]);
--- a/crates/sablehaven-control/src/membership/backend.rs
+++ b/crates/sablehaven-control/src/membership/backend.rs
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Whether a suspicion of this agent would be stored. It is renewed only after half of its lifetime, to save log entries.
+    /// Whether a suspicion of this agent would be stored. It is renewed only after half of its lifetime, to save log
+    /// entries.
     fn would_add_suspicion(&self, agent: &AgentId, now_ms: u64) -> bool {
         match self.suspicions.get(agent) {
             Some(known) => known.at_ms + super::SUSPICION_LIFETIME_MS / 2 <= now_ms,
--- a/crates/sablehaven-control/src/membership/evaluation.rs
+++ b/crates/sablehaven-control/src/membership/evaluation.rs
@@ -1,9 +1,9 @@
 //! Decides which suspected back ends are taken out of service.
 //!
-//! A back end is a candidate for removal if enough distinct agents suspect it. If the service's agents run in two or more
-//! zones, the suspicions must come from at least two. Of the candidates, no more are removed than the service's limit
-//! allows, and never the last replica of a shard: if all back ends are suspected at the same time, the fault is more
-//! likely on the agents' side, and an answer from a suspected replica is better than none.
+//! A back end is a candidate for removal if enough distinct agents suspect it. If the service's agents run in two or
+//! more zones, the suspicions must come from at least two. Of the candidates, no more are removed than the service's
+//! limit allows, and never the last replica of a shard: if all back ends are suspected at the same time, the fault is
+//! more likely on the agents' side, and an answer from a suspected replica is better than none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,8 +16,8 @@
 /// Minimum number of agents that must suspect a back end: one agent alone must not remove any.
 const MINIMUM_SUSPECTING_AGENTS: u32 = 2;
 
-/// Maximum number of agents that are required. A server is used by at most as many agents as it accepts connections (65 to
-/// 110 in the specification); a quarter of that is enough.
+/// Maximum number of agents that are required. A server is used by at most as many agents as it accepts connections (65
+/// to 110 in the specification); a quarter of that is enough.
 const MAXIMUM_SUSPECTING_AGENTS: u32 = 16;
 
 /// One in this many of a service's agents must suspect a back end.
--- a/crates/sablehaven-control/src/membership/mod.rs
+++ b/crates/sablehaven-control/src/membership/mod.rs
@@ -1,8 +1,9 @@
 //! The back ends as a deterministic state machine with three inputs: the platform's list, the back ends' own draining
 //! reports, and agents' suspicions. A back end is leaving as soon as the list or its own report says so.
 //!
-//! A suspicion is only the absence of an answer, so several agents must agree on it, and suspicions never remove more than
-//! a share of a service. An answer proves that the back end is alive, so a single `Reachable` clears all suspicions.
+//! A suspicion is only the absence of an answer, so several agents must agree on it, and suspicions never remove more
+//! than a share of a service. An answer proves that the back end is alive, so a single `Reachable` clears all
+//! suspicions.
 
 mod backend;
 mod command;
@@ -52,8 +53,8 @@
         &self.held_back
     }
 
-    /// Whether a suspicion is older than [`SUSPICION_LIFETIME_MS`] at `now_ms`, so that a command must be proposed to drop
-    /// it.
+    /// Whether a suspicion is older than [`SUSPICION_LIFETIME_MS`] at `now_ms`, so that a command must be proposed to
+    /// drop it.
     pub fn has_expired_suspicion(&self, now_ms: u64) -> bool {
         let oldest_kept = now_ms.saturating_sub(SUSPICION_LIFETIME_MS);
         self.backends
@@ -98,8 +99,8 @@
         known.is_some_and(|backend| backend.would_change(observed, now_ms))
     }
 
-    /// Sets how many agents watch each service; services that are not listed have none. Returns the services whose number of
-    /// agents has changed.
+    /// Sets how many agents watch each service; services that are not listed have none. Returns the services whose
+    /// number of agents has changed.
     pub fn apply_watchers(
         &mut self,
         watchers: BTreeMap<ServiceName, ServiceWatchers>,
--- a/crates/sablehaven-control/src/membership/platform.rs
+++ b/crates/sablehaven-control/src/membership/platform.rs
@@ -7,8 +7,8 @@
 
 use super::{MembershipState, PlatformUpdate};
 
-/// Number of consecutive lists that must lack a machine before it is removed. The list lags and may be wrong, and a machine
-/// that leaves in the normal way is first listed as leaving.
+/// Number of consecutive lists that must lack a machine before it is removed. The list lags and may be wrong, and a
+/// machine that leaves in the normal way is first listed as leaving.
 pub const ABSENCES_BEFORE_REMOVAL: u32 = 3;
 
 /// The platform's response.
@@ -18,8 +18,8 @@
     pub machines: Vec<BackendRecord>,
 }
 
-/// The number of consecutive lists from which each known machine was missing. Kept by the polling leader, outside of the
-/// replicated state.
+/// The number of consecutive lists from which each known machine was missing. Kept by the polling leader, outside of
+/// the replicated state.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformAbsences {
     missing: BTreeMap<BackendId, u32>,
@@ -52,8 +52,8 @@
 }
 
 impl MembershipState {
-    /// Returns the listed machines that are new or differ from the state. Suspicions come from agents only: a machine that
-    /// the platform lists as suspected counts as live.
+    /// Returns the listed machines that are new or differ from the state. Suspicions come from agents only: a machine
+    /// that the platform lists as suspected counts as live.
     fn changed_machines(&self, list: &PlatformList) -> Vec<BackendRecord> {
         let mut changed = BTreeMap::new();
         for machine in &list.machines {
--- a/crates/sablehaven-control/src/repair/mod.rs
+++ b/crates/sablehaven-control/src/repair/mod.rs
@@ -1,5 +1,5 @@
-//! Decides on automatic changes of the control replicas, as a pure function: the replacement of a replica that has lost its
-//! disk or has failed permanently, the addition of a new replica, and the removal of a surplus one.
+//! Decides on automatic changes of the control replicas, as a pure function: the replacement of a replica that has lost
+//! its disk or has failed permanently, the addition of a new replica, and the removal of a surplus one.
 //!
 //! A newcomer is a connected replica that is not a member.
 
@@ -65,8 +65,8 @@
         .or_else(|| remove_surplus(members, newcomers, policy))
 }
 
-/// Returns the removal of the joining replica, if it has been silent for the repair patience, or is silent and has lost its
-/// disk.
+/// Returns the removal of the joining replica, if it has been silent for the repair patience, or is silent and has lost
+/// its disk.
 fn cancel(
     members: &[MemberView],
     newcomers: &[NewcomerView],
@@ -103,8 +103,8 @@
     (silent.silent_for >= policy.patience).then(|| replacement(silent, newcomer))
 }
 
-/// Adds a newcomer if all members respond. The member that it is meant to replace is removed later, and until then every
-/// quorum is as safe as before.
+/// Adds a newcomer if all members respond. The member that it is meant to replace is removed later, and until then
+/// every quorum is as safe as before.
 fn add_newcomer(
     members: &[MemberView],
     newcomers: &[NewcomerView],
--- a/crates/sablehaven-control/src/replicas/change.rs
+++ b/crates/sablehaven-control/src/replicas/change.rs
@@ -31,8 +31,8 @@
 /// The order of the steps of a replacement.
 ///
 /// While the old replica is alive, promoting the new one first is safer: there is one more voter throughout the change.
-/// If the old replica has failed, removing it first is safer. With C failed, {A, B, C, D} has a quorum only if A, B and D
-/// all respond, whereas {A, B} needs both but does not depend on a machine that has only just joined.
+/// If the old replica has failed, removing it first is safer. With C failed, {A, B, C, D} has a quorum only if A, B and
+/// D all respond, whereas {A, B} needs both but does not depend on a machine that has only just joined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplacementOrder {
@@ -142,9 +142,9 @@
 
     /// Whether a change of this kind cancels the current one.
     ///
-    /// The removal of the new replica cancels a change while that replica is still a learner. If its promotion is the last
-    /// step, because the old replica has been removed or there is none, the change can also be cancelled during the
-    /// promotion: a new replica that has failed permanently would otherwise block every later change.
+    /// The removal of the new replica cancels a change while that replica is still a learner. If its promotion is the
+    /// last step, because the old replica has been removed or there is none, the change can also be cancelled during
+    /// the promotion: a new replica that has failed permanently would otherwise block every later change.
     pub(super) fn can_be_cancelled_by(&self, kind: ChangeKind) -> bool {
         let ChangeKind::Remove { replica } = kind else {
             return false;
--- a/crates/sablehaven-control/src/replicas/mod.rs
+++ b/crates/sablehaven-control/src/replicas/mod.rs
@@ -1,8 +1,8 @@
 //! The control replicas as a deterministic state machine: their addresses, and one membership change at a time.
 //!
-//! The state defines the members that every consensus group should have (see [`Target`]); the leader of each group changes
-//! its group accordingly. A change proceeds in phases. Each phase starts only when the previous one is complete in every
-//! group, so that a second change cannot start while some groups have not finished the first.
+//! The state defines the members that every consensus group should have (see [`Target`]); the leader of each group
+//! changes its group accordingly. A change proceeds in phases. Each phase starts only when the previous one is complete
+//! in every group, so that a second change cannot start while some groups have not finished the first.
 
 mod change;
 
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Moves to the next phase, or finishes the change after the last one. A report of any other phase than the current one
-    /// was proposed by a former leader and is ignored.
+    /// Moves to the next phase, or finishes the change after the last one. A report of any other phase than the current
+    /// one was proposed by a former leader and is ignored.
     fn advance(&mut self, number: u64, phase: ChangePhase) -> ReplicasOutcome {
         let Some(change) = &mut self.change else {
             return ReplicasOutcome::Recorded;
