--- a/crates/sablehaven-relay/examples/distribution_bench/snapshot.rs
+++ b/crates/sablehaven-relay/examples/distribution_bench/snapshot.rs
@@ -39,6 +39,6 @@
 }
 
 fn bytes(distribution: &mut Distribution, from: u64, interest: &Interest) -> usize {
-    let frame = distribution.frame(from, interest).expect("encode");
+    let frame = distribution.update_from(from, interest).expect("encode");
     frame.map_or(0, |frame| frame.message.size())
 }
--- a/crates/sablehaven-relay/src/agent/directory.rs
+++ b/crates/sablehaven-relay/src/agent/directory.rs
@@ -1,4 +1,5 @@
-//! The agents behind this relay, and which of their statuses control has not heard of.
+//! Tracks the agents connected to this relay and the status changes that control has not received
+//! yet.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,17 +11,17 @@
 
 use crate::state::interest::Interest;
 
-/// The age that is reported for an agent which never had a lease, in milliseconds (49 days).
-const NEVER_MS: u64 = u32::MAX as u64;
+/// Lease age reported for an agent that was never granted a lease, in milliseconds (49 days).
+const NO_LEASE_AGE_MS: u64 = u32::MAX as u64;
 
-/// Numbers the connections of agents to this relay.
+/// Identifies a connection of an agent to this relay.
 pub type SessionId = u64;
 
-/// The agents behind a relay. Times are durations since an arbitrary start of the relay's clock.
+/// The agents known to a relay. Times are durations since an arbitrary start of the relay's clock.
 #[derive(Debug)]
 pub struct AgentDirectory {
-    interval: Duration,
-    forget_after: Duration,
+    report_interval: Duration,
+    retention: Duration,
     agents: BTreeMap<AgentId, AgentEntry>,
     unreported: BTreeSet<AgentId>,
     next_report_at: Duration,
@@ -33,14 +34,14 @@
     placement: Placement,
     interest: Interest,
     lease: Option<LeaseProof>,
-    reported_as_holder: bool,
+    reported_lease_held: bool,
     disconnected_at: Option<Duration>,
 }
 
 impl AgentEntry {
     fn lease_age_ms(&self, now: Duration) -> u64 {
         self.lease
-            .map_or(NEVER_MS, |lease| lease.age(now).as_millis() as u64)
+            .map_or(NO_LEASE_AGE_MS, |lease| lease.age(now).as_millis() as u64)
     }
 
     fn may_hold_lease(&self, now: Duration) -> bool {
@@ -49,29 +50,30 @@
 }
 
 impl AgentDirectory {
-    /// An empty directory that gives a report at most once an `interval`, and forgets agents that
-    /// went without a goodbye after `forget_after`.
-    pub fn new(interval: Duration, forget_after: Duration) -> Self {
+    /// Creates an empty directory. Reports are at least `report_interval` apart. An agent that
+    /// disconnected without a `Leave` message is removed after `retention`.
+    pub fn new(report_interval: Duration, retention: Duration) -> Self {
         Self {
-            interval,
-            forget_after,
+            report_interval,
+            retention,
             agents: BTreeMap::new(),
             unreported: BTreeSet::new(),
             next_report_at: Duration::ZERO,
         }
     }
 
-    /// An agent asks for updates on a connection. What it has in force is known once it
-    /// acknowledges it.
-    pub fn watches(
+    /// Registers an agent that requests updates on a connection. Its configuration version and
+    /// lease are kept from an earlier connection. For a new agent, the version is 0 until the agent
+    /// acknowledges one.
+    pub fn register(
         &mut self,
         session: SessionId,
         agent: &AgentId,
         placement: Placement,
         interest: Interest,
     ) {
-        let known = self.agents.remove(agent);
-        let (configuration_version, lease) = known.map_or((0, None), |entry| {
+        let previous = self.agents.remove(agent);
+        let (configuration_version, lease) = previous.map_or((0, None), |entry| {
             (entry.configuration_version, entry.lease)
         });
         let entry = AgentEntry {
@@ -80,15 +82,15 @@
             placement,
             interest,
             lease,
-            reported_as_holder: false,
+            reported_lease_held: false,
             disconnected_at: None,
         };
         self.agents.insert(agent.clone(), entry);
         self.unreported.insert(agent.clone());
     }
 
-    /// An agent has put a configuration in force.
-    pub fn acknowledges(&mut self, agent: &AgentId, configuration_version: u64) {
+    /// Records that an agent has put a configuration into force.
+    pub fn record_acknowledgement(&mut self, agent: &AgentId, configuration_version: u64) {
         let Some(entry) = self.agents.get_mut(agent) else {
             return;
         };
@@ -98,27 +100,27 @@
         }
     }
 
-    /// An agent was sent a lease on the grounds of a proof.
-    pub fn leased(&mut self, agent: &AgentId, proof: LeaseProof) {
+    /// Records that an agent was granted a lease based on `proof`.
+    pub fn record_lease(&mut self, agent: &AgentId, proof: LeaseProof) {
         let Some(entry) = self.agents.get_mut(agent) else {
             return;
         };
         entry.lease = Some(proof);
-        if !entry.reported_as_holder {
+        if !entry.reported_lease_held {
             self.unreported.insert(agent.clone());
         }
     }
 
-    /// An agent said goodbye.
-    pub fn leaves(&mut self, agent: &AgentId) {
+    /// Removes an agent that sent `Leave`.
+    pub fn remove(&mut self, agent: &AgentId) {
         if self.agents.remove(agent).is_some() {
             self.unreported.insert(agent.clone());
         }
     }
 
-    /// A connection ended without a goodbye. The agent may hold its lease for a while yet, so
-    /// control must go on counting it.
-    pub fn disconnected(&mut self, session: SessionId, agent: &AgentId, now: Duration) {
+    /// Records that a connection ended without a `Leave` message. The agent may still hold its
+    /// lease for some time, so control must keep counting it.
+    pub fn record_disconnect(&mut self, session: SessionId, agent: &AgentId, now: Duration) {
         let entry = self.agents.get_mut(agent);
         if let Some(entry) = entry.filter(|entry| entry.session == session) {
             entry.disconnected_at = Some(now);
@@ -126,45 +128,50 @@
         }
     }
 
-    /// Notes leases that ran out, and forgets agents that went long ago.
+    /// Marks agents whose lease has expired for the next report, and removes agents whose retention
+    /// period has passed.
     pub fn tick(&mut self, now: Duration) {
-        let forget_after = self.forget_after;
+        let retention = self.retention;
         let unreported = &mut self.unreported;
         self.agents.retain(|agent, entry| {
-            let forgotten = entry
+            let is_expired = entry
                 .disconnected_at
-                .is_some_and(|at| now >= at + forget_after);
-            let ran_out = entry.reported_as_holder && !entry.may_hold_lease(now);
-            if forgotten || ran_out {
+                .is_some_and(|at| now >= at + retention);
+            let lost_lease = entry.reported_lease_held && !entry.may_hold_lease(now);
+            if is_expired || lost_lease {
                 unreported.insert(agent.clone());
             }
-            !forgotten
+            !is_expired
         });
     }
 
-    /// Every agent must be reported anew, to a control replica that knows none of them.
+    /// Marks every agent for the next report. Required when the receiving control replica knows
+    /// none of them.
     pub fn report_all(&mut self) {
         self.unreported = self.agents.keys().cloned().collect();
     }
 
-    /// When the next report is due; `None` while there is nothing to report.
+    /// Time at which the next report is due, or `None` if there is nothing to report.
     pub fn due_at(&self) -> Option<Duration> {
         (!self.unreported.is_empty()).then_some(self.next_report_at)
     }
 
-    /// The statuses that control has not heard of; `None` for agents that are gone.
+    /// Takes the statuses that control has not received yet; `None` stands for a removed agent.
     pub fn take_report(&mut self, now: Duration) -> BTreeMap<AgentId, Option<AgentStatus>> {
-        self.next_report_at = now + self.interval;
+        self.next_report_at = now + self.report_interval;
         let unreported = std::mem::take(&mut self.unreported);
         let report = unreported.into_iter().map(|agent| {
-            let status = self.agents.get_mut(&agent).map(|entry| entry.report(now));
+            let status = self
+                .agents
+                .get_mut(&agent)
+                .map(|entry| entry.report_status(now));
             (agent, status)
         });
         report.collect()
     }
 
     /// The number of agents that are connected.
-    pub fn connected(&self) -> usize {
+    pub fn connected_count(&self) -> usize {
         let entries = self.agents.values();
         entries
             .filter(|entry| entry.disconnected_at.is_none())
@@ -173,8 +180,8 @@
 }
 
 impl AgentEntry {
-    fn report(&mut self, now: Duration) -> AgentStatus {
-        self.reported_as_holder = self.may_hold_lease(now);
+    fn report_status(&mut self, now: Duration) -> AgentStatus {
+        self.reported_lease_held = self.may_hold_lease(now);
         AgentStatus {
             configuration_version: self.configuration_version,
             placement: self.placement.clone(),
--- a/crates/sablehaven-relay/src/agent/hints.rs
+++ b/crates/sablehaven-relay/src/agent/hints.rs
@@ -1,4 +1,4 @@
-//! Back ends that agents have reported as draining and that control has not yet marked.
+//! Caches agents' reports of draining back ends until control has committed the change.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,12 +6,12 @@
 
 use crate::state::{RelayState, interest::Interest};
 
-/// Hints kept at most; more are only reported to control.
-const MAXIMUM_HINTS: usize = 10_000;
+/// Maximum number of cached hints. Further ones are only reported to control.
+const MAX_HINTS: usize = 10_000;
 
-/// The hints that are in force at this relay.
+/// Observations of draining back ends that agents learn before control commits the change.
 #[derive(Debug)]
-pub struct HintBoard {
+pub struct HintCache {
     lifetime: Duration,
     hints: BTreeMap<BackendId, Hint>,
 }
@@ -22,8 +22,8 @@
     expires_at: Duration,
 }
 
-impl HintBoard {
-    /// An empty board; a hint is repeated to new agents for `lifetime`.
+impl HintCache {
+    /// Creates an empty cache. Each hint is sent to newly connected agents for `lifetime`.
     pub fn new(lifetime: Duration) -> Self {
         Self {
             lifetime,
@@ -31,16 +31,17 @@
         }
     }
 
-    /// Takes an observation; returns whether other agents must hear of it now.
-    pub fn offer(&mut self, observation: &Observation, state: &RelayState, now: Duration) -> bool {
-        if observation.kind != ObservationKind::Draining || !concerns(observation, state) {
+    /// Adds an observation of a draining back end. Returns `true` if it is new and must be sent to
+    /// the other agents now.
+    pub fn insert(&mut self, observation: &Observation, state: &RelayState, now: Duration) -> bool {
+        if observation.kind != ObservationKind::Draining || !is_unconfirmed(observation, state) {
             return false;
         }
-        let known = self.hints.get(&observation.backend);
-        if known.is_some_and(|hint| hint.observation.incarnation >= observation.incarnation) {
+        let previous = self.hints.get(&observation.backend);
+        if previous.is_some_and(|hint| hint.observation.incarnation >= observation.incarnation) {
             return false;
         }
-        if self.hints.len() >= MAXIMUM_HINTS {
+        if self.hints.len() >= MAX_HINTS {
             return false;
         }
         let hint = Hint {
@@ -51,22 +52,22 @@
         true
     }
 
-    /// Drops hints that control has answered or whose time has passed.
+    /// Removes expired hints and hints that are superseded by the state from control.
     pub fn prune(&mut self, state: &RelayState, now: Duration) {
         self.hints
-            .retain(|_, hint| hint.expires_at > now && concerns(&hint.observation, state));
+            .retain(|_, hint| hint.expires_at > now && is_unconfirmed(&hint.observation, state));
     }
 
-    /// The hints that a new agent must hear of.
-    pub fn for_interest(&self, interest: &Interest) -> Vec<Observation> {
+    /// Hints about services in `interest`, to be sent to a newly connected agent.
+    pub fn matching(&self, interest: &Interest) -> Vec<Observation> {
         let observations = self.hints.values().map(|hint| &hint.observation);
-        let included = observations.filter(|observation| interest.includes(&observation.service));
-        included.cloned().collect()
+        let matching = observations.filter(|observation| interest.includes(&observation.service));
+        matching.cloned().collect()
     }
 }
 
-/// Whether control still records the same start of the server, or an earlier one, as live.
-fn concerns(observation: &Observation, state: &RelayState) -> bool {
+/// Whether control still records this incarnation of the back end, or an earlier one, as live.
+fn is_unconfirmed(observation: &Observation, state: &RelayState) -> bool {
     state.backend(&observation.backend).is_some_and(|record| {
         record.state == BackendState::Live && record.incarnation <= observation.incarnation
     })
--- a/crates/sablehaven-relay/src/agent/mod.rs
+++ b/crates/sablehaven-relay/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The relay's side towards agents.
+//! Agent-facing side of the relay.
 
 pub(crate) mod directory;
 pub(crate) mod hints;
--- a/crates/sablehaven-relay/src/agent/session.rs
+++ b/crates/sablehaven-relay/src/agent/session.rs
@@ -1,4 +1,4 @@
-//! One agent's connection.
+//! Serves the connection of one agent.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,36 +13,36 @@
 
 use crate::{
     Interest, SessionId,
-    hub::{HintMessage, Hub, LedgerAnswer},
+    hub::{CallReply, HintMessage, Hub},
 };
 
-/// Ledger replies that are written together at most.
-const MAXIMUM_ANSWERS_PER_WRITE: usize = 256;
+/// Maximum number of ledger replies written before the connection is flushed.
+const MAX_REPLIES_PER_FLUSH: usize = 256;
 
-/// A proof older than this part of its lease is not passed on, since the agent gains more by
-/// waiting for the next one.
-const OLDEST_PROOF_DIVISOR: u32 = 2;
+/// A proof is passed on only if more than this fraction (1/n) of the lease duration remains.
+/// Otherwise the agent gets a longer lease by waiting for the next proof.
+const MIN_REMAINING_LEASE_DIVISOR: u32 = 2;
 
-/// Why an agent's connection ended.
+/// Reason why an agent's connection ended with an error.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub(crate) enum SessionError {
     /// {0}
     Wire(#[from] WireError),
-    /// send to agent {agent}: it takes no bytes
+    /// send to agent {agent}: timed out
     SendTimeout {
-        /// The agent.
+        /// Name and address of the agent.
         agent: String,
     },
-    /// receive from agent {agent}: it says nothing
-    Silent {
-        /// The agent.
+    /// receive from agent {agent}: timed out
+    ReceiveTimeout {
+        /// Name and address of the agent.
         agent: String,
     },
-    /// encode update for agent {agent}: {source}
+    /// encode message to agent {agent}: {source}
     Encode {
-        /// The agent.
+        /// Name and address of the agent.
         agent: String,
-        /// The cause.
+        /// The underlying error.
         source: rmp_serde::encode::Error,
     },
 }
@@ -53,29 +53,29 @@
     hub: Arc<Hub>,
     id: SessionId,
     connection: AgentConnection,
-    answers: mpsc::UnboundedReceiver<LedgerAnswer>,
+    replies: mpsc::UnboundedReceiver<CallReply>,
     hints: broadcast::Receiver<HintMessage>,
     revision: watch::Receiver<u64>,
     proof: watch::Receiver<Option<LeaseProof>>,
     stopping: watch::Receiver<bool>,
-    watching: Option<Watching>,
-    waiting_nonce: Option<u64>,
-    left: bool,
-    counted_received: u64,
-    counted_sent: u64,
+    watch: Option<WatchState>,
+    pending_lease_nonce: Option<u64>,
+    has_left: bool,
+    counted_received_bytes: u64,
+    counted_sent_bytes: u64,
 }
 
-/// What the agent asked for.
-struct Watching {
+/// State of the agent's `Watch` request.
+struct WatchState {
     agent: AgentId,
     interest: Interest,
-    /// The revision that the agent has once it has taken everything sent to it.
+    /// The revision that the agent will have once it has applied everything sent to it.
     sent_revision: u64,
 }
 
 /// Serves one agent until its connection ends.
 pub(crate) async fn serve(hub: Arc<Hub>, connection: AgentConnection) {
-    let (id, answers) = hub.open_session();
+    let (id, replies) = hub.open_session();
     let mut session = Session {
         hints: hub.hint_messages.subscribe(),
         revision: hub.revision.subscribe(),
@@ -84,12 +84,12 @@
         hub,
         id,
         connection,
-        answers,
-        watching: None,
-        waiting_nonce: None,
-        left: false,
-        counted_received: 0,
-        counted_sent: 0,
+        replies,
+        watch: None,
+        pending_lease_nonce: None,
+        has_left: false,
+        counted_received_bytes: 0,
+        counted_sent_bytes: 0,
     };
     let result = session.run().await;
     session.close(result);
@@ -100,18 +100,18 @@
         if *self.stopping.borrow_and_update() {
             self.send(&RelayToAgent::GoAway).await?;
         }
-        let silence_limit = Duration::from_millis(self.hub.config.agent_silence_ms);
-        while !self.left {
-            let waits_for_proof = self.waiting_nonce.is_some();
+        let receive_limit = Duration::from_millis(self.hub.config.agent_silence_ms);
+        while !self.has_left {
+            let awaits_proof = self.pending_lease_nonce.is_some();
             tokio::select! {
-                received = timeout(silence_limit, self.connection.reader.receive()) => {
-                    let Ok(message) = received else { return Err(self.silent()) };
+                received = timeout(receive_limit, self.connection.reader.receive()) => {
+                    let Ok(message) = received else { return Err(self.receive_timeout()) };
                     self.handle(message?).await?;
                 }
                 Ok(()) = self.revision.changed() => self.send_update().await?,
-                Some(answer) = self.answers.recv() => self.send_answers(answer).await?,
-                hint = self.hints.recv() => self.pass_on_hint(hint).await?,
-                Ok(()) = self.proof.changed(), if waits_for_proof => self.grant_waiting().await?,
+                Some(reply) = self.replies.recv() => self.send_replies(reply).await?,
+                hint = self.hints.recv() => self.forward_hint(hint).await?,
+                Ok(()) = self.proof.changed(), if awaits_proof => self.grant_pending_lease().await?,
                 Ok(()) = self.stopping.changed() => self.send(&RelayToAgent::GoAway).await?,
             }
         }
@@ -130,7 +130,7 @@
                 self.watch(agent, placement, Interest::new(interest), revision)
                     .await
             }
-            AgentToRelay::RequestLease { nonce } => self.grant(nonce).await,
+            AgentToRelay::RequestLease { nonce } => self.grant_lease(nonce).await,
             AgentToRelay::Acknowledge {
                 configuration_version,
                 ..
@@ -143,7 +143,7 @@
                 Ok(())
             }
             AgentToRelay::Ledger { call, request } => {
-                self.hub.call_ledger(self.id, call, request);
+                self.hub.submit_ledger_call(self.id, call, request);
                 Ok(())
             }
             AgentToRelay::Leave => {
@@ -162,9 +162,9 @@
     ) -> Result<(), SessionError> {
         let hints = self.hub.hints_for(&interest);
         self.hub.update_directory(|directory| {
-            directory.watches(self.id, &agent, placement, interest.clone());
+            directory.register(self.id, &agent, placement, interest.clone());
         });
-        self.watching = Some(Watching {
+        self.watch = Some(WatchState {
             agent,
             interest,
             sent_revision: revision,
@@ -176,118 +176,124 @@
         Ok(())
     }
 
-    /// Sends the one update that leads from what the agent was last sent to the newest revision.
+    /// Sends a single update from the revision last sent to the agent to the latest one.
     async fn send_update(&mut self) -> Result<(), SessionError> {
         self.revision.mark_unchanged();
         let hub = self.hub.clone();
-        let Some(watching) = &self.watching else {
+        let Some(watch) = &self.watch else {
             return Ok(());
         };
-        let frame = hub.frame(watching.sent_revision, &watching.interest);
-        let Some(frame) = frame.map_err(|source| self.encode_error(source))? else {
+        let update = hub.update_from(watch.sent_revision, &watch.interest);
+        let Some(update) = update.map_err(|source| self.encode_error(source))? else {
             return Ok(());
         };
-        // A full update holds its permit until it is written, so that only a bounded number of
-        // copies is in memory. Without it, a zone's agents coming back at once would need one each.
-        let permit = match frame.full {
-            true => hub.snapshots.acquire().await.ok(),
+        // A full update holds its permit until it is written, so that the number of copies in
+        // memory is bounded. Without the permit, all agents of a zone that reconnect at once would
+        // need one copy each.
+        let permit = match update.full {
+            true => hub.full_update_permits.acquire().await.ok(),
             false => None,
         };
-        self.feed_encoded(&frame.message).await?;
+        self.feed_encoded(&update.message).await?;
         self.flush().await?;
         drop(permit);
-        if let Some(watching) = &mut self.watching {
-            watching.sent_revision = frame.revision;
+        if let Some(watch) = &mut self.watch {
+            watch.sent_revision = update.revision;
         }
         self.hub.metrics.sent_updates.inc();
-        self.hub.metrics.sent_full_updates.inc_by(frame.full.into());
+        self.hub
+            .metrics
+            .sent_full_updates
+            .inc_by(update.full.into());
         Ok(())
     }
 
-    /// Answers a lease request with the newest proof, or once there is a fresh one.
-    async fn grant(&mut self, nonce: u64) -> Result<(), SessionError> {
+    /// Answers a lease request with the latest proof, or defers the answer until a fresh proof
+    /// arrives.
+    async fn grant_lease(&mut self, nonce: u64) -> Result<(), SessionError> {
         let received_at = self.hub.clock.now();
-        let newest = *self.proof.borrow_and_update();
-        let fresh = |proof: &LeaseProof| {
-            proof.remaining(received_at) > proof.usable_duration() / OLDEST_PROOF_DIVISOR
+        let latest = *self.proof.borrow_and_update();
+        let is_fresh = |proof: &LeaseProof| {
+            proof.remaining(received_at) > proof.usable_duration() / MIN_REMAINING_LEASE_DIVISOR
         };
-        let Some(proof) = newest.filter(fresh) else {
-            self.waiting_nonce = Some(nonce);
+        let Some(proof) = latest.filter(is_fresh) else {
+            self.pending_lease_nonce = Some(nonce);
             return Ok(());
         };
-        self.waiting_nonce = None;
-        if let Some(watching) = &self.watching {
-            let agent = &watching.agent;
-            self.hub.update_lease(agent, proof);
+        self.pending_lease_nonce = None;
+        if let Some(watch) = &self.watch {
+            let agent = &watch.agent;
+            self.hub.record_lease(agent, proof);
         }
         self.hub.metrics.leases.inc();
         let grant = proof.pass_on(nonce, received_at);
         self.send(&RelayToAgent::Lease(grant)).await
     }
 
-    /// The request may have come long before the proof. Counting its arrival from now makes the
-    /// age too large, never too small.
-    async fn grant_waiting(&mut self) -> Result<(), SessionError> {
-        match self.waiting_nonce.take() {
-            Some(nonce) => self.grant(nonce).await,
+    /// Answers the deferred lease request. The request may have arrived long before the proof.
+    /// Counting its arrival from now can only overstate the age of the proof, never understate it.
+    async fn grant_pending_lease(&mut self) -> Result<(), SessionError> {
+        match self.pending_lease_nonce.take() {
+            Some(nonce) => self.grant_lease(nonce).await,
             None => Ok(()),
         }
     }
 
     fn acknowledge(&self, configuration_version: u64) {
-        if let Some(watching) = &self.watching {
-            let agent = &watching.agent;
+        if let Some(watch) = &self.watch {
+            let agent = &watch.agent;
             self.hub.update_directory(|directory| {
-                directory.acknowledges(agent, configuration_version);
+                directory.record_acknowledgement(agent, configuration_version);
             });
         }
     }
 
     fn observe(&self, observations: Vec<Observation>) {
-        if let Some(watching) = &self.watching {
-            self.hub.observe(self.id, &watching.agent, observations);
+        if let Some(watch) = &self.watch {
+            self.hub.observe(self.id, &watch.agent, observations);
         }
     }
 
     fn leave(&mut self) {
-        self.left = true;
-        if let Some(watching) = &self.watching {
-            let agent = &watching.agent;
+        self.has_left = true;
+        if let Some(watch) = &self.watch {
+            let agent = &watch.agent;
             self.hub
-                .update_directory(|directory| directory.leaves(agent));
+                .update_directory(|directory| directory.remove(agent));
         }
     }
 
-    async fn pass_on_hint(
+    async fn forward_hint(
         &mut self,
         hint: Result<HintMessage, broadcast::error::RecvError>,
     ) -> Result<(), SessionError> {
-        // A slow agent has missed some; it hears of them by an update.
+        // The agent was too slow and missed some hints; it learns of the change from a later
+        // update.
         let Ok(hint) = hint else { return Ok(()) };
         let service = &hint.observation.service;
-        let watching = self.watching.as_ref();
-        let concerned = watching.is_some_and(|watching| watching.interest.includes(service));
-        if !concerned || hint.from == self.id {
+        let watch = self.watch.as_ref();
+        let is_interested = watch.is_some_and(|watch| watch.interest.includes(service));
+        if !is_interested || hint.from == self.id {
             return Ok(());
         }
         self.send(&RelayToAgent::Hint(vec![hint.observation])).await
     }
 
-    async fn send_answers(&mut self, first: LedgerAnswer) -> Result<(), SessionError> {
-        self.feed_answer(first).await?;
-        for _ in 1..MAXIMUM_ANSWERS_PER_WRITE {
-            match self.answers.try_recv() {
-                Ok(answer) => self.feed_answer(answer).await?,
+    async fn send_replies(&mut self, first: CallReply) -> Result<(), SessionError> {
+        self.feed_reply(first).await?;
+        for _ in 1..MAX_REPLIES_PER_FLUSH {
+            match self.replies.try_recv() {
+                Ok(reply) => self.feed_reply(reply).await?,
                 Err(_) => break,
             }
         }
         self.flush().await
     }
 
-    async fn feed_answer(&mut self, answer: LedgerAnswer) -> Result<(), SessionError> {
+    async fn feed_reply(&mut self, reply: CallReply) -> Result<(), SessionError> {
         let message = RelayToAgent::Ledger {
-            call: answer.call,
-            reply: answer.reply,
+            call: reply.call,
+            reply: reply.reply,
         };
         self.feed(&message).await
     }
@@ -330,25 +336,27 @@
         let metrics = &self.hub.metrics;
         metrics
             .agent_received_bytes
-            .inc_by(received - self.counted_received);
-        metrics.agent_sent_bytes.inc_by(sent - self.counted_sent);
-        self.counted_received = received;
-        self.counted_sent = sent;
+            .inc_by(received - self.counted_received_bytes);
+        metrics
+            .agent_sent_bytes
+            .inc_by(sent - self.counted_sent_bytes);
+        self.counted_received_bytes = received;
+        self.counted_sent_bytes = sent;
     }
 
     fn close(self, result: Result<(), SessionError>) {
         let now = self.hub.clock.now();
-        if let Some(watching) = &self.watching {
-            let agent = &watching.agent;
+        if let Some(watch) = &self.watch {
+            let agent = &watch.agent;
             self.hub
-                .update_directory(|directory| directory.disconnected(self.id, agent, now));
+                .update_directory(|directory| directory.record_disconnect(self.id, agent, now));
         }
         self.hub.close_session(self.id);
         match result {
             Ok(()) | Err(SessionError::Wire(WireError::Closed { .. })) => {}
             Err(error) => {
                 self.hub.metrics.agent_errors.inc();
-                log::warn!("agent's connection ended: {error}");
+                log::warn!("agent connection failed: {error}");
             }
         }
     }
@@ -358,9 +366,9 @@
         format!("{} at {address}", self.connection.hello.sender)
     }
 
-    fn silent(&self) -> SessionError {
+    fn receive_timeout(&self) -> SessionError {
         let agent = self.agent_name();
-        SessionError::Silent { agent }
+        SessionError::ReceiveTimeout { agent }
     }
 
     fn send_timeout(&self) -> SessionError {
--- a/crates/sablehaven-relay/src/config.rs
+++ b/crates/sablehaven-relay/src/config.rs
@@ -14,60 +14,63 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Address of the HTTP interface (health and metrics).
+    /// Address of the HTTP interface, which serves health and metrics.
     pub http_listen: SocketAddr,
-    /// Address of the internal interface (agents).
+    /// Address of the internal interface, to which agents connect.
     pub internal_listen: SocketAddr,
-    /// The IP number from which outgoing connections are made; where it is absent the system chooses.
+    /// Source IP address of outgoing connections. If absent, the operating system chooses one.
     pub connect_from: Option<IpAddr>,
-    /// Where the relay runs.
+    /// Region and zone in which the relay runs.
     pub placement: Placement,
-    /// The control replicas' internal addresses, the near ones first.
+    /// Internal addresses of the control replicas, nearest first.
     pub control: Vec<SocketAddr>,
-    /// Time between two requests for a proof that the leader is current, in milliseconds. One proof
+    /// Interval between requests for a proof that the leader is current, in milliseconds. One proof
     /// serves all agents.
     pub lease_interval_ms: u64,
-    /// A control replica that gave no proof for this long is left for another, in milliseconds.
+    /// Time without a proof after which the relay switches to another control replica, in
+    /// milliseconds.
     pub lease_timeout_ms: u64,
-    /// Least time before the next connection attempt to control, in milliseconds; doubles with each
+    /// Initial delay between connection attempts to control, in milliseconds. It doubles with each
     /// failure.
     pub retry_minimum_ms: u64,
-    /// Greatest time before the next connection attempt to control, in milliseconds.
+    /// Maximum delay between connection attempts to control, in milliseconds.
     pub retry_maximum_ms: u64,
-    /// An agent that says nothing for this long is taken as gone, in milliseconds.
+    /// Time without a message from an agent after which its connection is closed, in milliseconds.
     pub agent_silence_ms: u64,
-    /// An agent that takes no bytes for this long is disconnected, in milliseconds.
+    /// Timeout of a write to an agent, in milliseconds. An agent that exceeds it is disconnected.
     pub agent_send_timeout_ms: u64,
-    /// An agent that went without a goodbye is reported to control for this long, in milliseconds.
+    /// Time for which an agent that disconnected without a `Leave` message is still reported to
+    /// control, in milliseconds.
     pub agent_forget_ms: u64,
-    /// Agents connected at the same time; more are turned away.
+    /// Maximum number of connected agents. Further connections are rejected.
     pub maximum_agents: u32,
-    /// Handshakes at the same time; more wait.
+    /// Maximum number of concurrent handshakes. Further ones wait.
     pub concurrent_handshakes: u32,
-    /// Full updates on their way at the same time; more wait, which bounds the memory that a zone's
-    /// agents need when they all come back at once.
+    /// Maximum number of full updates that are being sent at the same time. Further ones wait. This
+    /// bounds the memory needed when all agents of a zone reconnect at once.
     pub concurrent_snapshots: u32,
-    /// Least time between two reports of agents' statuses to control, in milliseconds.
+    /// Minimum interval between reports of agent statuses to control, in milliseconds.
     pub status_interval_ms: u64,
-    /// Least time between two reports of observations to control, in milliseconds.
+    /// Minimum interval between reports of observations to control, in milliseconds.
     pub observation_interval_ms: u64,
-    /// Time that a ledger call may wait for others to share its message, in milliseconds.
+    /// Maximum time that a ledger call waits for other calls to share its message, in milliseconds.
     pub ledger_batch_delay_ms: u64,
-    /// Ledger calls in one message, at most.
+    /// Maximum number of ledger calls in one message.
     pub ledger_batch_limit: u32,
-    /// Ledger calls waiting or in flight, at most; more are refused at once.
+    /// Maximum number of ledger calls that are queued or in flight. Further ones are rejected
+    /// immediately.
     pub ledger_limit: u32,
-    /// Ledger calls of one agent waiting or in flight, at most.
+    /// Maximum number of ledger calls of one agent that are queued or in flight.
     pub ledger_agent_limit: u32,
-    /// Time after which a ledger call without an answer is given up, in milliseconds.
+    /// Time after which an unanswered ledger call fails, in milliseconds.
     pub ledger_timeout_ms: u64,
-    /// When an agent may come back after a ledger call that had no answer, in milliseconds.
+    /// Time after which an agent may retry a ledger call that got no answer, in milliseconds.
     pub ledger_retry_after_ms: u64,
-    /// Time that a planned stop gives agents to move, in milliseconds.
+    /// Time that agents have to move to another relay during a planned stop, in milliseconds.
     pub stop_grace_ms: u64,
-    /// Greatest duration of a planned stop, in milliseconds.
+    /// Maximum duration of a planned stop, in milliseconds.
     pub stop_limit_ms: u64,
 }
 
@@ -109,33 +112,38 @@
 }
 
 impl Config {
-    /// Every setting that cannot be used; `prefix` is the settings' path, such as `relay`.
+    /// Returns an error for each invalid setting. `prefix` is the path of these settings, such as
+    /// `relay`.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
-        const MINUTE: u64 = 60_000;
+        const MINUTE_MS: u64 = 60_000;
         let mut checks = SettingChecks::new(prefix);
         checks.name("deployment", &self.deployment);
         checks.name("placement.region", self.placement.region.as_str());
         checks.name("placement.zone", self.placement.zone.as_str());
         checks.addresses("control", &self.control);
-        checks.range("lease_interval_ms", self.lease_interval_ms, 10..=MINUTE);
+        checks.range("lease_interval_ms", self.lease_interval_ms, 10..=MINUTE_MS);
         checks.range(
             "lease_timeout_ms",
             self.lease_timeout_ms,
-            2 * self.lease_interval_ms..=MINUTE,
+            2 * self.lease_interval_ms..=MINUTE_MS,
         );
-        checks.range("retry_minimum_ms", self.retry_minimum_ms, 1..=MINUTE);
+        checks.range("retry_minimum_ms", self.retry_minimum_ms, 1..=MINUTE_MS);
         checks.range(
             "retry_maximum_ms",
             self.retry_maximum_ms,
-            self.retry_minimum_ms..=10 * MINUTE,
+            self.retry_minimum_ms..=10 * MINUTE_MS,
         );
-        checks.range("agent_silence_ms", self.agent_silence_ms, 1_000..=MINUTE);
+        checks.range("agent_silence_ms", self.agent_silence_ms, 1_000..=MINUTE_MS);
         checks.range(
             "agent_send_timeout_ms",
             self.agent_send_timeout_ms,
-            100..=MINUTE,
+            100..=MINUTE_MS,
+        );
+        checks.range(
+            "agent_forget_ms",
+            self.agent_forget_ms,
+            100..=60 * MINUTE_MS,
         );
-        checks.range("agent_forget_ms", self.agent_forget_ms, 100..=60 * MINUTE);
         checks.range("maximum_agents", self.maximum_agents, 1..=100_000);
         checks.range(
             "concurrent_handshakes",
@@ -147,27 +155,27 @@
             self.concurrent_snapshots,
             1..=100_000,
         );
-        checks.range("status_interval_ms", self.status_interval_ms, 1..=MINUTE);
+        checks.range("status_interval_ms", self.status_interval_ms, 1..=MINUTE_MS);
         checks.range(
             "observation_interval_ms",
             self.observation_interval_ms,
-            1..=MINUTE,
+            1..=MINUTE_MS,
         );
         checks.range("ledger_batch_delay_ms", self.ledger_batch_delay_ms, 0..=100);
         checks.range("ledger_batch_limit", self.ledger_batch_limit, 1..=100_000);
         checks.range("ledger_limit", self.ledger_limit, 1..=1_000_000);
         checks.range("ledger_agent_limit", self.ledger_agent_limit, 1..=1_000_000);
-        checks.range("ledger_timeout_ms", self.ledger_timeout_ms, 10..=MINUTE);
+        checks.range("ledger_timeout_ms", self.ledger_timeout_ms, 10..=MINUTE_MS);
         checks.range(
             "ledger_retry_after_ms",
             self.ledger_retry_after_ms,
-            1..=MINUTE,
+            1..=MINUTE_MS,
         );
-        checks.range("stop_grace_ms", self.stop_grace_ms, 0..=MINUTE);
+        checks.range("stop_grace_ms", self.stop_grace_ms, 0..=MINUTE_MS);
         checks.range(
             "stop_limit_ms",
             self.stop_limit_ms,
-            self.stop_grace_ms..=10 * MINUTE,
+            self.stop_grace_ms..=10 * MINUTE_MS,
         );
         checks.into_errors()
     }
@@ -175,9 +183,9 @@
     pub(crate) fn ledger_limits(&self) -> LedgerLimits {
         LedgerLimits {
             batch_delay: Duration::from_millis(self.ledger_batch_delay_ms),
-            batch: self.ledger_batch_limit as usize,
-            total: self.ledger_limit as usize,
-            per_agent: self.ledger_agent_limit as usize,
+            max_batch_calls: self.ledger_batch_limit as usize,
+            max_open_calls: self.ledger_limit as usize,
+            max_open_calls_per_agent: self.ledger_agent_limit as usize,
             timeout: Duration::from_millis(self.ledger_timeout_ms),
         }
     }
--- a/crates/sablehaven-relay/src/control/choice.rs
+++ b/crates/sablehaven-relay/src/control/choice.rs
@@ -1,87 +1,93 @@
-//! Which control replica to connect to next.
+//! Selects the control replica to connect to.
 
 use std::{net::SocketAddr, time::Duration};
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// Hints to a leader that are followed at once before the next attempt has to wait: one for a
-/// change of leader, and one for a replica that had not heard of it yet.
-const MAXIMUM_QUICK_HINTS: u32 = 2;
+/// Maximum number of redirects to a leader that are followed without delay: one after a change of
+/// leader, and one more if the first replica named a replica that has been replaced as leader.
+const MAX_IMMEDIATE_REDIRECTS: u32 = 2;
 
-/// Greatest number of doublings of the wait.
-const MAXIMUM_DOUBLINGS: u32 = 16;
+/// Maximum number of times that the delay is doubled.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// Replicas known at most; hints add to the configured ones.
-const MAXIMUM_REPLICAS: usize = 64;
+/// Maximum number of known replicas: the configured ones and those learned from redirects.
+const MAX_REPLICAS: usize = 64;
 
-/// How a connection to a control replica ended.
+/// Outcome of a connection to a control replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// The replica names the leader.
-    LeaderIs(SocketAddr),
-    /// The replica stops.
+    /// The replica named another replica as the leader.
+    Redirected(SocketAddr),
+    /// The replica is stopping.
     GoAway,
-    /// The replica gave no proof for too long.
-    NoProof,
-    /// The connection could not be made or broke.
+    /// The replica sent no proof within the timeout.
+    ProofTimeout,
+    /// Connecting failed, or the connection broke.
     Failed,
 }
 
-/// The control replicas. Exponential backoff with jitter; a named leader is tried at once.
+/// Selects among the control replicas in turn, with exponential backoff and jitter. A named leader
+/// is tried immediately.
 #[derive(Debug)]
-pub struct ControlChoice {
+pub struct ReplicaSelector {
     replicas: Vec<SocketAddr>,
-    position: usize,
-    leader: Option<SocketAddr>,
-    quick_hints: u32,
+    next_index: usize,
+    redirect_target: Option<SocketAddr>,
+    immediate_redirects: u32,
     failures: u32,
-    minimum: Duration,
-    maximum: Duration,
-    random: StdRng,
+    min_wait: Duration,
+    max_wait: Duration,
+    rng: StdRng,
 }
 
-impl ControlChoice {
-    /// A choice among `replicas` with waits from `minimum` to `maximum`; the seed makes the jitter.
-    pub fn new(replicas: Vec<SocketAddr>, minimum: Duration, maximum: Duration, seed: u64) -> Self {
+impl ReplicaSelector {
+    /// Selects among `replicas` with delays from `min_wait` to `max_wait`. `seed` seeds the jitter.
+    pub fn new(
+        replicas: Vec<SocketAddr>,
+        min_wait: Duration,
+        max_wait: Duration,
+        seed: u64,
+    ) -> Self {
         Self {
             replicas,
-            position: 0,
-            leader: None,
-            quick_hints: 0,
+            next_index: 0,
+            redirect_target: None,
+            immediate_redirects: 0,
             failures: 0,
-            minimum,
-            maximum,
-            random: StdRng::seed_from_u64(seed),
+            min_wait,
+            max_wait,
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// The replica to connect to; `None` if none is known.
+    /// The replica to connect to, or `None` if no replica is known.
     pub fn next_replica(&mut self) -> Option<SocketAddr> {
-        if let Some(leader) = self.leader.take() {
+        if let Some(leader) = self.redirect_target.take() {
             return Some(leader);
         }
         let count = self.replicas.len();
         if count == 0 {
             return None;
         }
-        let replica = self.replicas[self.position % count];
-        self.position = (self.position + 1) % count;
+        let replica = self.replicas[self.next_index % count];
+        self.next_index = (self.next_index + 1) % count;
         Some(replica)
     }
 
-    /// The replica proved that it leads.
-    pub fn leads(&mut self) {
+    /// Resets the backoff after the connected replica has proved that it is the leader.
+    pub fn confirm_leader(&mut self) {
         self.failures = 0;
-        self.quick_hints = 0;
+        self.immediate_redirects = 0;
     }
 
-    /// A connection ended; returns the wait before the next one.
-    pub fn ended(&mut self, end: LinkEnd) -> Duration {
-        if let LinkEnd::LeaderIs(leader) = end {
-            self.learn(leader);
-            self.leader = Some(leader);
-            self.quick_hints += 1;
-            if self.quick_hints <= MAXIMUM_QUICK_HINTS {
+    /// Records the end of a connection. Returns the delay before the next attempt.
+    pub fn connection_ended(&mut self, end: LinkEnd) -> Duration {
+        if let LinkEnd::Redirected(leader) = end {
+            self.add_replica(leader);
+            self.redirect_target = Some(leader);
+            self.immediate_redirects += 1;
+            if self.immediate_redirects <= MAX_IMMEDIATE_REDIRECTS {
                 return Duration::ZERO;
             }
         }
@@ -89,19 +95,19 @@
             self.failures = 1;
             return Duration::ZERO;
         }
-        self.back_off()
+        self.next_backoff()
     }
 
-    fn back_off(&mut self) -> Duration {
-        let doublings = self.failures.min(MAXIMUM_DOUBLINGS);
+    fn next_backoff(&mut self) -> Duration {
+        let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        let full = (self.minimum * 2_u32.pow(doublings)).min(self.maximum);
-        full.mul_f64(self.random.random_range(0.5..=1.0))
+        let upper = (self.min_wait * 2_u32.pow(doublings)).min(self.max_wait);
+        upper.mul_f64(self.rng.random_range(0.5..=1.0))
     }
 
-    fn learn(&mut self, replica: SocketAddr) {
+    fn add_replica(&mut self, replica: SocketAddr) {
         let known = self.replicas.contains(&replica);
-        if !known && self.replicas.len() < MAXIMUM_REPLICAS {
+        if !known && self.replicas.len() < MAX_REPLICAS {
             self.replicas.push(replica);
         }
     }
--- a/crates/sablehaven-relay/src/control/ledger.rs
+++ b/crates/sablehaven-relay/src/control/ledger.rs
@@ -1,4 +1,4 @@
-//! Ledger calls of all agents, gathered into batches for control.
+//! Batches the ledger calls of all agents into messages to control and matches the replies.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,188 +9,190 @@
 
 use crate::agent::directory::SessionId;
 
-/// Numbers the relay's connections to control.
+/// Identifies a connection of the relay to control.
 pub(crate) type LinkId = u64;
 
-/// Bounds of the router.
+/// Limits of a [`LedgerBatcher`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LedgerLimits {
-    /// Time that a call waits for others to share its message.
+    /// Maximum time that a call waits for other calls to share its message.
     pub batch_delay: Duration,
-    /// Calls in one message.
-    pub batch: usize,
-    /// Calls waiting or in flight.
-    pub total: usize,
-    /// Calls of one agent waiting or in flight.
-    pub per_agent: usize,
-    /// Time after which a call is given up.
+    /// Maximum number of calls in one message.
+    pub max_batch_calls: usize,
+    /// Maximum number of calls queued or in flight.
+    pub max_open_calls: usize,
+    /// Maximum number of calls of one agent queued or in flight.
+    pub max_open_calls_per_agent: usize,
+    /// Time after which an unanswered call fails.
     pub timeout: Duration,
 }
 
-/// A call that was refused because too many wait or are in flight.
+/// A call was rejected because too many calls are queued or in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused;
+pub struct TooManyCalls;
 
-/// A reply on its way to an agent.
+/// The result of a call, to be sent to the agent that made it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AgentReply {
-    /// The agent's connection.
+pub struct FinishedCall {
+    /// The connection of the agent.
     pub session: SessionId,
-    /// The agent's number of the call.
+    /// The ID that the agent gave to the call.
     pub call: u64,
-    /// The reply; `None` when the call was given up or its connection to control broke, so that
-    /// whether it took effect is not known.
+    /// The reply. `None` if the call timed out or its connection to control broke, so that it is
+    /// unknown whether the call took effect.
     pub reply: Option<LedgerReply>,
 }
 
-/// The calls that wait for a connection to control or for an answer.
+/// Calls that are queued for a connection to control or waiting for a reply.
 ///
-/// A call is sent at most once. When the connection that it was sent on ends, it is answered as
-/// unavailable: only its agent may ask again.
+/// Each call is sent at most once. If the connection that it was sent on ends, the call is answered
+/// as unavailable. Only the agent may retry it.
 #[derive(Debug)]
-pub struct LedgerRouter {
+pub struct LedgerBatcher {
     limits: LedgerLimits,
-    last_call: u64,
-    waiting: VecDeque<u64>,
+    last_call_id: u64,
+    queued: VecDeque<u64>,
     calls: HashMap<u64, Call>,
-    per_session: HashMap<SessionId, usize>,
+    calls_per_session: HashMap<SessionId, usize>,
 }
 
 #[derive(Debug)]
 struct Call {
     session: SessionId,
-    agent_call: u64,
+    agent_call_id: u64,
     request: Option<LedgerRequest>,
     arrived_at: Duration,
-    sent_on: Option<LinkId>,
+    sent_on_link: Option<LinkId>,
 }
 
-impl LedgerRouter {
-    /// A router without calls.
+impl LedgerBatcher {
+    /// Creates a batcher without calls.
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             limits,
-            last_call: 0,
-            waiting: VecDeque::new(),
+            last_call_id: 0,
+            queued: VecDeque::new(),
             calls: HashMap::new(),
-            per_session: HashMap::new(),
+            calls_per_session: HashMap::new(),
         }
     }
 
-    /// Takes a call of an agent.
+    /// Queues a call of an agent.
     pub fn add(
         &mut self,
         session: SessionId,
-        agent_call: u64,
+        agent_call_id: u64,
         request: LedgerRequest,
         now: Duration,
-    ) -> Result<(), Refused> {
-        let of_session = self.per_session.entry(session).or_default();
-        if self.calls.len() >= self.limits.total || *of_session >= self.limits.per_agent {
-            return Err(Refused);
+    ) -> Result<(), TooManyCalls> {
+        let session_calls = self.calls_per_session.entry(session).or_default();
+        if self.calls.len() >= self.limits.max_open_calls
+            || *session_calls >= self.limits.max_open_calls_per_agent
+        {
+            return Err(TooManyCalls);
         }
-        *of_session += 1;
-        self.last_call += 1;
+        *session_calls += 1;
+        self.last_call_id += 1;
         let call = Call {
             session,
-            agent_call,
+            agent_call_id,
             request: Some(request),
             arrived_at: now,
-            sent_on: None,
+            sent_on_link: None,
         };
-        self.calls.insert(self.last_call, call);
-        self.waiting.push_back(self.last_call);
+        self.calls.insert(self.last_call_id, call);
+        self.queued.push_back(self.last_call_id);
         Ok(())
     }
 
-    /// When the next batch is due; `None` while no call waits.
+    /// Time at which the next batch is due, or `None` if no call is queued.
     pub fn due_at(&self) -> Option<Duration> {
-        let first = self.waiting.front()?;
+        let first = self.queued.front()?;
         let call = self.calls.get(first)?;
-        if self.waiting.len() >= self.limits.batch {
+        if self.queued.len() >= self.limits.max_batch_calls {
             return Some(call.arrived_at);
         }
         Some(call.arrived_at + self.limits.batch_delay)
     }
 
-    /// The next batch, to be sent on the given connection to control.
+    /// Takes the next batch, to be sent on the connection `link` to control.
     pub fn take_batch(&mut self, link: LinkId) -> Vec<(u64, LedgerRequest)> {
         let mut batch = Vec::new();
-        while batch.len() < self.limits.batch {
-            let Some(number) = self.waiting.pop_front() else {
+        while batch.len() < self.limits.max_batch_calls {
+            let Some(call_id) = self.queued.pop_front() else {
                 break;
             };
-            let Some(call) = self.calls.get_mut(&number) else {
+            let Some(call) = self.calls.get_mut(&call_id) else {
                 continue;
             };
             if let Some(request) = call.request.take() {
-                call.sent_on = Some(link);
-                batch.push((number, request));
+                call.sent_on_link = Some(link);
+                batch.push((call_id, request));
             }
         }
         batch
     }
 
-    /// Control answered a call; `None` if nobody waits for it any more.
-    pub fn answered(&mut self, number: u64, reply: LedgerReply) -> Option<AgentReply> {
-        self.finish(number, Some(reply))
+    /// Completes a call that control has answered. Returns `None` if the call is no longer open.
+    pub fn complete(&mut self, call_id: u64, reply: LedgerReply) -> Option<FinishedCall> {
+        self.finish(call_id, Some(reply))
     }
 
-    /// A connection to control ended: the calls that were sent on it get no answer.
-    pub fn link_ended(&mut self, link: LinkId) -> Vec<AgentReply> {
-        self.give_up(|call| call.sent_on == Some(link))
+    /// Fails the calls that were sent on a connection to control that has ended.
+    pub fn close_link(&mut self, link: LinkId) -> Vec<FinishedCall> {
+        self.fail_calls(|call| call.sent_on_link == Some(link))
     }
 
-    /// Gives up the calls that have waited too long.
-    pub fn expire(&mut self, now: Duration) -> Vec<AgentReply> {
+    /// Fails the calls whose timeout has passed.
+    pub fn expire(&mut self, now: Duration) -> Vec<FinishedCall> {
         let timeout = self.limits.timeout;
-        self.give_up(|call| now >= call.arrived_at + timeout)
+        self.fail_calls(|call| now >= call.arrived_at + timeout)
     }
 
-    /// An agent's connection ended: its calls that wait are not sent, and nobody hears the answers
-    /// to the others.
-    pub fn session_ended(&mut self, session: SessionId) {
-        self.give_up(|call| call.session == session);
+    /// Drops the calls of an agent whose connection has ended. Queued calls are not sent; replies
+    /// to calls in flight are discarded.
+    pub fn close_session(&mut self, session: SessionId) {
+        self.fail_calls(|call| call.session == session);
     }
 
-    /// The number of calls that wait or are in flight.
-    pub fn open_calls(&self) -> usize {
+    /// Number of calls that are queued or in flight.
+    pub fn open_call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// The number of calls in flight on a connection to control.
-    pub fn in_flight(&self, link: LinkId) -> usize {
+    /// Number of calls in flight on the given connection to control.
+    pub fn in_flight_count(&self, link: LinkId) -> usize {
         let calls = self.calls.values();
-        calls.filter(|call| call.sent_on == Some(link)).count()
+        calls.filter(|call| call.sent_on_link == Some(link)).count()
     }
 
-    fn give_up(&mut self, which: impl Fn(&Call) -> bool) -> Vec<AgentReply> {
+    fn fail_calls(&mut self, matches: impl Fn(&Call) -> bool) -> Vec<FinishedCall> {
         let calls = self.calls.iter();
-        let mut numbers: Vec<u64> = calls
-            .filter(|(_, call)| which(call))
-            .map(|(number, _)| *number)
+        let mut call_ids: Vec<u64> = calls
+            .filter(|(_, call)| matches(call))
+            .map(|(call_id, _)| *call_id)
             .collect();
-        numbers.sort_unstable();
-        let replies = numbers.into_iter();
-        let replies: Vec<AgentReply> = replies
-            .filter_map(|number| self.finish(number, None))
+        call_ids.sort_unstable();
+        let replies = call_ids.into_iter();
+        let replies: Vec<FinishedCall> = replies
+            .filter_map(|call_id| self.finish(call_id, None))
             .collect();
-        self.waiting
-            .retain(|number| self.calls.contains_key(number));
+        self.queued
+            .retain(|call_id| self.calls.contains_key(call_id));
         replies
     }
 
-    fn finish(&mut self, number: u64, reply: Option<LedgerReply>) -> Option<AgentReply> {
-        let call = self.calls.remove(&number)?;
-        if let Some(of_session) = self.per_session.get_mut(&call.session) {
-            *of_session -= 1;
-            if *of_session == 0 {
-                self.per_session.remove(&call.session);
+    fn finish(&mut self, call_id: u64, reply: Option<LedgerReply>) -> Option<FinishedCall> {
+        let call = self.calls.remove(&call_id)?;
+        if let Some(session_calls) = self.calls_per_session.get_mut(&call.session) {
+            *session_calls -= 1;
+            if *session_calls == 0 {
+                self.calls_per_session.remove(&call.session);
             }
         }
-        Some(AgentReply {
+        Some(FinishedCall {
             session: call.session,
-            call: call.agent_call,
+            call: call.agent_call_id,
             reply,
         })
     }
--- a/crates/sablehaven-relay/src/control/link.rs
+++ b/crates/sablehaven-relay/src/control/link.rs
@@ -1,4 +1,5 @@
-//! The connection to control: updates and proofs down, statuses, observations and ledger calls up.
+//! Maintains the connection to control. It receives updates, proofs and ledger replies, and sends
+//! agent statuses, observations and ledger calls.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,33 +12,34 @@
 
 use crate::{
     control::{
-        choice::{ControlChoice, LinkEnd},
+        choice::{LinkEnd, ReplicaSelector},
         ledger::LinkId,
     },
     hub::Hub,
 };
 
-/// Time that a write to control may take.
+/// Timeout of a write to control.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Wait when no control replica is known; settings are checked, so this is not expected.
-const NO_REPLICA_WAIT: Duration = Duration::from_secs(1);
+/// Delay before the next attempt if no control replica is known. The settings require at least one
+/// address, so this is not expected.
+const NO_REPLICA_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 type ControlConnection = Connection<ControlToRelay, RelayToControl>;
 
-/// Why a connection to control ended by an error.
+/// Reason why a connection to control ended with an error.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub(crate) enum LinkError {
     /// {0}
     Wire(#[from] WireError),
-    /// send to control {peer}: it takes no bytes
+    /// send to control {peer}: timed out
     SendTimeout {
-        /// The replica.
+        /// Address of the replica.
         peer: SocketAddr,
     },
-    /// receive from control {peer}: its update would go back to an older configuration
+    /// receive from control {peer}: update would revert to an older configuration
     Reverted {
-        /// The replica.
+        /// Address of the replica.
         peer: SocketAddr,
     },
 }
@@ -47,72 +49,72 @@
     id: LinkId,
     peer: SocketAddr,
     connection: ControlConnection,
-    requests: LeaseRequests,
-    /// Whether the replica has proved that it leads.
-    leads: bool,
+    lease_requests: LeaseRequests,
+    /// Whether the replica has proved that it is the leader.
+    is_leader: bool,
     last_proof_at: Duration,
-    counted_received: u64,
-    counted_sent: u64,
+    counted_received_bytes: u64,
+    counted_sent_bytes: u64,
 }
 
-/// Keeps a connection to control until `stop`; follows the leader.
+/// Maintains a connection to control until `stop` is cancelled. It follows changes of leader.
 pub(crate) async fn run(hub: Arc<Hub>, stop: CancellationToken) {
     let config = &hub.config;
-    let mut choice = ControlChoice::new(
+    let mut selector = ReplicaSelector::new(
         config.control.clone(),
         Duration::from_millis(config.retry_minimum_ms),
         Duration::from_millis(config.retry_maximum_ms),
         rand::random(),
     );
-    let drains = TaskTracker::new();
-    let keep_connected = async {
+    let draining_links = TaskTracker::new();
+    let reconnect_loop = async {
         loop {
-            let wait = connect_once(&hub, &mut choice, &drains).await;
+            let wait = connect_once(&hub, &mut selector, &draining_links).await;
             sleep(wait).await;
         }
     };
     tokio::select! {
-        () = keep_connected => {}
+        () = reconnect_loop => {}
         () = stop.cancelled() => {}
     }
 }
 
-/// One connection from its start to its end; returns the wait before the next one.
+/// Runs one connection until it ends. Returns the delay before the next attempt.
 async fn connect_once(
     hub: &Arc<Hub>,
-    choice: &mut ControlChoice,
-    drains: &TaskTracker,
+    selector: &mut ReplicaSelector,
+    draining_links: &TaskTracker,
 ) -> Duration {
-    let Some(peer) = choice.next_replica() else {
-        return NO_REPLICA_WAIT;
+    let Some(peer) = selector.next_replica() else {
+        return NO_REPLICA_RETRY_DELAY;
     };
     hub.metrics.control_connections.inc();
     let mut link = match Link::open(hub.clone(), peer).await {
         Ok(link) => link,
         Err(error) => {
-            count_error(hub, &error);
-            return choice.ended(LinkEnd::Failed);
+            record_error(hub, &error);
+            return selector.connection_ended(LinkEnd::Failed);
         }
     };
-    let end = match link.serve(choice).await {
+    let end = match link.serve(selector).await {
         Ok(end) => end,
         Err(error) => {
-            count_error(hub, &error);
+            record_error(hub, &error);
             LinkEnd::Failed
         }
     };
     match end {
-        LinkEnd::LeaderIs(_) | LinkEnd::GoAway => {
-            drains.spawn(link.drain());
+        LinkEnd::Redirected(_) | LinkEnd::GoAway => {
+            draining_links.spawn(link.drain());
         }
-        LinkEnd::NoProof | LinkEnd::Failed => hub.link_ended(link.id),
+        LinkEnd::ProofTimeout | LinkEnd::Failed => hub.close_link(link.id),
     }
-    choice.ended(end)
+    selector.connection_ended(end)
 }
 
-fn count_error(hub: &Hub, error: &LinkError) {
+fn record_error(hub: &Hub, error: &LinkError) {
     hub.metrics.control_errors.inc();
-    log::warn!("connection to control ended: {error}");
+    log::warn!("connection to control failed: {error}");
 }
 
 impl Link {
@@ -121,19 +123,19 @@
             connect_from(hub.config.connect_from, peer, &hub.hello(), Role::Control).await?;
         let now = hub.clock.now();
         Ok(Self {
-            id: hub.new_link(),
+            id: hub.next_link_id(),
             hub,
             peer,
             connection,
-            requests: LeaseRequests::default(),
-            leads: false,
+            lease_requests: LeaseRequests::default(),
+            is_leader: false,
             last_proof_at: now,
-            counted_received: 0,
-            counted_sent: 0,
+            counted_received_bytes: 0,
+            counted_sent_bytes: 0,
         })
     }
 
-    async fn serve(&mut self, choice: &mut ControlChoice) -> Result<LinkEnd, LinkError> {
+    async fn serve(&mut self, selector: &mut ReplicaSelector) -> Result<LinkEnd, LinkError> {
         self.feed_watch().await?;
         self.flush().await?;
         let mut lease_timer = self.lease_timer();
@@ -141,17 +143,17 @@
         loop {
             tokio::select! {
                 message = self.connection.reader.receive() => {
-                    if let Some(end) = self.handle(message?, choice).await? {
+                    if let Some(end) = self.handle(message?, selector).await? {
                         return Ok(end);
                     }
                 }
                 _ = lease_timer.tick() => {
-                    if self.has_no_proof() {
-                        return Ok(LinkEnd::NoProof);
+                    if self.is_proof_overdue() {
+                        return Ok(LinkEnd::ProofTimeout);
                     }
                     self.request_proof().await?;
                 }
-                () = outgoing_due(&hub), if self.leads => self.send_outgoing().await?,
+                () = outgoing_due(&hub), if self.is_leader => self.send_outgoing().await?,
             }
         }
     }
@@ -165,14 +167,14 @@
     async fn handle(
         &mut self,
         message: ControlToRelay,
-        choice: &mut ControlChoice,
+        selector: &mut ReplicaSelector,
     ) -> Result<Option<LinkEnd>, LinkError> {
         self.count_bytes();
         match message {
             ControlToRelay::Update(update) => self.apply(update).await?,
-            ControlToRelay::Lease(grant) => self.take_proof(&grant, choice),
-            ControlToRelay::Ledger(replies) => self.hub.ledger_answered(replies),
-            ControlToRelay::NotLeader { leader } => return Ok(self.not_leader(leader)),
+            ControlToRelay::Lease(grant) => self.accept_proof(&grant, selector),
+            ControlToRelay::Ledger(replies) => self.hub.complete_ledger_calls(replies),
+            ControlToRelay::NotLeader { leader } => return Ok(self.redirect_to(leader)),
             ControlToRelay::GoAway => return Ok(Some(LinkEnd::GoAway)),
         }
         Ok(None)
@@ -189,56 +191,56 @@
         }
     }
 
-    fn take_proof(&mut self, grant: &LeaseGrant, choice: &mut ControlChoice) {
-        let Some(proof) = self.requests.granted(grant) else {
+    fn accept_proof(&mut self, grant: &LeaseGrant, selector: &mut ReplicaSelector) {
+        let Some(proof) = self.lease_requests.granted(grant) else {
             return;
         };
         self.last_proof_at = self.hub.clock.now();
         self.hub.metrics.proofs.inc();
-        self.hub.proof.send_if_modified(|newest| {
-            let newer = newest.is_none_or(|newest| proof.is_newer_than(&newest));
-            if newer {
-                *newest = Some(proof);
+        self.hub.proof.send_if_modified(|latest| {
+            let is_newer = latest.is_none_or(|latest| proof.is_newer_than(&latest));
+            if is_newer {
+                *latest = Some(proof);
             }
-            newer
+            is_newer
         });
-        if !self.leads {
-            self.leads = true;
-            choice.leads();
-            // A new leader does not know the agents behind this relay.
+        if !self.is_leader {
+            self.is_leader = true;
+            selector.confirm_leader();
+            // A new leader does not know the agents of this relay.
             self.hub
                 .update_directory(|directory| directory.report_all());
         }
     }
 
-    /// A replica that knows no leader is kept for its updates, until it has given no proof for too
-    /// long.
-    fn not_leader(&mut self, leader: Option<SocketAddr>) -> Option<LinkEnd> {
+    /// Ends the link only if the replica names another replica as the leader. If it knows no
+    /// leader, the link stays open to receive updates until the proof timeout has passed.
+    fn redirect_to(&mut self, leader: Option<SocketAddr>) -> Option<LinkEnd> {
         let other = leader.filter(|leader| *leader != self.peer);
-        other.map(LinkEnd::LeaderIs)
+        other.map(LinkEnd::Redirected)
     }
 
-    fn has_no_proof(&self) -> bool {
+    fn is_proof_overdue(&self) -> bool {
         let limit = Duration::from_millis(self.hub.config.lease_timeout_ms);
         self.hub.clock.now() > self.last_proof_at + limit
     }
 
     async fn request_proof(&mut self) -> Result<(), LinkError> {
-        // The moment must be taken before the write; see `LeaseRequests::request`.
-        let nonce = self.requests.request(self.hub.clock.now());
+        // The time must be read before the write; see `LeaseRequests::request`.
+        let nonce = self.lease_requests.request(self.hub.clock.now());
         self.feed(&RelayToControl::RequestLease { nonce }).await?;
         self.flush().await
     }
 
     async fn send_outgoing(&mut self) -> Result<(), LinkError> {
         let now = self.hub.clock.now();
-        self.feed_ledger(now).await?;
+        self.feed_ledger_calls(now).await?;
         self.feed_statuses(now).await?;
         self.feed_observations(now).await?;
         self.flush().await
     }
 
-    async fn feed_ledger(&mut self, now: Duration) -> Result<(), LinkError> {
+    async fn feed_ledger_calls(&mut self, now: Duration) -> Result<(), LinkError> {
         let batch = {
             let mut ledger = self.hub.ledger();
             match ledger.due_at() {
@@ -268,7 +270,7 @@
         let observations = {
             let mut queue = self.hub.observations();
             match queue.due_at() {
-                Some(due) if due <= now => queue.take(now),
+                Some(due) if due <= now => queue.take_report(now),
                 _ => Vec::new(),
             }
         };
@@ -286,18 +288,18 @@
         self.feed(&watch).await
     }
 
-    /// Waits for the answers to the ledger calls that were sent on this connection.
+    /// Waits for the replies to the ledger calls that were sent on this connection.
     async fn drain(mut self) {
         let limit = Duration::from_millis(self.hub.config.ledger_timeout_ms);
-        // At the limit, or when the connection ends, the calls are answered as unavailable.
-        let _ = timeout(limit, self.receive_answers()).await;
-        self.hub.link_ended(self.id);
+        // On timeout, or when the connection ends, the remaining calls are answered as unavailable.
+        let _ = timeout(limit, self.receive_ledger_replies()).await;
+        self.hub.close_link(self.id);
     }
 
-    async fn receive_answers(&mut self) -> Result<(), WireError> {
-        while self.hub.ledger().in_flight(self.id) > 0 {
+    async fn receive_ledger_replies(&mut self) -> Result<(), WireError> {
+        while self.hub.ledger().in_flight_count(self.id) > 0 {
             if let ControlToRelay::Ledger(replies) = self.connection.reader.receive().await? {
-                self.hub.ledger_answered(replies);
+                self.hub.complete_ledger_calls(replies);
             }
         }
         Ok(())
@@ -305,16 +307,16 @@
 
     async fn feed(&mut self, message: &RelayToControl) -> Result<(), LinkError> {
         let written = timeout(SEND_TIMEOUT, self.connection.writer.feed(message)).await;
-        self.written(written)
+        self.write_result(written)
     }
 
     async fn flush(&mut self) -> Result<(), LinkError> {
         let written = timeout(SEND_TIMEOUT, self.connection.writer.flush()).await;
         self.count_bytes();
-        self.written(written)
+        self.write_result(written)
     }
 
-    fn written(
+    fn write_result(
         &self,
         result: Result<Result<(), WireError>, tokio::time::error::Elapsed>,
     ) -> Result<(), LinkError> {
@@ -330,20 +332,24 @@
         let metrics = &self.hub.metrics;
         metrics
             .control_received_bytes
-            .inc_by(received - self.counted_received);
-        metrics.control_sent_bytes.inc_by(sent - self.counted_sent);
-        self.counted_received = received;
-        self.counted_sent = sent;
+            .inc_by(received - self.counted_received_bytes);
+        metrics
+            .control_sent_bytes
+            .inc_by(sent - self.counted_sent_bytes);
+        self.counted_received_bytes = received;
+        self.counted_sent_bytes = sent;
     }
 }
 
-/// Waits until something is due to be sent to the leader. Safe to cancel: nothing is taken.
+/// Waits until something is due to be sent to the leader. Cancel safe, since it takes nothing from
+/// the queues.
 async fn outgoing_due(hub: &Hub) {
     loop {
         match hub.outgoing_due_at() {
             Some(due) if due <= hub.clock.now() => return,
             Some(due) => {
-                // More calls may fill the batch before it is due.
+                // `due` is checked again when more calls arrive, since they may fill the batch
+                // earlier.
                 tokio::select! {
                     () = sleep_until(hub.clock.instant(due)) => return,
                     () = hub.outgoing.notified() => {}
--- a/crates/sablehaven-relay/src/control/mod.rs
+++ b/crates/sablehaven-relay/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The relay's side towards control.
+//! Control-facing side of the relay.
 
 pub(crate) mod choice;
 pub(crate) mod ledger;
--- a/crates/sablehaven-relay/src/control/observations.rs
+++ b/crates/sablehaven-relay/src/control/observations.rs
@@ -1,4 +1,4 @@
-//! What agents saw of back ends, on its way to control.
+//! Queues agents' observations of back ends for control.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,63 +7,65 @@
 
 use sablehaven_types::{AgentId, BackendId, Observation, ObservationKind};
 
-/// Observations that wait, at most; more are dropped, agents see the same again.
-const MAXIMUM_WAITING: usize = 16_384;
+/// Maximum number of queued observations. Further ones are dropped, since agents will observe the
+/// same condition again.
+const MAX_QUEUED_OBSERVATIONS: usize = 16_384;
 
-/// Observations in one message, at most.
-const MAXIMUM_BATCH: usize = 1_024;
+/// Maximum number of observations in one message.
+const MAX_REPORT_OBSERVATIONS: usize = 1_024;
 
-/// A back end's own word that it drains is enough once; the same from other agents is passed on
-/// again only after this time, in case the first was lost on its way.
-const DRAINING_REPEAT: Duration = Duration::from_secs(2);
+/// Minimum interval between forwarded `Draining` observations of the same incarnation of a back
+/// end. One is enough, since the back end itself announces that it drains; it is repeated in case
+/// the first was lost.
+const DRAINING_REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Observations that wait for the next report to control; the latest of each agent on each back
-/// end replaces earlier ones.
+/// Observations queued for the next report to control. For each agent and back end, a later
+/// observation replaces an earlier one.
 #[derive(Debug)]
 pub struct ObservationQueue {
-    interval: Duration,
-    waiting: BTreeMap<(BackendId, AgentId), Observation>,
-    draining: HashMap<BackendId, DrainingWord>,
+    report_interval: Duration,
+    queued: BTreeMap<(BackendId, AgentId), Observation>,
+    draining_reports: HashMap<BackendId, DrainingReport>,
     next_report_at: Duration,
 }
 
 #[derive(Debug)]
-struct DrainingWord {
+struct DrainingReport {
     incarnation: u64,
-    passed_on_at: Duration,
+    forwarded_at: Duration,
 }
 
 impl ObservationQueue {
-    /// An empty queue that gives a report at most once an `interval`.
-    pub fn new(interval: Duration) -> Self {
+    /// Creates an empty queue. Reports are at least `report_interval` apart.
+    pub fn new(report_interval: Duration) -> Self {
         Self {
-            interval,
-            waiting: BTreeMap::new(),
-            draining: HashMap::new(),
+            report_interval,
+            queued: BTreeMap::new(),
+            draining_reports: HashMap::new(),
             next_report_at: Duration::ZERO,
         }
     }
 
-    /// Adds an agent's observation.
+    /// Queues an agent's observation, unless it is a duplicate or the queue is full.
     pub fn add(&mut self, agent: &AgentId, observation: Observation, now: Duration) {
-        if self.waiting.len() >= MAXIMUM_WAITING || self.is_repeated(&observation, now) {
+        if self.queued.len() >= MAX_QUEUED_OBSERVATIONS || self.is_duplicate(&observation, now) {
             return;
         }
         let key = (observation.backend.clone(), agent.clone());
-        self.waiting.insert(key, observation);
+        self.queued.insert(key, observation);
     }
 
-    /// When the next report is due; `None` while there is nothing to report.
+    /// Time at which the next report is due, or `None` if there is nothing to report.
     pub fn due_at(&self) -> Option<Duration> {
-        (!self.waiting.is_empty()).then_some(self.next_report_at)
+        (!self.queued.is_empty()).then_some(self.next_report_at)
     }
 
-    /// The next report.
-    pub fn take(&mut self, now: Duration) -> Vec<(AgentId, Observation)> {
-        self.next_report_at = now + self.interval;
+    /// Takes the next report.
+    pub fn take_report(&mut self, now: Duration) -> Vec<(AgentId, Observation)> {
+        self.next_report_at = now + self.report_interval;
         let mut report = Vec::new();
-        while report.len() < MAXIMUM_BATCH {
-            match self.waiting.pop_first() {
+        while report.len() < MAX_REPORT_OBSERVATIONS {
+            match self.queued.pop_first() {
                 Some(((_, agent), observation)) => report.push((agent, observation)),
                 None => break,
             }
@@ -71,21 +73,22 @@
         report
     }
 
-    fn is_repeated(&mut self, observation: &Observation, now: Duration) -> bool {
+    fn is_duplicate(&mut self, observation: &Observation, now: Duration) -> bool {
         if observation.kind != ObservationKind::Draining {
             return false;
         }
-        self.draining
-            .retain(|_, word| now < word.passed_on_at + DRAINING_REPEAT);
-        let known = self.draining.get(&observation.backend);
-        if known.is_some_and(|word| word.incarnation >= observation.incarnation) {
+        self.draining_reports
+            .retain(|_, report| now < report.forwarded_at + DRAINING_REPEAT_INTERVAL);
+        let previous = self.draining_reports.get(&observation.backend);
+        if previous.is_some_and(|report| report.incarnation >= observation.incarnation) {
             return true;
         }
-        let word = DrainingWord {
+        let report = DrainingReport {
             incarnation: observation.incarnation,
-            passed_on_at: now,
+            forwarded_at: now,
         };
-        self.draining.insert(observation.backend.clone(), word);
+        self.draining_reports
+            .insert(observation.backend.clone(), report);
         false
     }
 }
--- a/crates/sablehaven-relay/src/handle.rs
+++ b/crates/sablehaven-relay/src/handle.rs
@@ -14,29 +14,30 @@
 
 use crate::{Config, RelayMetrics, control::link, hub::Hub, server};
 
-/// Connections that may wait to be accepted (the system may cap it). A zone's agents come back all
-/// at once; one that finds the queue full tries again only after a second.
+/// Length of the queue of connections waiting to be accepted (the operating system may cap it). All
+/// agents of a zone may reconnect at once, and one that finds the queue full retries only after a
+/// second.
 const BACKLOG: u32 = 4_096;
 
-/// Time between two looks at what has expired.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which expired state is removed.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time that HTTP connections (health and metrics) get to end in a planned stop.
-const HTTP_STOP_LIMIT: Duration = Duration::from_secs(1);
+/// Time that HTTP connections (health and metrics) have to finish during a planned stop.
+const HTTP_STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two looks at whether a planned stop is done.
-const STOP_POLL: Duration = Duration::from_millis(10);
+/// Interval at which a planned stop checks whether the agents have left.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a relay did not start.
+/// Reason why a relay failed to start.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StartError {
     /// listen on {address} for {interface}: {source}
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The interface.
+        /// The interface that was to be served there.
         interface: &'static str,
-        /// The cause.
+        /// The underlying error.
         source: std::io::Error,
     },
 }
@@ -47,13 +48,13 @@
     telemetry: Telemetry,
     addresses: BoundAddresses,
     stop_accepting: CancellationToken,
-    end: CancellationToken,
+    shutdown: CancellationToken,
     sessions: TaskTracker,
     tasks: Vec<JoinHandle<()>>,
     http: ServerHandle,
 }
 
-/// Starts a relay; it connects to control in the background.
+/// Starts a relay. It connects to control in the background.
 pub async fn start(config: Config, telemetry: Telemetry) -> Result<Handle, StartError> {
     let http_listener = listen(config.http_listen, "HTTP")?;
     let listener = listen(config.internal_listen, "agents")?;
@@ -66,21 +67,21 @@
     let hub = Arc::new(Hub::new(config, relay));
     hub.metrics.register(&telemetry);
     let stop_accepting = CancellationToken::new();
-    let end = CancellationToken::new();
+    let shutdown = CancellationToken::new();
     let sessions = TaskTracker::new();
 
     let (http, http_task) = serve_http(http_listener, http_address, &telemetry)?;
-    let accepting = server::run(
+    let accept_loop = server::run(
         hub.clone(),
         listener,
         stop_accepting.clone(),
-        end.clone(),
+        shutdown.clone(),
         sessions.clone(),
     );
     let tasks = vec![
-        tokio::spawn(link::run(hub.clone(), end.clone())),
-        tokio::spawn(accepting),
-        tokio::spawn(keep_time(hub.clone(), telemetry.clone(), end.clone())),
+        tokio::spawn(link::run(hub.clone(), shutdown.clone())),
+        tokio::spawn(accept_loop),
+        tokio::spawn(run_ticks(hub.clone(), telemetry.clone(), shutdown.clone())),
         http_task,
     ];
     Ok(Handle {
@@ -88,7 +89,7 @@
         telemetry,
         addresses,
         stop_accepting,
-        end,
+        shutdown,
         sessions,
         tasks,
         http,
@@ -96,55 +97,55 @@
 }
 
 impl Handle {
-    /// The addresses that the relay listens on.
+    /// Addresses that the relay listens on.
     pub fn addresses(&self) -> BoundAddresses {
         self.addresses
     }
 
-    /// The relay's identifier, unique for each start.
+    /// Identifier of the relay, unique for each start.
     pub fn relay(&self) -> &RelayId {
         &self.hub.relay
     }
 
-    /// The counters.
+    /// Metrics of the relay.
     pub fn metrics(&self) -> &RelayMetrics {
         &self.hub.metrics
     }
 
-    /// Resolves if the relay cannot go on. A relay keeps nothing that can fail for good, so this
-    /// waits forever.
+    /// Resolves with the reason if the relay cannot continue. A relay has no state that can fail
+    /// permanently, so this never resolves.
     pub async fn failed(&mut self) -> String {
         pending().await
     }
 
-    /// Planned stop: not ready, accepts nobody, asks the agents to move, answers the ledger calls
-    /// in flight, and ends.
+    /// Stops the relay gracefully: reports not ready, stops accepting connections, asks the agents
+    /// to move to another relay, delivers the replies to ledger calls in flight, and terminates.
     pub async fn stop(self) {
         self.telemetry.set_ready(false);
         self.hub.stopping.send_replace(true);
         self.stop_accepting.cancel();
         self.wait_for_agents().await;
-        self.end.cancel();
+        self.shutdown.cancel();
         self.sessions.close();
         self.sessions.wait().await;
-        self.http.stop_graceful(HTTP_STOP_LIMIT);
+        self.http.stop_graceful(HTTP_STOP_TIMEOUT);
         for task in self.tasks {
-            // A task that panicked has been reported by the panic hook.
+            // If the task panicked, the panic hook has already reported it.
             let _ = task.await;
         }
     }
 
-    /// Waits until every agent has moved; after the grace, only for ledger calls.
+    /// Waits until every agent has moved. After the grace period, waits only for ledger calls.
     async fn wait_for_agents(&self) {
         let started = Instant::now();
         let grace = Duration::from_millis(self.hub.config.stop_grace_ms);
         let limit = Duration::from_millis(self.hub.config.stop_limit_ms);
-        while self.hub.open_sessions() > 0 && started.elapsed() < limit {
-            let calls_done = self.hub.ledger().open_calls() == 0;
+        while self.hub.session_count() > 0 && started.elapsed() < limit {
+            let calls_done = self.hub.ledger().open_call_count() == 0;
             if calls_done && started.elapsed() >= grace {
                 return;
             }
-            sleep(STOP_POLL).await;
+            sleep(STOP_POLL_INTERVAL).await;
         }
     }
 }
@@ -162,13 +163,14 @@
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // A relay that starts again takes its address back at once.
+    // Allows a restarted relay to bind the same address immediately.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// A restarted relay is another one: control must not take its agents for those of the last run.
+/// Generates a new ID for each start, so that control does not attribute the agents of the previous
+/// run to this relay.
 fn relay_id(addresses: &BoundAddresses) -> RelayId {
     let start = rand::random::<u64>();
     match addresses.internal {
@@ -198,13 +200,13 @@
     Ok((handle, task))
 }
 
-async fn keep_time(hub: Arc<Hub>, telemetry: Telemetry, end: CancellationToken) {
-    let mut timer = interval(TICK);
+async fn run_ticks(hub: Arc<Hub>, telemetry: Telemetry, shutdown: CancellationToken) {
+    let mut timer = interval(TICK_INTERVAL);
     timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = timer.tick() => {}
-            () = end.cancelled() => return,
+            () = shutdown.cancelled() => return,
         }
         hub.tick();
         let stopping = *hub.stopping.borrow();
--- a/crates/sablehaven-relay/src/hub.rs
+++ b/crates/sablehaven-relay/src/hub.rs
@@ -1,4 +1,4 @@
-//! What the connections of one relay share.
+//! State shared by all connections of a relay.
 
 use std::{
     collections::HashMap,
@@ -16,59 +16,60 @@
 use tokio::sync::{Notify, Semaphore, broadcast, mpsc, watch};
 
 use crate::{
-    AgentDirectory, Config, Distribution, Frame, HintBoard, Interest, ObservationQueue,
+    AgentDirectory, Config, Distribution, EncodedUpdate, HintCache, Interest, ObservationQueue,
     RelayMetrics, SessionId,
-    control::ledger::{AgentReply, LedgerRouter, LinkId},
+    control::ledger::{FinishedCall, LedgerBatcher, LinkId},
 };
 
-/// Hints that wait for a slow agent, at most; it misses older ones and hears of them by an update.
-const HINT_CAPACITY: usize = 1_024;
+/// Maximum number of hints queued for a slow agent. It misses the oldest ones and learns of the
+/// changes from an update.
+const HINT_CHANNEL_CAPACITY: usize = 1_024;
 
-/// How long a hint is repeated to new agents.
+/// Time for which a hint is sent to newly connected agents.
 const HINT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// A hint on its way to the agents.
+/// A hint to be sent to the agents.
 #[derive(Clone)]
 pub(crate) struct HintMessage {
-    /// The connection that it came from.
+    /// The session whose agent made the observation.
     pub(crate) from: SessionId,
     pub(crate) observation: Observation,
 }
 
-/// A ledger reply on its way to an agent.
-pub(crate) struct LedgerAnswer {
+/// A ledger reply to be sent to an agent.
+pub(crate) struct CallReply {
     pub(crate) call: u64,
     pub(crate) reply: LedgerReply,
 }
 
-/// State shared by the parts of one relay.
+/// State shared by all connections of a relay.
 ///
-/// Locks are held for short computations only, never over an await, and never two at a time except
-/// `hints` over `distribution`.
+/// Locks are held only for short computations and never across an await. No two locks are held at
+/// the same time, except `hints`, which may be acquired while `distribution` is held.
 pub(crate) struct Hub {
     pub(crate) config: Config,
     pub(crate) relay: RelayId,
     pub(crate) clock: MonotonicClock,
     pub(crate) metrics: RelayMetrics,
-    /// The newest revision.
+    /// The latest revision.
     pub(crate) revision: watch::Sender<u64>,
-    /// The newest proof that the leader is current.
+    /// The latest proof that the leader is current.
     pub(crate) proof: watch::Sender<Option<LeaseProof>>,
     pub(crate) hint_messages: broadcast::Sender<HintMessage>,
     /// Whether the relay is stopping.
     pub(crate) stopping: watch::Sender<bool>,
-    /// Full updates that may be on their way.
-    pub(crate) snapshots: Semaphore,
-    /// Something waits to be sent to control.
+    /// Limits the number of full updates that are being sent at the same time.
+    pub(crate) full_update_permits: Semaphore,
+    /// Notified when something is queued for control.
     pub(crate) outgoing: Notify,
     distribution: Mutex<Distribution>,
     directory: Mutex<AgentDirectory>,
-    hints: Mutex<HintBoard>,
+    hints: Mutex<HintCache>,
     observations: Mutex<ObservationQueue>,
-    ledger: Mutex<LedgerRouter>,
-    answers: Mutex<HashMap<SessionId, mpsc::UnboundedSender<LedgerAnswer>>>,
-    last_session: AtomicU64,
-    last_link: AtomicU64,
+    ledger: Mutex<LedgerBatcher>,
+    reply_senders: Mutex<HashMap<SessionId, mpsc::UnboundedSender<CallReply>>>,
+    last_session_id: AtomicU64,
+    last_link_id: AtomicU64,
 }
 
 impl Hub {
@@ -77,7 +78,7 @@
         let forget_after = Duration::from_millis(config.agent_forget_ms);
         let observation_interval = Duration::from_millis(config.observation_interval_ms);
         let ledger_limits = config.ledger_limits();
-        let snapshots = Semaphore::new(config.concurrent_snapshots as usize);
+        let full_update_permits = Semaphore::new(config.concurrent_snapshots as usize);
         Self {
             config,
             relay,
@@ -85,18 +86,18 @@
             metrics: RelayMetrics::default(),
             revision: watch::Sender::new(0),
             proof: watch::Sender::new(None),
-            hint_messages: broadcast::Sender::new(HINT_CAPACITY),
+            hint_messages: broadcast::Sender::new(HINT_CHANNEL_CAPACITY),
             stopping: watch::Sender::new(false),
-            snapshots,
+            full_update_permits,
             outgoing: Notify::new(),
             distribution: Mutex::default(),
             directory: Mutex::new(AgentDirectory::new(status_interval, forget_after)),
-            hints: Mutex::new(HintBoard::new(HINT_LIFETIME)),
+            hints: Mutex::new(HintCache::new(HINT_LIFETIME)),
             observations: Mutex::new(ObservationQueue::new(observation_interval)),
-            ledger: Mutex::new(LedgerRouter::new(ledger_limits)),
-            answers: Mutex::default(),
-            last_session: AtomicU64::new(0),
-            last_link: AtomicU64::new(0),
+            ledger: Mutex::new(LedgerBatcher::new(ledger_limits)),
+            reply_senders: Mutex::default(),
+            last_session_id: AtomicU64::new(0),
+            last_link_id: AtomicU64::new(0),
         }
     }
 
@@ -109,11 +110,11 @@
         }
     }
 
-    pub(crate) fn new_link(&self) -> LinkId {
-        self.last_link.fetch_add(1, Ordering::Relaxed) + 1
+    pub(crate) fn next_link_id(&self) -> LinkId {
+        self.last_link_id.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    // State.
+    // State updates.
 
     /// Applies an update from control and wakes the agents' connections.
     pub(crate) fn apply(&self, update: StateUpdate) -> UpdateFit {
@@ -133,50 +134,50 @@
         fit
     }
 
-    pub(crate) fn frame(
+    pub(crate) fn update_from(
         &self,
-        from: u64,
+        from_revision: u64,
         interest: &Interest,
-    ) -> Result<Option<Frame>, rmp_serde::encode::Error> {
+    ) -> Result<Option<EncodedUpdate>, rmp_serde::encode::Error> {
         let mut distribution = lock(&self.distribution);
-        let encoded_before = distribution.encoded();
-        let frame = distribution.frame(from, interest);
-        let encoded = distribution.encoded() - encoded_before;
+        let encoded_before = distribution.encoded_count();
+        let update = distribution.update_from(from_revision, interest);
+        let encoded = distribution.encoded_count() - encoded_before;
         self.metrics.encoded_updates.inc_by(encoded);
-        frame
+        update
     }
 
-    // Agents.
+    // Agent sessions.
 
-    pub(crate) fn open_session(&self) -> (SessionId, mpsc::UnboundedReceiver<LedgerAnswer>) {
-        let session = self.last_session.fetch_add(1, Ordering::Relaxed) + 1;
-        // Bounded by the ledger's limit of calls for each agent.
+    pub(crate) fn open_session(&self) -> (SessionId, mpsc::UnboundedReceiver<CallReply>) {
+        let session = self.last_session_id.fetch_add(1, Ordering::Relaxed) + 1;
+        // Unbounded, but the number of messages is bounded by the ledger call limit per agent.
         let (sender, receiver) = mpsc::unbounded_channel();
-        lock(&self.answers).insert(session, sender);
+        lock(&self.reply_senders).insert(session, sender);
         self.metrics.agents.inc();
         (session, receiver)
     }
 
     pub(crate) fn close_session(&self, session: SessionId) {
-        lock(&self.answers).remove(&session);
-        lock(&self.ledger).session_ended(session);
+        lock(&self.reply_senders).remove(&session);
+        lock(&self.ledger).close_session(session);
         self.metrics.agents.dec();
     }
 
-    pub(crate) fn open_sessions(&self) -> usize {
-        lock(&self.answers).len()
+    pub(crate) fn session_count(&self) -> usize {
+        lock(&self.reply_senders).len()
     }
 
-    /// Changes the directory of agents; control hears of it.
+    /// Changes the agent directory and wakes the connection to control to report the change.
     pub(crate) fn update_directory(&self, change: impl FnOnce(&mut AgentDirectory)) {
         change(&mut lock(&self.directory));
         self.outgoing.notify_one();
     }
 
-    /// Notes that an agent was sent a lease.
-    pub(crate) fn update_lease(&self, agent: &AgentId, proof: LeaseProof) {
+    /// Records that an agent was granted a lease.
+    pub(crate) fn record_lease(&self, agent: &AgentId, proof: LeaseProof) {
         let mut directory = lock(&self.directory);
-        directory.leased(agent, proof);
+        directory.record_lease(agent, proof);
         let must_report = directory.due_at().is_some();
         drop(directory);
         if must_report {
@@ -193,10 +194,10 @@
     pub(crate) fn observe(&self, from: SessionId, agent: &AgentId, observations: Vec<Observation>) {
         let now = self.clock.now();
         for observation in observations {
-            if self.offer_hint(&observation, now) {
+            if self.insert_hint(&observation, now) {
                 self.metrics.hints.inc();
                 let observation = observation.clone();
-                // Fails only while no agent is connected.
+                // Fails only if no agent is connected.
                 let _ = self.hint_messages.send(HintMessage { from, observation });
             }
             lock(&self.observations).add(agent, observation, now);
@@ -204,29 +205,29 @@
         self.outgoing.notify_one();
     }
 
-    fn offer_hint(&self, observation: &Observation, now: Duration) -> bool {
+    fn insert_hint(&self, observation: &Observation, now: Duration) -> bool {
         let distribution = lock(&self.distribution);
-        lock(&self.hints).offer(observation, distribution.state(), now)
+        lock(&self.hints).insert(observation, distribution.state(), now)
     }
 
     pub(crate) fn hints_for(&self, interest: &Interest) -> Vec<Observation> {
-        lock(&self.hints).for_interest(interest)
+        lock(&self.hints).matching(interest)
     }
 
     pub(crate) fn observations(&self) -> MutexGuard<'_, ObservationQueue> {
         lock(&self.observations)
     }
 
-    // Ledger.
+    // Ledger calls.
 
-    /// Takes a call; one too many is answered at once.
-    pub(crate) fn call_ledger(&self, session: SessionId, call: u64, request: LedgerRequest) {
+    /// Queues a ledger call. A call that exceeds the limits is answered immediately as unavailable.
+    pub(crate) fn submit_ledger_call(&self, session: SessionId, call: u64, request: LedgerRequest) {
         self.metrics.ledger_calls.inc();
         let now = self.clock.now();
         let added = lock(&self.ledger).add(session, call, request, now);
         match added {
             Ok(()) => self.outgoing.notify_one(),
-            Err(_) => self.answer(vec![AgentReply {
+            Err(_) => self.deliver_replies(vec![FinishedCall {
                 session,
                 call,
                 reply: None,
@@ -234,51 +235,51 @@
         }
     }
 
-    pub(crate) fn ledger(&self) -> MutexGuard<'_, LedgerRouter> {
+    pub(crate) fn ledger(&self) -> MutexGuard<'_, LedgerBatcher> {
         lock(&self.ledger)
     }
 
-    pub(crate) fn ledger_answered(&self, replies: Vec<(u64, LedgerReply)>) {
+    pub(crate) fn complete_ledger_calls(&self, replies: Vec<(u64, LedgerReply)>) {
         let mut ledger = lock(&self.ledger);
         let replies = replies.into_iter();
         let replies = replies
-            .filter_map(|(number, reply)| ledger.answered(number, reply))
+            .filter_map(|(call_id, reply)| ledger.complete(call_id, reply))
             .collect();
         drop(ledger);
-        self.answer(replies);
+        self.deliver_replies(replies);
     }
 
-    pub(crate) fn link_ended(&self, link: LinkId) {
-        let replies = lock(&self.ledger).link_ended(link);
-        self.answer(replies);
+    pub(crate) fn close_link(&self, link: LinkId) {
+        let replies = lock(&self.ledger).close_link(link);
+        self.deliver_replies(replies);
     }
 
-    fn answer(&self, replies: Vec<AgentReply>) {
-        let answers = lock(&self.answers);
-        for AgentReply {
+    fn deliver_replies(&self, replies: Vec<FinishedCall>) {
+        let senders = lock(&self.reply_senders);
+        for FinishedCall {
             session,
             call,
             reply,
         } in replies
         {
-            let reply = reply.unwrap_or_else(|| self.unavailable());
-            if let Some(answers) = answers.get(&session) {
-                // Fails only if the agent's connection ends at this moment.
-                let _ = answers.send(LedgerAnswer { call, reply });
+            let reply = reply.unwrap_or_else(|| self.unavailable_reply());
+            if let Some(sender) = senders.get(&session) {
+                // Fails only if the agent's connection is closing.
+                let _ = sender.send(CallReply { call, reply });
             }
         }
     }
 
-    fn unavailable(&self) -> LedgerReply {
+    fn unavailable_reply(&self) -> LedgerReply {
         self.metrics.ledger_unavailable.inc();
         LedgerReply::Unavailable {
             retry_after_ms: self.config.ledger_retry_after_ms,
         }
     }
 
-    // Time.
+    // Timers and readiness.
 
-    /// When the next message to the leading control replica is due.
+    /// Time at which the next message to the leading control replica is due.
     pub(crate) fn outgoing_due_at(&self) -> Option<Duration> {
         let ledger = lock(&self.ledger).due_at();
         let directory = lock(&self.directory).due_at();
@@ -289,11 +290,11 @@
             .min()
     }
 
-    /// Acts on the time that has passed.
+    /// Fails timed-out ledger calls and removes expired directory entries and hints.
     pub(crate) fn tick(&self) {
         let now = self.clock.now();
         let expired = lock(&self.ledger).expire(now);
-        self.answer(expired);
+        self.deliver_replies(expired);
         let mut directory = lock(&self.directory);
         directory.tick(now);
         let must_report = directory.due_at().is_some();
@@ -305,7 +306,7 @@
         lock(&self.hints).prune(distribution.state(), now);
     }
 
-    /// Whether the relay has the state and proves it current.
+    /// Whether the relay has the state and a valid proof that it is current.
     pub(crate) fn is_current(&self) -> bool {
         let proof = *self.proof.borrow();
         let now = self.clock.now();
--- a/crates/sablehaven-relay/src/lib.rs
+++ b/crates/sablehaven-relay/src/lib.rs
@@ -1,13 +1,14 @@
-//! Stateless distribution of committed state from control to agents.
+//! Distributes committed state from control to agents. A relay stores nothing on disk.
 //!
-//! A relay holds the newest committed state once for all of its agents and watches one control
-//! replica, the leader where there is one. It passes on:
+//! A relay holds the latest committed state once for all of its agents and watches one control
+//! replica, the leader if there is one. It forwards:
 //!
-//! - downwards: updates by interest, leases (one proof for all agents), hints, ledger replies;
-//! - upwards, in batches: agents' statuses, observations of back ends, ledger calls.
+//! - to the agents: updates for the services of their interest, leases (one proof serves all
+//!   agents), hints, ledger replies;
+//! - to control, in batches: agent statuses, observations of back ends, ledger calls.
 //!
-//! The decisions are pure state machines with the time passed in: [`RelayState`], [`Distribution`],
-//! [`AgentDirectory`], [`LedgerRouter`], [`HintBoard`], [`ObservationQueue`] and [`ControlChoice`].
+//! The decisions are made by state machines without I/O, which get the current time as an argument: [`RelayState`], [`Distribution`],
+//! [`AgentDirectory`], [`LedgerBatcher`], [`HintCache`], [`ObservationQueue`] and [`ReplicaSelector`].
 
 mod agent;
 mod config;
@@ -20,18 +21,18 @@
 
 pub use agent::{
     directory::{AgentDirectory, SessionId},
-    hints::HintBoard,
+    hints::HintCache,
 };
 pub use config::Config;
 pub use control::{
-    choice::{ControlChoice, LinkEnd},
-    ledger::{AgentReply, LedgerLimits, LedgerRouter, Refused},
+    choice::{LinkEnd, ReplicaSelector},
+    ledger::{FinishedCall, LedgerBatcher, LedgerLimits, TooManyCalls},
     observations::ObservationQueue,
 };
 pub use handle::{Handle, StartError, start};
 pub use metrics::RelayMetrics;
 pub use state::{
     RelayState,
-    distribution::{Distribution, Frame},
+    distribution::{Distribution, EncodedUpdate},
     interest::Interest,
 };
--- a/crates/sablehaven-relay/src/metrics.rs
+++ b/crates/sablehaven-relay/src/metrics.rs
@@ -1,61 +1,61 @@
-//! Counters of a relay.
+//! Metrics of a relay.
 
 use prometheus_client::metrics::{counter::Counter, gauge::Gauge};
 use sablehaven_telemetry::Telemetry;
 
-/// Counters of a relay; clones share the values.
+/// Metrics of a relay. Clones share the values.
 #[derive(Clone, Debug, Default)]
 pub struct RelayMetrics {
-    /// Agents connected.
+    /// Connected agents.
     pub agents: Gauge,
-    /// The revision held.
+    /// Revision of the state held by the relay.
     pub revision: Gauge,
-    /// The version of the configuration held.
+    /// Version of the configuration held by the relay.
     pub configuration_version: Gauge,
-    /// Updates taken from control.
+    /// Updates applied from control.
     pub control_updates: Counter,
-    /// Updates encoded for agents; the others were sent from the same bytes.
+    /// Updates encoded for agents. Other updates reused the same encoded bytes.
     pub encoded_updates: Counter,
     /// Updates sent to agents.
     pub sent_updates: Counter,
     /// Full updates sent to agents.
     pub sent_full_updates: Counter,
-    /// Proofs taken from control that its leader is current.
+    /// Proofs from control that the leader is current.
     pub proofs: Counter,
     /// Leases granted to agents.
     pub leases: Counter,
-    /// Connections to control replicas.
+    /// Attempts to connect to a control replica.
     pub control_connections: Counter,
     /// Connections to control replicas that ended with an error.
     pub control_errors: Counter,
-    /// Agents' connections that ended with an error.
+    /// Agent connections that ended with an error.
     pub agent_errors: Counter,
-    /// Agents turned away because too many are connected.
+    /// Agents rejected because too many are connected.
     pub agents_refused: Counter,
-    /// Hints passed on to agents.
+    /// Hints sent to agents.
     pub hints: Counter,
-    /// Ledger calls taken from agents.
+    /// Ledger calls received from agents.
     pub ledger_calls: Counter,
     /// Messages with ledger calls sent to control.
     pub ledger_batches: Counter,
-    /// Ledger calls refused or without an answer.
+    /// Ledger calls that were rejected or got no answer.
     pub ledger_unavailable: Counter,
-    /// Bytes sent to agents, frames' lengths included.
+    /// Bytes sent to agents, including the length prefixes of frames.
     pub agent_sent_bytes: Counter,
-    /// Bytes received from agents, frames' lengths included.
+    /// Bytes received from agents, including the length prefixes of frames.
     pub agent_received_bytes: Counter,
-    /// Bytes sent to control, frames' lengths included.
+    /// Bytes sent to control, including the length prefixes of frames.
     pub control_sent_bytes: Counter,
-    /// Bytes received from control, frames' lengths included.
+    /// Bytes received from control, including the length prefixes of frames.
     pub control_received_bytes: Counter,
 }
 
 impl RelayMetrics {
-    /// Shows the metrics on the process's metrics page.
+    /// Registers the metrics with the metrics endpoint of the process.
     pub fn register(&self, telemetry: &Telemetry) {
         let gauges = [
-            ("agents", "Agents connected", &self.agents),
-            ("revision", "Revision held", &self.revision),
+            ("agents", "Connected agents", &self.agents),
+            ("revision", "Revision of the state held", &self.revision),
             (
                 "configuration_version",
                 "Version of the configuration held",
@@ -65,10 +65,14 @@
         let counters = [
             (
                 "control_updates",
-                "Updates from control",
+                "Updates applied from control",
                 &self.control_updates,
             ),
-            ("encoded_updates", "Updates encoded", &self.encoded_updates),
+            (
+                "encoded_updates",
+                "Updates encoded for agents",
+                &self.encoded_updates,
+            ),
             ("sent_updates", "Updates sent to agents", &self.sent_updates),
             (
                 "sent_full_updates",
@@ -79,34 +83,38 @@
             ("leases", "Leases granted to agents", &self.leases),
             (
                 "control_connections",
-                "Connections to control replicas",
+                "Attempts to connect to a control replica",
                 &self.control_connections,
             ),
             (
                 "control_errors",
-                "Connections to control replicas that failed",
+                "Connections to control replicas that ended with an error",
                 &self.control_errors,
             ),
             (
                 "agent_errors",
-                "Agents' connections that failed",
+                "Agent connections that ended with an error",
                 &self.agent_errors,
             ),
-            ("agents_refused", "Agents turned away", &self.agents_refused),
-            ("hints", "Hints passed on to agents", &self.hints),
+            (
+                "agents_refused",
+                "Agents rejected because too many are connected",
+                &self.agents_refused,
+            ),
+            ("hints", "Hints sent to agents", &self.hints),
             (
                 "ledger_calls",
-                "Ledger calls from agents",
+                "Ledger calls received from agents",
                 &self.ledger_calls,
             ),
             (
                 "ledger_batches",
-                "Messages with ledger calls to control",
+                "Messages with ledger calls sent to control",
                 &self.ledger_batches,
             ),
             (
                 "ledger_unavailable",
-                "Ledger calls refused or without an answer",
+                "Ledger calls that were rejected or got no answer",
                 &self.ledger_unavailable,
             ),
             (
--- a/crates/sablehaven-relay/src/server.rs
+++ b/crates/sablehaven-relay/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts agents' connections.
+//! Accepts connections from agents.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,18 +12,19 @@
 
 use crate::{agent::session, hub::Hub};
 
-/// Wait after a failed accept, such as when the process has no file descriptor left.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when the process has run out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts agents until `stop_accepting`; their connections go on until `end`.
+/// Accepts agents until `stop_accepting` is cancelled. Established connections are served until
+/// `shutdown` is cancelled.
 pub(crate) async fn run(
     hub: Arc<Hub>,
     listener: TcpListener,
     stop_accepting: CancellationToken,
-    end: CancellationToken,
+    shutdown: CancellationToken,
     sessions: TaskTracker,
 ) {
-    let handshakes = Arc::new(Semaphore::new(hub.config.concurrent_handshakes as usize));
+    let handshake_permits = Arc::new(Semaphore::new(hub.config.concurrent_handshakes as usize));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -32,22 +33,22 @@
         let (stream, peer) = match accepted {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!("accept an agent: {error}");
-                sleep(ACCEPT_RETRY).await;
+                log::warn!("failed to accept an agent connection: {error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if hub.open_sessions() >= hub.config.maximum_agents as usize {
-            // Closed at once: the agent tries another relay.
+        if hub.session_count() >= hub.config.maximum_agents as usize {
+            // Dropping the stream closes the connection; the agent then tries another relay.
             hub.metrics.agents_refused.inc();
             continue;
         }
-        let serve = handshake_and_serve(hub.clone(), stream, peer, handshakes.clone());
-        let end = end.clone();
+        let serve = handshake_and_serve(hub.clone(), stream, peer, handshake_permits.clone());
+        let shutdown = shutdown.clone();
         sessions.spawn(async move {
             tokio::select! {
                 () = serve => {}
-                () = end.cancelled() => {}
+                () = shutdown.cancelled() => {}
             }
         });
     }
@@ -57,9 +58,9 @@
     hub: Arc<Hub>,
     stream: TcpStream,
     peer: SocketAddr,
-    handshakes: Arc<Semaphore>,
+    handshake_permits: Arc<Semaphore>,
 ) {
-    let Ok(permit) = handshakes.acquire().await else {
+    let Ok(permit) = handshake_permits.acquire().await else {
         return;
     };
     let connection = match accept(stream, peer, &hub.hello()).await {
@@ -73,7 +74,7 @@
     drop(permit);
     if connection.hello.role != Role::Agent {
         log::warn!(
-            "handshake with {peer}: its role is {:?}, not Agent",
+            "handshake with {peer}: expected role Agent, got {:?}",
             connection.hello.role
         );
         return;
--- a/crates/sablehaven-relay/src/state/change.rs
+++ b/crates/sablehaven-relay/src/state/change.rs
@@ -1,4 +1,4 @@
-//! One step of the state, kept to bring agents forward from a recent revision.
+//! The difference between two revisions of the state, kept to update agents from a recent revision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,10 @@
 
 use crate::state::{content::Content, interest::Interest};
 
-/// What changed between two revisions.
+/// The difference between two revisions.
 ///
-/// Every entry holds the value after the change, not a difference. So a change can also be applied
-/// to a state that lies between its two revisions, and two changes in a row merge by overwriting.
+/// Each entry holds the new value, not a delta. A change can therefore also be applied to a state
+/// between its two revisions, and two consecutive changes merge by overwriting.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Change {
     pub(crate) from_revision: u64,
@@ -24,16 +24,16 @@
 
 #[derive(Clone, Debug, Default)]
 struct BackendChange {
-    /// The services that the back end belonged to before and after.
+    /// The services that the back end belonged to before and after the change.
     services: BTreeSet<ServiceName>,
     record: Option<BackendRecord>,
 }
 
 impl Change {
-    /// The change that an update makes to `before`.
-    pub(crate) fn of_update(before: &Content, from_revision: u64, update: StateUpdate) -> Self {
+    /// Computes the change that an update makes to `before`.
+    pub(crate) fn from_update(before: &Content, from_revision: u64, update: StateUpdate) -> Self {
         if update.full {
-            return Self::between(before, from_revision, update);
+            return Self::from_full_update(before, from_revision, update);
         }
         let backends = update.backends.into_iter().map(|(backend, record)| {
             let change = BackendChange::new(before.backends.get(&backend), record);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Adds a later change.
+    /// Merges a later change into this one.
     pub(crate) fn merge(&mut self, later: &Change) {
         self.revision = later.revision;
         self.configuration_version = later.configuration_version;
@@ -68,21 +68,21 @@
         self.agents_per_service.extend(agents_per_service);
     }
 
-    /// The number of values in it.
-    pub(crate) fn size(&self) -> usize {
+    /// Number of changed values.
+    pub(crate) fn value_count(&self) -> usize {
         usize::from(self.schema.is_some())
             + self.services.len()
             + self.backends.len()
             + self.agents_per_service.len()
     }
 
-    /// The update for a receiver at `from_revision` with the given interest.
+    /// Builds the update for a receiver at `from_revision` with the given interest.
     pub(crate) fn to_update(&self, from_revision: u64, interest: &Interest) -> StateUpdate {
         let services = self.services.iter();
         let services = services.filter(|(service, _)| interest.includes(service));
         let backends = self.backends.iter();
         let backends = backends.filter_map(|(backend, change)| {
-            let record = change.for_interest(interest)?;
+            let record = change.record_for(interest)?;
             Some((backend.clone(), record))
         });
         let agents_per_service = self.agents_per_service.iter();
@@ -104,17 +104,17 @@
         }
     }
 
-    /// The difference between `before` and a full update.
-    fn between(before: &Content, from_revision: u64, update: StateUpdate) -> Self {
-        let services = differences(&before.services, update.services);
-        let backends = differences(&before.backends, update.backends);
+    /// Computes the difference between `before` and a full update.
+    fn from_full_update(before: &Content, from_revision: u64, update: StateUpdate) -> Self {
+        let services = diff(&before.services, update.services);
+        let backends = diff(&before.backends, update.backends);
         let backends = backends.into_iter().map(|(backend, record)| {
             let change = BackendChange::new(before.backends.get(&backend), record);
             (backend, change)
         });
         let counts = update.agents_per_service.into_iter();
         let counts = counts.map(|(service, count)| (service, Some(count)));
-        let counts = differences(&before.agents_per_service, counts.collect());
+        let counts = diff(&before.agents_per_service, counts.collect());
         let counts = counts.into_iter();
         let counts = counts.map(|(service, count)| (service, count.unwrap_or(0)));
         Self {
@@ -140,14 +140,15 @@
         }
     }
 
-    /// What a receiver must be told, if it is concerned at all: a back end that has left the
-    /// services of its interest is removed there.
-    fn for_interest(&self, interest: &Interest) -> Option<Option<BackendRecord>> {
-        let concerned = self
+    /// The new record to send to a receiver, or `None` if the receiver's interest does not cover
+    /// this back end. If the back end has left the services in the receiver's interest, the result
+    /// is `Some(None)`, which removes it there.
+    fn record_for(&self, interest: &Interest) -> Option<Option<BackendRecord>> {
+        let is_concerned = self
             .services
             .iter()
             .any(|service| interest.includes(service));
-        if !concerned {
+        if !is_concerned {
             return None;
         }
         let record = self.record.as_ref();
@@ -156,13 +157,14 @@
     }
 }
 
-/// The keys whose values differ, with their new values; `None` for those that are gone.
-fn differences<Key: Ord + Clone, Value: PartialEq>(
+/// Keys whose values differ, with their new values; `None` stands for a removed key.
+fn diff<Key: Ord + Clone, Value: PartialEq>(
     before: &BTreeMap<Key, Value>,
     after: BTreeMap<Key, Option<Value>>,
 ) -> BTreeMap<Key, Option<Value>> {
-    let gone = before.keys().filter(|key| !after.contains_key(key));
-    let mut changed: BTreeMap<Key, Option<Value>> = gone.map(|key| (key.clone(), None)).collect();
+    let removed = before.keys().filter(|key| !after.contains_key(key));
+    let mut changed: BTreeMap<Key, Option<Value>> =
+        removed.map(|key| (key.clone(), None)).collect();
     let differs = |(key, value): &(Key, Option<Value>)| before.get(key) != value.as_ref();
     changed.extend(after.into_iter().filter(differs));
     changed
--- a/crates/sablehaven-relay/src/state/content.rs
+++ b/crates/sablehaven-relay/src/state/content.rs
@@ -1,4 +1,4 @@
-//! The values of the state, without its position.
+//! The values of the state, without its revision and configuration version.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 }
 
 impl Content {
-    /// Applies an update that has been found to fit.
+    /// Applies an update. The caller has checked with [`StateUpdate::fit`] that it applies.
     pub(crate) fn apply(&mut self, update: StateUpdate) {
         if update.full {
             *self = Self::default();
@@ -30,15 +30,16 @@
         self.agents_per_service.extend(update.agents_per_service);
     }
 
-    /// The number of values in it.
-    pub(crate) fn size(&self) -> usize {
+    /// Number of values.
+    pub(crate) fn value_count(&self) -> usize {
         usize::from(self.schema.is_some())
             + self.services.len()
             + self.backends.len()
             + self.agents_per_service.len()
     }
 
-    /// The whole state for the given interest; the caller fills in the position.
+    /// Builds a full update for the given interest. The caller sets the revision and the
+    /// configuration version.
     pub(crate) fn to_full_update(&self, interest: &Interest) -> StateUpdate {
         let services = self.services.iter();
         let services = services.filter(|(service, _)| interest.includes(service));
--- a/crates/sablehaven-relay/src/state/distribution.rs
+++ b/crates/sablehaven-relay/src/state/distribution.rs
@@ -1,4 +1,4 @@
-//! Encoded updates, shared between agents with the same interest and revision.
+//! Encodes updates and shares them between agents with the same interest and revision.
 
 use std::collections::HashMap;
 
@@ -6,30 +6,30 @@
 
 use crate::state::{RelayState, interest::Interest};
 
-/// Encoded updates kept for the newest revision, at most.
-const MAXIMUM_FRAMES: usize = 256;
+/// Maximum number of encoded updates cached for the latest revision.
+const MAX_CACHED_UPDATES: usize = 256;
 
 /// An encoded update.
 #[derive(Clone)]
-pub struct Frame {
-    /// The message.
+pub struct EncodedUpdate {
+    /// The encoded message.
     pub message: EncodedMessage<RelayToAgent>,
-    /// The revision that the receiver has after it.
+    /// The revision that the receiver has after applying the update.
     pub revision: u64,
-    /// Whether it is the whole state.
+    /// Whether the update contains the full state.
     pub full: bool,
 }
 
-/// The state, and the encoded updates that lead to its newest revision.
+/// The state, and a cache of encoded updates to its latest revision.
 ///
-/// There is no queue for an agent: whenever its connection takes bytes again, the agent gets the
-/// one update that leads from what it was last sent to the newest revision. A slow agent skips the
-/// revisions between, and costs no memory.
+/// Updates are not queued per agent. When an agent's connection can be written again, the agent
+/// gets a single update from the revision last sent to it to the latest one. A slow agent therefore
+/// skips the revisions in between and uses no memory for them.
 #[derive(Default)]
 pub struct Distribution {
     state: RelayState,
-    frames: HashMap<(Interest, u64), Frame>,
-    encoded: u64,
+    cached: HashMap<(Interest, u64), EncodedUpdate>,
+    encoded_count: u64,
 }
 
 impl Distribution {
@@ -38,55 +38,56 @@
         &self.state
     }
 
-    /// Applies an update from control, if it fits.
+    /// Applies an update from control if [`StateUpdate::fit`] allows it, and then clears the cache.
     pub fn apply(&mut self, update: StateUpdate) -> UpdateFit {
         let fit = self.state.apply(update);
         if fit == UpdateFit::Applies {
-            self.frames.clear();
+            self.cached.clear();
         }
         fit
     }
 
-    /// The encoded update for a receiver at revision `from`; `None` when it has the newest.
-    pub fn frame(
+    /// The encoded update for a receiver at `from_revision`, or `None` if it already has the latest
+    /// revision.
+    pub fn update_from(
         &mut self,
-        from: u64,
+        from_revision: u64,
         interest: &Interest,
-    ) -> Result<Option<Frame>, rmp_serde::encode::Error> {
-        if from >= self.state.revision() {
+    ) -> Result<Option<EncodedUpdate>, rmp_serde::encode::Error> {
+        if from_revision >= self.state.revision() {
             return Ok(None);
         }
-        let key = (interest.clone(), from);
-        if let Some(frame) = self.frames.get(&key) {
-            return Ok(Some(frame.clone()));
+        let key = (interest.clone(), from_revision);
+        if let Some(update) = self.cached.get(&key) {
+            return Ok(Some(update.clone()));
         }
-        let frame = self.encode(from, interest)?;
-        if self.frames.len() >= MAXIMUM_FRAMES {
-            self.frames.clear();
+        let update = self.encode(from_revision, interest)?;
+        if self.cached.len() >= MAX_CACHED_UPDATES {
+            self.cached.clear();
         }
-        if let Some(frame) = &frame {
-            self.frames.insert(key, frame.clone());
+        if let Some(update) = &update {
+            self.cached.insert(key, update.clone());
         }
-        Ok(frame)
+        Ok(update)
     }
 
-    /// How many updates were encoded so far.
-    pub fn encoded(&self) -> u64 {
-        self.encoded
+    /// Number of updates encoded so far.
+    pub fn encoded_count(&self) -> u64 {
+        self.encoded_count
     }
 
     fn encode(
         &mut self,
-        from: u64,
+        from_revision: u64,
         interest: &Interest,
-    ) -> Result<Option<Frame>, rmp_serde::encode::Error> {
-        let Some(update) = self.state.update_from(from, interest) else {
+    ) -> Result<Option<EncodedUpdate>, rmp_serde::encode::Error> {
+        let Some(update) = self.state.update_from(from_revision, interest) else {
             return Ok(None);
         };
-        self.encoded += 1;
+        self.encoded_count += 1;
         let (revision, full) = (update.revision, update.full);
         let message = EncodedMessage::new(&RelayToAgent::Update(update))?;
-        Ok(Some(Frame {
+        Ok(Some(EncodedUpdate {
             message,
             revision,
             full,
--- a/crates/sablehaven-relay/src/state/interest.rs
+++ b/crates/sablehaven-relay/src/state/interest.rs
@@ -1,25 +1,26 @@
-//! The services that an agent wants to hear of.
+//! The set of services that an agent wants updates about.
 
 use std::{collections::BTreeSet, sync::Arc};
 
 use sablehaven_types::ServiceName;
 
-/// A set of services; empty means all. Equal sets share their encoded updates.
+/// A set of services; an empty set stands for all services. Agents with equal sets share their
+/// encoded updates.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Interest(Arc<BTreeSet<ServiceName>>);
 
 impl Interest {
-    /// An interest in the given services; all, if there are none.
+    /// Creates an interest in the given services, or in all services if the set is empty.
     pub fn new(services: BTreeSet<ServiceName>) -> Self {
         Self(Arc::new(services))
     }
 
-    /// Whether the service is part of it.
+    /// Whether the interest covers the service.
     pub fn includes(&self, service: &ServiceName) -> bool {
         self.0.is_empty() || self.0.contains(service)
     }
 
-    /// The services; empty means all.
+    /// The services; an empty set stands for all services.
     pub fn services(&self) -> &BTreeSet<ServiceName> {
         &self.0
     }
--- a/crates/sablehaven-relay/src/state/mod.rs
+++ b/crates/sablehaven-relay/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The newest committed state, held once for all agents.
+//! The latest committed state, held once for all agents.
 
 mod change;
 mod content;
@@ -12,20 +12,20 @@
 
 use crate::state::{change::Change, content::Content, interest::Interest};
 
-/// Recent changes kept, at most; at one change every 2.7 s they reach back 23 minutes.
-const MAXIMUM_HISTORY_CHANGES: usize = 512;
+/// Maximum number of recent changes kept. At one change every 2.7 s, they cover 23 minutes.
+const MAX_HISTORY_CHANGES: usize = 512;
 
-/// Values in the recent changes, at most.
-const MAXIMUM_HISTORY_SIZE: usize = 50_000;
+/// Maximum total number of values in the recent changes.
+const MAX_HISTORY_VALUES: usize = 50_000;
 
-/// The newest committed state and the changes that led to it.
+/// The latest committed state and the recent changes that led to it.
 #[derive(Debug, Default)]
 pub struct RelayState {
     revision: u64,
     configuration_version: u64,
     content: Content,
     history: VecDeque<Change>,
-    history_size: usize,
+    history_value_count: usize,
 }
 
 impl RelayState {
@@ -34,26 +34,26 @@
         self.revision
     }
 
-    /// The version of the configuration.
+    /// Version of the configuration.
     pub fn configuration_version(&self) -> u64 {
         self.configuration_version
     }
 
-    /// A back end's record.
+    /// The record of a back end.
     pub fn backend(&self, backend: &BackendId) -> Option<&BackendRecord> {
         self.content.backends.get(backend)
     }
 
-    /// Applies an update from control, if it fits.
+    /// Applies an update from control if [`StateUpdate::fit`] allows it.
     pub fn apply(&mut self, update: StateUpdate) -> UpdateFit {
         let fit = update.fit(self.revision, self.configuration_version);
         if fit != UpdateFit::Applies {
             return fit;
         }
-        // Before the first state there is no revision that an agent could be brought forward from.
+        // Before the first update there is no revision that an agent could be updated from.
         if self.revision > 0 {
-            let change = Change::of_update(&self.content, self.revision, update.clone());
-            self.remember(change);
+            let change = Change::from_update(&self.content, self.revision, update.clone());
+            self.push_history(change);
         }
         self.revision = update.revision;
         self.configuration_version = update.configuration_version;
@@ -61,16 +61,17 @@
         fit
     }
 
-    /// The update that brings a receiver from revision `from` to the newest, or `None` when it has
-    /// that already. The whole state, if the recent changes do not reach back far enough.
-    pub fn update_from(&self, from: u64, interest: &Interest) -> Option<StateUpdate> {
-        if from >= self.revision {
+    /// The update for a receiver at `from_revision`, or `None` if it already has the latest
+    /// revision. The update contains the full state if the recent changes do not reach back far
+    /// enough or contain more values than the full state.
+    pub fn update_from(&self, from_revision: u64, interest: &Interest) -> Option<StateUpdate> {
+        if from_revision >= self.revision {
             return None;
         }
-        let merged = self.merged_since(from);
-        let delta = merged.filter(|change| change.size() <= self.content.size());
+        let merged = self.merged_changes_since(from_revision);
+        let delta = merged.filter(|change| change.value_count() <= self.content.value_count());
         let update = match delta {
-            Some(change) => change.to_update(from, interest),
+            Some(change) => change.to_update(from_revision, interest),
             None => self.full_update(interest),
         };
         Some(update)
@@ -84,12 +85,15 @@
         }
     }
 
-    fn merged_since(&self, from: u64) -> Option<Change> {
+    fn merged_changes_since(&self, from_revision: u64) -> Option<Change> {
         let oldest = self.history.front()?;
-        if from < oldest.from_revision {
+        if from_revision < oldest.from_revision {
             return None;
         }
-        let mut later = self.history.iter().filter(|change| change.revision > from);
+        let mut later = self
+            .history
+            .iter()
+            .filter(|change| change.revision > from_revision);
         let mut merged = later.next()?.clone();
         for change in later {
             merged.merge(change);
@@ -97,15 +101,15 @@
         Some(merged)
     }
 
-    fn remember(&mut self, change: Change) {
-        self.history_size += change.size();
+    fn push_history(&mut self, change: Change) {
+        self.history_value_count += change.value_count();
         self.history.push_back(change);
-        let too_many = |history: &VecDeque<Change>, size: usize| {
-            history.len() > MAXIMUM_HISTORY_CHANGES || size > MAXIMUM_HISTORY_SIZE
+        let too_many = |history: &VecDeque<Change>, value_count: usize| {
+            history.len() > MAX_HISTORY_CHANGES || value_count > MAX_HISTORY_VALUES
         };
-        while too_many(&self.history, self.history_size) {
-            if let Some(forgotten) = self.history.pop_front() {
-                self.history_size -= forgotten.size();
+        while too_many(&self.history, self.history_value_count) {
+            if let Some(removed) = self.history.pop_front() {
+                self.history_value_count -= removed.value_count();
             }
         }
     }
--- a/crates/sablehaven-relay/tests/directory.rs
+++ b/crates/sablehaven-relay/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What control hears of the agents behind a relay.
+//! Tests of the agent statuses that a relay reports to control.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use sablehaven_wire::{LeaseGrant, LeaseProof, LeaseRequests};
 use support::placement;
 
-const INTERVAL: Duration = Duration::from_millis(20);
-const FORGET: Duration = Duration::from_secs(30);
+const REPORT_INTERVAL: Duration = Duration::from_millis(20);
+const RETENTION: Duration = Duration::from_secs(30);
 
 fn milliseconds(value: u64) -> Duration {
     Duration::from_millis(value)
@@ -25,18 +25,18 @@
         revision: 1,
         configuration_version: 1,
     };
-    requests.granted(&grant).expect("open")
+    requests.granted(&grant).expect("the request is open")
 }
 
-/// A directory with one agent that holds a lease since 100 ms, of which control knows.
-fn with_known_agent() -> (AgentDirectory, AgentId) {
-    let mut directory = AgentDirectory::new(INTERVAL, FORGET);
+/// A directory with one agent that was granted a lease at 100 ms and has been reported to control.
+fn directory_with_reported_agent() -> (AgentDirectory, AgentId) {
+    let mut directory = AgentDirectory::new(REPORT_INTERVAL, RETENTION);
     let agent = AgentId::from("agent-1");
-    directory.watches(1, &agent, placement(), Interest::default());
-    directory.acknowledges(&agent, 4);
-    directory.leased(&agent, proof(milliseconds(100)));
+    directory.register(1, &agent, placement(), Interest::default());
+    directory.record_acknowledgement(&agent, 4);
+    directory.record_lease(&agent, proof(milliseconds(100)));
     let report = directory.take_report(milliseconds(150));
-    let status = report[&agent].as_ref().expect("connected");
+    let status = report[&agent].as_ref().expect("the agent is known");
     assert_eq!(status.configuration_version, 4);
     assert_eq!(status.lease_age_ms, 50);
     assert_eq!(directory.due_at(), None);
@@ -44,64 +44,70 @@
 }
 
 #[test]
-fn only_changes_are_reported_at_most_once_an_interval() {
-    let (mut directory, agent) = with_known_agent();
-    directory.acknowledges(&agent, 4);
-    directory.leased(&agent, proof(milliseconds(200)));
-    assert_eq!(directory.due_at(), None, "nothing changed for control");
-    directory.acknowledges(&agent, 5);
-    assert_eq!(directory.due_at(), Some(milliseconds(150) + INTERVAL));
+fn only_changes_are_reported_and_at_most_once_per_interval() {
+    let (mut directory, agent) = directory_with_reported_agent();
+    directory.record_acknowledgement(&agent, 4);
+    directory.record_lease(&agent, proof(milliseconds(200)));
+    assert_eq!(directory.due_at(), None, "no change to report");
+    directory.record_acknowledgement(&agent, 5);
+    assert_eq!(
+        directory.due_at(),
+        Some(milliseconds(150) + REPORT_INTERVAL)
+    );
     let report = directory.take_report(milliseconds(200));
     assert_eq!(report.len(), 1);
 }
 
 #[test]
-fn an_agent_that_lost_its_lease_is_reported() {
-    let (mut directory, agent) = with_known_agent();
+fn an_expired_lease_is_reported() {
+    let (mut directory, agent) = directory_with_reported_agent();
     directory.tick(milliseconds(3_000));
     assert_eq!(directory.due_at(), None);
     directory.tick(milliseconds(3_100));
     let report = directory.take_report(milliseconds(3_100));
-    let status = report[&agent].as_ref().expect("connected");
+    let status = report[&agent].as_ref().expect("the agent is known");
     assert_eq!(status.lease_age_ms, 3_000);
 }
 
 #[test]
-fn an_agent_without_a_goodbye_counts_until_it_is_forgotten() {
-    let (mut directory, agent) = with_known_agent();
-    directory.disconnected(1, &agent, milliseconds(200));
-    assert_eq!(directory.connected(), 0);
+fn an_agent_that_disconnects_without_leaving_is_reported_until_its_retention_ends() {
+    let (mut directory, agent) = directory_with_reported_agent();
+    directory.record_disconnect(1, &agent, milliseconds(200));
+    assert_eq!(directory.connected_count(), 0);
     let report = directory.take_report(milliseconds(200));
-    assert!(report[&agent].is_some(), "it may hold its lease");
-    directory.tick(milliseconds(200) + FORGET);
-    let report = directory.take_report(milliseconds(200) + FORGET);
+    assert!(
+        report[&agent].is_some(),
+        "the agent may still hold its lease"
+    );
+    directory.tick(milliseconds(200) + RETENTION);
+    let report = directory.take_report(milliseconds(200) + RETENTION);
     assert_eq!(report[&agent], None);
 }
 
 #[test]
-fn a_goodbye_is_reported_at_once() {
-    let (mut directory, agent) = with_known_agent();
-    directory.leaves(&agent);
-    directory.disconnected(1, &agent, milliseconds(200));
+fn an_agent_that_leaves_is_reported_as_removed() {
+    let (mut directory, agent) = directory_with_reported_agent();
+    directory.remove(&agent);
+    directory.record_disconnect(1, &agent, milliseconds(200));
     let report = directory.take_report(milliseconds(200));
     assert_eq!(report[&agent], None);
 }
 
 #[test]
-fn the_end_of_an_old_connection_does_not_hide_the_new_one() {
-    let (mut directory, agent) = with_known_agent();
-    directory.watches(2, &agent, placement(), Interest::default());
-    directory.disconnected(1, &agent, milliseconds(200));
-    assert_eq!(directory.connected(), 1);
-    directory.tick(milliseconds(300) + FORGET);
-    let report = directory.take_report(milliseconds(300) + FORGET);
-    let status = report[&agent].as_ref().expect("connected");
-    assert_eq!(status.configuration_version, 4, "it only moves forward");
+fn the_end_of_an_old_connection_does_not_affect_the_new_one() {
+    let (mut directory, agent) = directory_with_reported_agent();
+    directory.register(2, &agent, placement(), Interest::default());
+    directory.record_disconnect(1, &agent, milliseconds(200));
+    assert_eq!(directory.connected_count(), 1);
+    directory.tick(milliseconds(300) + RETENTION);
+    let report = directory.take_report(milliseconds(300) + RETENTION);
+    let status = report[&agent].as_ref().expect("the agent is known");
+    assert_eq!(status.configuration_version, 4, "the version is kept");
 }
 
 #[test]
-fn a_new_leader_hears_of_every_agent() {
-    let (mut directory, _) = with_known_agent();
+fn every_agent_is_reported_to_a_new_leader() {
+    let (mut directory, _) = directory_with_reported_agent();
     directory.report_all();
     assert_eq!(directory.take_report(milliseconds(500)).len(), 1);
 }
--- a/crates/sablehaven-relay/tests/relay.rs
+++ b/crates/sablehaven-relay/tests/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between scripted control replicas and agents on loopback.
+//! Tests of a relay between scripted control replicas and agents, connected over loopback.
 
 mod support;
 
@@ -18,20 +18,20 @@
 };
 
 use support::{
-    AgentConnection, address, changes, claim, control_double::ControlDouble, current_at, draining,
-    full_state, hello, receive, relay_config, start_relay, subscribe, until, watch_bare,
+    AgentConnection, address, changes, claim, connect_raw, control_double::ControlDouble, draining,
+    full_state, hello, receive, relay_config, start_relay, subscribe, wait_current_at, wait_until,
 };
 
 const SEARCH: &str = "stock.Search";
 const RESERVE: &str = "stock.Reserve";
-const CALL_LIMIT: Duration = Duration::from_secs(3_600);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3_600);
 const GRANTED: LedgerReply = LedgerReply::Claim(ClaimAnswer::Granted);
 
-async fn control_at(revision: u64) -> ControlDouble {
+async fn start_control(revision: u64) -> ControlDouble {
     ControlDouble::start(full_state(revision, &[SEARCH, RESERVE])).await
 }
 
-/// The last status of the agent that the replica was told, if any.
+/// The last status of the agent that the replica received, if any.
 fn last_status(control: &ControlDouble, agent: &str) -> Option<Option<AgentStatus>> {
     let agent = AgentId::from(agent);
     let script = control.script();
@@ -53,18 +53,18 @@
 
 fn call_in_background(subscription: &Subscription) -> tokio::task::JoinHandle<LedgerReply> {
     let calling = subscription.clone();
-    tokio::spawn(async move { calling.ledger(claim(1), CALL_LIMIT).await })
+    tokio::spawn(async move { calling.ledger(claim(1), CALL_TIMEOUT).await })
 }
 
 #[tokio::test]
 async fn a_change_reaches_agents_and_their_acknowledgements_reach_control() {
-    let control = control_at(10).await;
+    let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let agent = subscribe("agent-1", &[&relay], &[SEARCH]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     let revision = control.commit(changes(SEARCH, 2));
-    current_at(&agent, revision).await;
-    until("the acknowledgement", || {
+    wait_current_at(&agent, revision).await;
+    wait_until("control receives the acknowledgement", || {
         last_status(&control, "agent-1")
             .flatten()
             .is_some_and(|status| {
@@ -73,28 +73,28 @@
     })
     .await;
     agent.stop().await;
-    until("the goodbye", || {
+    wait_until("control learns that the agent has left", || {
         last_status(&control, "agent-1") == Some(None)
     })
     .await;
 }
 
 #[tokio::test]
-async fn agents_hear_only_of_their_services_and_equal_ones_share_the_encoding() {
-    let control = control_at(10).await;
+async fn agents_get_only_their_services_and_equal_interests_share_the_encoding() {
+    let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let searching: Vec<_> = (0..10)
         .map(|number| subscribe(&format!("search-{number}"), &[&relay], &[SEARCH]))
         .collect();
     let reserving = subscribe("reserve", &[&relay], &[RESERVE]);
     for agent in searching.iter().chain([&reserving]) {
-        current_at(agent, 10).await;
+        wait_current_at(agent, 10).await;
     }
     let encoded = relay.metrics().encoded_updates.get();
     assert!(encoded <= 2, "{encoded} encodings for two interests");
     let revision = control.commit(changes(SEARCH, 2));
     for agent in searching.iter().chain([&reserving]) {
-        current_at(agent, revision).await;
+        wait_current_at(agent, revision).await;
     }
     let encoded = relay.metrics().encoded_updates.get() - encoded;
     assert_eq!(encoded, 2, "one encoding for each interest");
@@ -111,60 +111,63 @@
 }
 
 #[tokio::test]
-async fn an_agent_that_starts_after_hundreds_of_changes_takes_one_update() {
-    let control = control_at(10).await;
+async fn an_agent_that_starts_after_hundreds_of_changes_gets_one_update() {
+    let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let early = subscribe("early", &[&relay], &[]);
-    current_at(&early, 10).await;
+    wait_current_at(&early, 10).await;
     let mut revision = 0;
     for generation in 0..400 {
         revision = control.commit(changes(SEARCH, generation));
     }
-    current_at(&early, revision).await;
+    wait_current_at(&early, revision).await;
     let late = subscribe("late", &[&relay], &[]);
-    current_at(&late, revision).await;
+    wait_current_at(&late, revision).await;
     assert_eq!(late.metrics().updates.get(), 1);
     assert_eq!(late.metrics().full_updates.get(), 1);
     assert_eq!(*late.view(), *early.view());
 }
 
 #[tokio::test]
-async fn a_restarted_relay_behind_the_agents_does_not_lead_them_back() {
-    let control = control_at(10).await;
-    let lagging = control_at(5).await;
+async fn a_restarted_relay_with_older_state_does_not_revert_the_agents() {
+    let control = start_control(10).await;
+    let lagging = start_control(5).await;
     lagging.script().leads = false;
     let relay = start_relay(relay_config(&[&control])).await;
     let mut restarted = relay_config(&[&lagging]);
     restarted.lease_timeout_ms = 50_000;
     let restarted = start_relay(restarted).await;
     let agent = subscribe("agent-1", &[&relay, &restarted], &[]);
-    current_at(&agent, 10).await;
-    until("the relay that lags has its state", || {
+    wait_current_at(&agent, 10).await;
+    wait_until("the lagging relay has its state", || {
         restarted.metrics().revision.get() == 5
     })
     .await;
     relay.stop().await;
-    until("the agent has moved", || {
+    wait_until("the agent has moved", || {
         restarted.metrics().agents.get() == 1
     })
     .await;
     for _ in 5..10 {
         lagging.commit(changes(SEARCH, 77));
     }
-    until("the relay has caught up", || {
+    wait_until("the relay has caught up", || {
         restarted.metrics().revision.get() == 10
     })
     .await;
     assert_eq!(agent.view().revision, 10);
     lagging.commit(changes(SEARCH, 78));
-    until("the next revision", || agent.view().revision == 11).await;
+    wait_until("the agent has the next revision", || {
+        agent.view().revision == 11
+    })
+    .await;
     assert_eq!(agent.metrics().updates.get(), 2);
 }
 
 #[tokio::test]
-async fn a_silently_cut_off_relay_stops_granting_and_its_agents_move() {
-    let cut = control_at(10).await;
-    let healthy = control_at(10).await;
+async fn a_relay_cut_off_from_control_stops_granting_leases_and_its_agents_move() {
+    let cut = start_control(10).await;
+    let healthy = start_control(10).await;
     let mut near_config = relay_config(&[&cut]);
     near_config.lease_timeout_ms = 50_000;
     let telemetry = Telemetry::new("relay");
@@ -172,52 +175,55 @@
     let near = near.await.expect("start");
     let far = start_relay(relay_config(&[&healthy])).await;
     let agent = subscribe("agent-1", &[&near, &far], &[]);
-    current_at(&agent, 10).await;
-    until("the near relay is ready", || telemetry.is_ready()).await;
+    wait_current_at(&agent, 10).await;
+    wait_until("the near relay is ready", || telemetry.is_ready()).await;
     cut.script().frozen = true;
-    until("the agent moves", || {
+    wait_until("the agent moves", || {
         agent.metrics().relay_changes.get() == 2
     })
     .await;
     let revision = healthy.commit(changes(SEARCH, 2));
-    current_at(&agent, revision).await;
-    until("the near relay has no proof left", || !telemetry.is_ready()).await;
+    wait_current_at(&agent, revision).await;
+    wait_until("the near relay is no longer ready", || {
+        !telemetry.is_ready()
+    })
+    .await;
     let granted = near.metrics().leases.get();
-    let bare_request = AgentToRelay::RequestLease { nonce: 1 };
-    let mut bare = watch_bare(&near, "bare", revision).await;
-    bare.writer.send(&bare_request).await.expect("request");
-    let goes_on = far.metrics().leases.get() + 20;
-    until("the far relay goes on", || {
-        far.metrics().leases.get() > goes_on
+    let lease_request = AgentToRelay::RequestLease { nonce: 1 };
+    let mut raw = connect_raw(&near, "raw", revision).await;
+    raw.writer.send(&lease_request).await.expect("request");
+    let expected_leases = far.metrics().leases.get() + 20;
+    wait_until("the far relay keeps granting leases", || {
+        far.metrics().leases.get() > expected_leases
     })
     .await;
     assert_eq!(near.metrics().leases.get(), granted);
 }
 
 #[tokio::test]
-async fn a_silently_cut_off_control_replica_is_left_for_another() {
-    let cut = control_at(10).await;
-    let healthy = control_at(10).await;
+async fn a_silent_control_replica_is_replaced_by_another() {
+    let cut = start_control(10).await;
+    let healthy = start_control(10).await;
     let mut config = relay_config(&[&cut, &healthy]);
     config.lease_timeout_ms = 500;
     let relay = start_relay(config).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     cut.script().frozen = true;
     let revision = healthy.commit(changes(SEARCH, 2));
-    current_at(&agent, revision).await;
+    wait_current_at(&agent, revision).await;
 }
 
 #[tokio::test]
-async fn with_every_relay_cut_off_an_agent_says_that_it_is_not_current() {
-    let control = control_at(10).await;
+async fn an_agent_is_not_current_while_its_relays_are_cut_off_from_control() {
+    let control = start_control(10).await;
     control.script().lease_ms = 400;
     let relay = start_relay(relay_config(&[&control])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     control.script().frozen = true;
-    until("the lease has run out", || !agent.lease().current).await;
-    until("control hears of it when it is back", || {
+    wait_until("the lease has expired", || !agent.lease().current).await;
+    wait_until("the lease is current again", || {
         control.script().frozen = false;
         agent.lease().current
     })
@@ -226,34 +232,34 @@
 
 #[tokio::test]
 async fn a_relay_follows_the_leader() {
-    let follower = control_at(10).await;
-    let leader = control_at(10).await;
+    let follower = start_control(10).await;
+    let leader = start_control(10).await;
     follower.script().leads = false;
     follower.script().leader = Some(leader.address);
     let relay = start_relay(relay_config(&[&follower])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     let revision = leader.commit(changes(SEARCH, 2));
-    current_at(&agent, revision).await;
-    // Leadership moves back; the other replica is told of the agents behind the relay.
+    wait_current_at(&agent, revision).await;
+    // Leadership moves back, and the other replica must receive the statuses of the relay's agents.
     follower.script().state = leader.script().state.clone();
     follower.script().leads = true;
     leader.script().leads = false;
     leader.script().leader = Some(follower.address);
-    until("the new leader knows the agent", || {
+    wait_until("the new leader receives the status of the agent", || {
         last_status(&follower, "agent-1").flatten().is_some()
     })
     .await;
     let revision = follower.commit(changes(SEARCH, 3));
-    current_at(&agent, revision).await;
+    wait_current_at(&agent, revision).await;
 }
 
 #[tokio::test]
 async fn a_lease_request_waits_for_the_first_proof() {
-    let control = control_at(10).await;
+    let control = start_control(10).await;
     control.script().leads = false;
     let relay = start_relay(relay_config(&[&control])).await;
-    let mut agent = watch_bare(&relay, "bare", 0).await;
+    let mut agent = connect_raw(&relay, "raw", 0).await;
     let request = AgentToRelay::RequestLease { nonce: 7 };
     agent.writer.send(&request).await.expect("request");
     let first = receive(&mut agent).await;
@@ -264,47 +270,47 @@
 }
 
 #[tokio::test]
-async fn a_relay_without_a_leader_still_gives_agents_the_state() {
-    let follower = control_at(10).await;
+async fn a_relay_without_a_leader_still_sends_the_state_to_agents() {
+    let follower = start_control(10).await;
     follower.script().leads = false;
     let relay = start_relay(relay_config(&[&follower])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    until("the state", || agent.view().revision == 10).await;
+    wait_until("the agent has the state", || agent.view().revision == 10).await;
     assert!(!agent.lease().current);
 }
 
 #[tokio::test]
-async fn a_lost_control_replica_is_replaced_from_the_own_revision() {
-    let first = control_at(10).await;
-    let second = control_at(12).await;
+async fn after_losing_a_control_replica_a_relay_resumes_from_its_own_revision() {
+    let first = start_control(10).await;
+    let second = start_control(12).await;
     let relay = start_relay(relay_config(&[&first, &second])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     first.kill().await;
-    current_at(&agent, 12).await;
-    let asked =
+    wait_current_at(&agent, 12).await;
+    let is_resume =
         |message: &RelayToControl| matches!(message, RelayToControl::Watch { revision: 10, .. });
-    assert!(second.script().received.iter().any(asked));
+    assert!(second.script().received.iter().any(is_resume));
 }
 
 #[tokio::test]
-async fn a_gap_in_controls_updates_makes_the_relay_ask_again() {
-    let control = control_at(10).await;
+async fn a_gap_in_the_updates_from_control_makes_the_relay_watch_again() {
+    let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     control.script().state.revision = 14;
     let mut skipping = changes(SEARCH, 5);
     skipping.from_revision = 13;
     skipping.revision = 14;
     skipping.configuration_version = 14;
     control.send(ControlToRelay::Update(skipping));
-    current_at(&agent, 14).await;
+    wait_current_at(&agent, 14).await;
 }
 
 #[tokio::test]
 async fn ledger_calls_of_many_agents_share_messages() {
-    let control = control_at(10).await;
+    let control = start_control(10).await;
     let mut config = relay_config(&[&control]);
     config.ledger_batch_delay_ms = 100;
     let relay = start_relay(config).await;
@@ -312,7 +318,7 @@
         .map(|number| subscribe(&format!("agent-{number}"), &[&relay], &[]))
         .collect();
     for agent in &agents {
-        current_at(agent, 10).await;
+        wait_current_at(agent, 10).await;
     }
     let calls: Vec<_> = agents.iter().map(call_in_background).collect();
     for call in calls {
@@ -323,55 +329,58 @@
 }
 
 #[tokio::test]
-async fn a_ledger_reply_lost_with_control_is_unavailable_and_the_relay_does_not_repeat_it() {
-    let first = control_at(10).await;
-    let second = control_at(10).await;
+async fn a_ledger_call_to_a_lost_control_replica_is_unavailable_and_not_sent_again() {
+    let first = start_control(10).await;
+    let second = start_control(10).await;
     first.script().answers_ledger = false;
     let mut config = relay_config(&[&first, &second]);
-    config.ledger_timeout_ms = CALL_LIMIT.as_millis() as u64;
+    config.ledger_timeout_ms = CALL_TIMEOUT.as_millis() as u64;
     let relay = start_relay(config).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     let call = call_in_background(&agent);
-    until("the call arrives", || ledger_calls(&first) == 1).await;
+    wait_until("the call arrives", || ledger_calls(&first) == 1).await;
     first.kill().await;
-    until("the call ends long before its limit", || call.is_finished()).await;
+    wait_until("the call ends long before its timeout", || {
+        call.is_finished()
+    })
+    .await;
     let reply = call.await.expect("call");
     assert!(
         matches!(reply, LedgerReply::Unavailable { .. }),
         "{reply:?}"
     );
-    assert_eq!(agent.ledger(claim(2), CALL_LIMIT).await, GRANTED);
+    assert_eq!(agent.ledger(claim(2), CALL_TIMEOUT).await, GRANTED);
     assert_eq!(ledger_calls(&second), 1);
 }
 
 #[tokio::test]
 async fn a_stopping_control_replica_still_answers_its_calls() {
-    let first = control_at(10).await;
-    let second = control_at(10).await;
+    let first = start_control(10).await;
+    let second = start_control(10).await;
     first.script().answers_ledger = false;
     let relay = start_relay(relay_config(&[&first, &second])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     let call = call_in_background(&agent);
-    until("the call arrives", || ledger_calls(&first) == 1).await;
+    wait_until("the call arrives", || ledger_calls(&first) == 1).await;
     first.send(ControlToRelay::GoAway);
-    assert_eq!(agent.ledger(claim(2), CALL_LIMIT).await, GRANTED);
+    assert_eq!(agent.ledger(claim(2), CALL_TIMEOUT).await, GRANTED);
     assert_eq!(ledger_calls(&second), 1);
     first.send(ControlToRelay::Ledger(vec![(1, LedgerReply::Recorded)]));
     assert_eq!(call.await.expect("call"), LedgerReply::Recorded);
 }
 
 #[tokio::test]
-async fn ledger_calls_wait_a_while_for_a_leader_and_end_in_time() {
-    let control = control_at(10).await;
+async fn ledger_calls_without_a_leader_time_out() {
+    let control = start_control(10).await;
     control.script().leads = false;
     let mut config = relay_config(&[&control]);
     config.ledger_timeout_ms = 100;
     let relay = start_relay(config).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    until("the state", || agent.view().revision == 10).await;
-    let reply = agent.ledger(claim(1), CALL_LIMIT).await;
+    wait_until("the agent has the state", || agent.view().revision == 10).await;
+    let reply = agent.ledger(claim(1), CALL_TIMEOUT).await;
     assert!(
         matches!(reply, LedgerReply::Unavailable { .. }),
         "{reply:?}"
@@ -379,14 +388,14 @@
     assert_eq!(ledger_calls(&control), 0);
 }
 
-/// Large updates that an agent does not take: the relay keeps none of them for it.
+/// An agent that does not read must not make the relay queue large updates for it.
 #[tokio::test]
-async fn a_slow_agent_skips_revisions_and_does_not_hold_others_up() {
-    let control = control_at(10).await;
+async fn a_slow_agent_skips_revisions_and_does_not_delay_others() {
+    let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
-    let brisk = subscribe("brisk", &[&relay], &[]);
-    let mut slow = watch_bare(&relay, "slow", 0).await;
-    current_at(&brisk, 10).await;
+    let fast = subscribe("fast", &[&relay], &[]);
+    let mut slow = connect_raw(&relay, "slow", 0).await;
+    wait_current_at(&fast, 10).await;
     let mut revision = 0;
     for round in 0..100 {
         let schema = SchemaSource {
@@ -397,8 +406,8 @@
             schema: Some(schema),
             ..StateUpdate::default()
         });
-        until("the brisk agent follows", || {
-            brisk.view().revision == revision
+        wait_until("the fast agent has the revision", || {
+            fast.view().revision == revision
         })
         .await;
     }
@@ -415,14 +424,17 @@
 }
 
 #[tokio::test]
-async fn an_agent_that_takes_no_bytes_is_disconnected() {
-    let control = control_at(10).await;
+async fn an_agent_that_does_not_read_is_disconnected() {
+    let control = start_control(10).await;
     let mut config = relay_config(&[&control]);
     config.agent_send_timeout_ms = 100;
     let relay = start_relay(config).await;
-    let _slow = watch_bare(&relay, "slow", 0).await;
-    until("it is connected", || relay.metrics().agents.get() == 1).await;
-    until("it is disconnected", || {
+    let _slow = connect_raw(&relay, "slow", 0).await;
+    wait_until("the agent is connected", || {
+        relay.metrics().agents.get() == 1
+    })
+    .await;
+    wait_until("the agent is disconnected", || {
         let schema = SchemaSource {
             file_name: "schema.proto".to_owned(),
             text: "x".repeat(1024 * 1024),
@@ -438,25 +450,28 @@
 }
 
 #[tokio::test]
-async fn a_draining_word_reaches_other_agents_before_control_commits_it() {
-    let control = control_at(10).await;
+async fn a_draining_observation_reaches_other_agents_before_control_commits_it() {
+    let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let observer = subscribe("observer", &[&relay], &[SEARCH]);
     let other = subscribe("other", &[&relay], &[SEARCH]);
     let elsewhere = subscribe("elsewhere", &[&relay], &[RESERVE]);
     for agent in [&observer, &other, &elsewhere] {
-        current_at(agent, 10).await;
+        wait_current_at(agent, 10).await;
     }
     let backend = format!("{SEARCH}-backend");
     observer.observe(draining(&backend, SEARCH, 1));
     let state_at = |agent: &Subscription| agent.view().backends[&SEARCH.into()][0].state;
-    until("the hint", || state_at(&other) == BackendState::Leaving).await;
+    wait_until("the other agent receives the hint", || {
+        state_at(&other) == BackendState::Leaving
+    })
+    .await;
     let late = subscribe("late", &[&relay], &[SEARCH]);
-    until("the hint for a new agent", || {
+    wait_until("a new agent receives the hint", || {
         late.view().revision == 10 && state_at(&late) == BackendState::Leaving
     })
     .await;
-    until("control hears of it", || {
+    wait_until("control receives the observation", || {
         let is_report = |message: &RelayToControl| {
             matches!(message, RelayToControl::Observe { observations } if observations.len() == 1)
         };
@@ -464,21 +479,25 @@
     })
     .await;
     assert_eq!(elsewhere.metrics().hints.get(), 0);
-    assert_eq!(observer.metrics().hints.get(), 1, "its own word only");
+    assert_eq!(
+        observer.metrics().hints.get(),
+        1,
+        "only its own observation"
+    );
 }
 
 #[tokio::test]
 async fn a_planned_stop_moves_the_agents_and_answers_the_calls_in_flight() {
-    let control = control_at(10).await;
+    let control = start_control(10).await;
     control.script().answers_ledger = false;
     let near = start_relay(relay_config(&[&control])).await;
     let far = start_relay(relay_config(&[&control])).await;
     let agent = subscribe("agent-1", &[&near, &far], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     let call = call_in_background(&agent);
-    until("the call arrives", || ledger_calls(&control) == 1).await;
+    wait_until("the call arrives", || ledger_calls(&control) == 1).await;
     let stopping = tokio::spawn(near.stop());
-    until("the agent has moved", || {
+    wait_until("the agent has moved", || {
         agent.metrics().relay_changes.get() == 2
     })
     .await;
@@ -486,14 +505,14 @@
     assert_eq!(call.await.expect("call"), LedgerReply::Recorded);
     stopping.await.expect("stop");
     let revision = control.commit(changes(SEARCH, 2));
-    current_at(&agent, revision).await;
+    wait_current_at(&agent, revision).await;
     assert_eq!(agent.metrics().session_errors.get(), 0);
 }
 
-/// A scraper of metrics that keeps its connection open must not hold the stop up.
+/// A metrics scraper that keeps its connection open must not delay the stop.
 #[tokio::test]
 async fn a_planned_stop_does_not_wait_for_idle_http_connections() {
-    let control = control_at(10).await;
+    let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let http = relay.addresses().http.expect("listening");
     let mut scraper = TcpStream::connect(http).await.expect("connect");
@@ -506,40 +525,43 @@
     unfinished
         .write_all(&request[..20])
         .await
-        .expect("half a request");
-    // Without a limit of its own the stop waits for the library's, which is 30 s.
+        .expect("send half a request");
+    // Without its own timeout, the stop would wait for that of the HTTP library, which is 30 s.
     let stopped = timeout(Duration::from_secs(20), relay.stop()).await;
-    assert!(stopped.is_ok(), "still stopping");
+    assert!(stopped.is_ok(), "the relay has not stopped");
 }
 
 #[tokio::test]
 async fn one_proof_serves_all_agents() {
-    let control = control_at(10).await;
+    let control = start_control(10).await;
     let mut config = relay_config(&[&control]);
     config.lease_interval_ms = 250;
     let relay = start_relay(config).await;
     let agents: Vec<_> = (0..30)
         .map(|number| subscribe(&format!("agent-{number}"), &[&relay], &[]))
         .collect();
-    until("many leases", || relay.metrics().leases.get() >= 500).await;
+    wait_until("500 leases are granted", || {
+        relay.metrics().leases.get() >= 500
+    })
+    .await;
     let proofs = relay.metrics().proofs.get();
     assert!(proofs * 4 < 500, "{proofs} proofs for 500 leases");
     drop(agents);
 }
 
 #[tokio::test]
-async fn strangers_and_agents_too_many_are_turned_away() {
-    let control = control_at(10).await;
+async fn agents_of_another_deployment_and_agents_over_the_limit_are_rejected() {
+    let control = start_control(10).await;
     let mut config = relay_config(&[&control]);
     config.maximum_agents = 1;
     let relay = start_relay(config).await;
-    let mut stranger = hello(Role::Agent);
-    stranger.deployment = "tareas".to_owned();
+    let mut other_deployment = hello(Role::Agent);
+    other_deployment.deployment = "tareas".to_owned();
     let refused: Result<AgentConnection, _> =
-        connect(address(&relay), &stranger, Role::Relay).await;
+        connect(address(&relay), &other_deployment, Role::Relay).await;
     assert!(matches!(refused, Err(WireError::Refused { .. })));
     let agent = subscribe("agent-1", &[&relay], &[]);
-    current_at(&agent, 10).await;
+    wait_current_at(&agent, 10).await;
     let second: Result<AgentConnection, _> =
         connect(address(&relay), &hello(Role::Agent), Role::Relay).await;
     assert!(second.is_err());
@@ -547,8 +569,8 @@
 }
 
 #[tokio::test]
-async fn settings_that_cannot_be_used_are_named() {
-    let control = control_at(10).await;
+async fn invalid_settings_are_reported_by_key() {
+    let control = start_control(10).await;
     let mut config = relay_config(&[&control]);
     assert!(config.validate("relay").is_empty());
     config.control.clear();
--- a/crates/sablehaven-relay/tests/state.rs
+++ b/crates/sablehaven-relay/tests/state.rs
@@ -1,4 +1,4 @@
-//! The relay's state and the updates that it makes of it.
+//! Tests of the relay's state and of the updates built from it.
 
 mod support;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_new_agent_gets_the_whole_state_of_its_interest_only() {
+fn a_new_agent_gets_a_full_update_limited_to_its_interest() {
     let state = state_at_ten();
     let update = state
         .update_from(0, &interest(&["stock.Search"]))
@@ -60,18 +60,18 @@
         .update_from(15, &interest(&["stock.Reserve"]))
         .expect("an update");
     assert!(other.services.is_empty() && other.backends.is_empty());
-    assert_eq!(other.revision, 20, "an empty update moves the revision");
+    assert_eq!(other.revision, 20, "an empty update advances the revision");
 }
 
 #[test]
-fn an_agent_ahead_of_the_relay_gets_nothing() {
+fn an_agent_at_or_ahead_of_the_relay_gets_no_update() {
     let state = state_at_ten();
     assert!(state.update_from(10, &interest(&[])).is_none());
     assert!(state.update_from(11, &interest(&[])).is_none());
 }
 
 #[test]
-fn an_agent_behind_the_recent_changes_gets_the_whole_state() {
+fn an_agent_behind_the_recent_changes_gets_a_full_update() {
     let mut state = state_at_ten();
     for revision in 10..2_000 {
         state.apply(delta(revision, changes("stock.Search", revision)));
@@ -83,14 +83,13 @@
 }
 
 #[test]
-fn a_whole_state_from_control_reaches_agents_as_a_difference() {
+fn a_full_update_from_control_reaches_agents_as_a_delta() {
     let mut state = state_at_ten();
-    let mut whole = full_state(30, &["stock.Search", "stock.Reserve"]);
-    whole
-        .services
+    let mut full = full_state(30, &["stock.Search", "stock.Reserve"]);
+    full.services
         .insert("stock.Search".into(), Some(service(7)));
-    whole.backends.remove(&"stock.Reserve-backend".into());
-    assert_eq!(state.apply(whole), UpdateFit::Applies);
+    full.backends.remove(&"stock.Reserve-backend".into());
+    assert_eq!(state.apply(full), UpdateFit::Applies);
     let update = state.update_from(10, &interest(&[])).expect("an update");
     assert!(!update.full);
     assert_eq!(update.services.len(), 1);
@@ -99,7 +98,7 @@
 }
 
 #[test]
-fn updates_that_do_not_fit_change_nothing() {
+fn updates_that_do_not_apply_change_nothing() {
     let mut state = state_at_ten();
     let stale = full_state(9, &[]);
     assert_eq!(state.apply(stale), UpdateFit::Old);
@@ -116,37 +115,37 @@
     distribution.apply(full_state(10, &["stock.Search", "stock.Reserve"]));
     for _ in 0..100 {
         let search = distribution
-            .frame(0, &interest(&["stock.Search"]))
+            .update_from(0, &interest(&["stock.Search"]))
             .expect("encode");
         let reserve = distribution
-            .frame(0, &interest(&["stock.Reserve"]))
+            .update_from(0, &interest(&["stock.Reserve"]))
             .expect("encode");
         assert!(search.is_some() && reserve.is_some());
     }
-    assert_eq!(distribution.encoded(), 2);
+    assert_eq!(distribution.encoded_count(), 2);
     distribution.apply(delta(10, changes("stock.Search", 2)));
     let newer = distribution
-        .frame(0, &interest(&["stock.Search"]))
+        .update_from(0, &interest(&["stock.Search"]))
         .expect("encode");
-    assert_eq!(newer.expect("a frame").revision, 11);
-    assert_eq!(distribution.encoded(), 3);
+    assert_eq!(newer.expect("an update").revision, 11);
+    assert_eq!(distribution.encoded_count(), 3);
 }
 
 const SERVICES: [&str; 3] = ["a.A", "b.B", "c.C"];
 
-/// One committed change of the reference model.
+/// A step of the property test: a committed change or a synchronization.
 #[derive(Clone, Debug)]
 enum Step {
     SetService(usize, u64),
     RemoveService(usize),
-    /// Also moves a back end between services.
+    /// Sets a back end, which may move it to another service.
     SetBackend(u8, usize, u64),
     RemoveBackend(u8),
     SetCount(usize, u32),
-    /// Control sends its whole state instead of the last changes.
-    Whole(u8),
-    /// An agent takes what the relay has for it.
-    Follow(usize),
+    /// Control commits this number of changes and then sends its full state instead of the changes.
+    FullState(u8),
+    /// An agent applies the update that the relay has for it.
+    SyncAgent(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -157,12 +156,12 @@
             .prop_map(|(id, name, start)| Step::SetBackend(id, name, start)),
         (0..5u8).prop_map(Step::RemoveBackend),
         (0..3usize, 0..4u32).prop_map(|(name, count)| Step::SetCount(name, count)),
-        (1..4u8).prop_map(Step::Whole),
-        (0..4usize).prop_map(Step::Follow),
+        (1..4u8).prop_map(Step::FullState),
+        (0..4usize).prop_map(Step::SyncAgent),
     ]
 }
 
-/// The state as control holds it.
+/// Reference model: the state held by control.
 #[derive(Clone, Debug, Default)]
 struct Model {
     state: StateUpdate,
@@ -192,7 +191,7 @@
                     .agents_per_service
                     .insert(SERVICES[*name].into(), *count);
             }
-            Step::Whole(_) | Step::Follow(_) => {}
+            Step::FullState(_) | Step::SyncAgent(_) => {}
         }
         update.from_revision = self.state.revision;
         update.revision = update.from_revision + 1;
@@ -220,8 +219,8 @@
     }
 }
 
-/// What an agent shows must be exactly control's state, as far as its interest goes.
-fn assert_follows(model: &Model, agent: &ViewState, interest: &Interest) {
+/// Asserts that the agent's view equals the state of control, restricted to the agent's interest.
+fn assert_in_sync(model: &Model, agent: &ViewState, interest: &Interest) {
     let view = agent.view();
     assert_eq!(view.revision, model.state.revision);
     let backends: BTreeMap<ServiceName, Vec<BackendRecord>> = view
@@ -252,10 +251,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Agents with different interests that follow now and then, over single and merged deltas and
-    /// whole states, always show control's state at the relay's revision.
+    /// Agents with different interests that synchronize at arbitrary times, over single deltas,
+    /// merged deltas and full states, always have the state of control at the relay's revision.
     #[test]
-    fn agents_that_follow_now_and_then_show_the_committed_state(
+    fn agents_that_synchronize_at_arbitrary_times_have_the_committed_state(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut model = Model::default();
@@ -268,24 +267,24 @@
         ];
         let lifetime = Duration::from_secs(1);
         let mut agents: Vec<_> = interests.iter().map(|_| ViewState::new(lifetime)).collect();
-        let mut follow = |relay: &RelayState, model: &Model, agent: usize| {
+        let mut sync = |relay: &RelayState, model: &Model, agent: usize| {
             let view = &mut agents[agent];
             if let Some(update) = relay.update_from(view.revision(), &interests[agent]) {
                 assert_eq!(view.apply(update), UpdateFit::Applies);
             }
             if view.revision() > 0 {
-                assert_follows(model, view, &interests[agent]);
+                assert_in_sync(model, view, &interests[agent]);
             }
         };
         for step in &steps {
             match step {
-                Step::Follow(agent) => follow(&relay, &model, *agent),
-                Step::Whole(missed) => {
+                Step::SyncAgent(agent) => sync(&relay, &model, *agent),
+                Step::FullState(missed) => {
                     for number in 0..*missed {
                         model.change(&Step::SetBackend(number, usize::from(number) % 3, 9));
                     }
-                    let whole = StateUpdate { full: true, ..model.state.clone() };
-                    prop_assert_eq!(relay.apply(whole), UpdateFit::Applies);
+                    let full = StateUpdate { full: true, ..model.state.clone() };
+                    prop_assert_eq!(relay.apply(full), UpdateFit::Applies);
                 }
                 change => {
                     let update = model.change(change);
@@ -294,7 +293,7 @@
             }
         }
         for agent in 0..interests.len() {
-            follow(&relay, &model, agent);
+            sync(&relay, &model, agent);
         }
     }
 }
--- a/crates/sablehaven-relay/tests/support/control_double.rs
+++ b/crates/sablehaven-relay/tests/support/control_double.rs
@@ -1,4 +1,4 @@
-//! A scripted control replica on loopback.
+//! Test double of a control replica, served on loopback.
 
 use std::{
     net::SocketAddr,
@@ -15,31 +15,32 @@
     task::JoinSet,
 };
 
-/// The deployment of all doubles.
+/// Deployment name used by all test doubles.
 pub const DEPLOYMENT: &str = "trinacria";
 
-/// What the replica does.
+/// Scripted behavior of the replica.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// The whole state; a watcher with a smaller revision gets it.
+    /// The full state, sent to a relay that watches from an older revision.
     pub state: StateUpdate,
-    /// Whether the replica takes part at all; if not, it keeps its connections and says nothing.
+    /// Whether the replica stays silent. A frozen replica keeps its connections open but sends
+    /// nothing.
     pub frozen: bool,
-    /// Whether it leads.
+    /// Whether the replica is the leader.
     pub leads: bool,
-    /// The leader that it names while it does not lead.
+    /// The leader that the replica names while it is not the leader itself.
     pub leader: Option<SocketAddr>,
-    /// The duration of leases, in milliseconds.
+    /// Lease duration, in milliseconds.
     pub lease_ms: u64,
-    /// Whether ledger calls are answered.
+    /// Whether the replica answers ledger calls.
     pub answers_ledger: bool,
-    /// Everything received from relays, in order.
+    /// All messages received from relays, in order.
     pub received: Vec<RelayToControl>,
 }
 
-/// A scripted control replica.
+/// Test double of a control replica.
 pub struct ControlDouble {
-    /// Its internal address.
+    /// Internal address of the replica.
     pub address: SocketAddr,
     script: Arc<Mutex<Script>>,
     outgoing: broadcast::Sender<ControlToRelay>,
@@ -47,7 +48,7 @@
 }
 
 impl ControlDouble {
-    /// Starts a replica that leads and holds `state`.
+    /// Starts a replica that is the leader and holds `state`.
     pub async fn start(state: StateUpdate) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
@@ -72,18 +73,18 @@
         }
     }
 
-    /// The script, to read or to change.
+    /// The script, for reading or changing.
     pub fn script(&self) -> MutexGuard<'_, Script> {
         self.script.lock().expect("script")
     }
 
     /// Sends a message to every connected relay.
     pub fn send(&self, message: ControlToRelay) {
-        // Nobody may be connected at the moment; a relay asks when it connects.
+        // Fails if no relay is connected. A relay requests the state when it connects.
         let _ = self.outgoing.send(message);
     }
 
-    /// Commits the next revision with the given changes; returns it.
+    /// Commits the given changes as the next revision and returns its number.
     pub fn commit(&self, mut changes: StateUpdate) -> u64 {
         let mut script = self.script();
         changes.from_revision = script.state.revision;
@@ -96,14 +97,14 @@
         script.state.revision
     }
 
-    /// Ends the listener and every connection.
+    /// Closes the listener and all connections.
     #[allow(dead_code)]
     pub async fn kill(mut self) {
         self.tasks.shutdown().await;
     }
 }
 
-/// Keeps the whole state up to date.
+/// Applies `changes` to the full state.
 fn apply(state: &mut StateUpdate, changes: StateUpdate) {
     state.revision = changes.revision;
     state.configuration_version = changes.configuration_version;
@@ -125,11 +126,16 @@
     let mut connections = JoinSet::new();
     loop {
         let (stream, peer) = listener.accept().await.expect("accept");
-        connections.spawn(converse(stream, peer, script.clone(), outgoing.subscribe()));
+        connections.spawn(serve_connection(
+            stream,
+            peer,
+            script.clone(),
+            outgoing.subscribe(),
+        ));
     }
 }
 
-async fn converse(
+async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
     script: Arc<Mutex<Script>>,
--- a/crates/sablehaven-relay/tests/support/mod.rs
+++ b/crates/sablehaven-relay/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Doubles and sample values for the relay's tests.
+//! Test doubles and sample values for the relay's tests.
 #![allow(dead_code)]
 
 pub mod control_double;
@@ -19,8 +19,8 @@
 
 use control_double::{ControlDouble, DEPLOYMENT};
 
-/// Limit of every wait; far above what a busy machine needs.
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of every wait; far longer than a loaded machine needs.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub fn placement() -> Placement {
     Placement {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Changes that set one service and one back end of it.
+/// Changes that set one service and one of its back ends.
 pub fn changes(name: &str, generation: u64) -> StateUpdate {
     let backend = record(
         &format!("{name}-backend"),
@@ -68,7 +68,7 @@
     }
 }
 
-/// A whole state with the given services.
+/// A full state with the given services.
 pub fn full_state(revision: u64, names: &[&str]) -> StateUpdate {
     let mut state = StateUpdate {
         full: true,
@@ -131,7 +131,7 @@
     relay.addresses().internal.expect("listening")
 }
 
-/// A real subscription to the relays in order, interested in the given services.
+/// Starts a real subscription to the relays, in the given order, for the given services.
 pub fn subscribe(name: &str, relays: &[&Handle], interest: &[&str]) -> Subscription {
     let config = sablehaven_subscription::Config {
         relays: relays.iter().map(|relay| address(relay)).collect(),
@@ -163,8 +163,8 @@
     }
 }
 
-/// A bare connection of an agent that has sent its watch.
-pub async fn watch_bare(relay: &Handle, name: &str, revision: u64) -> AgentConnection {
+/// Connects as an agent without a subscription and sends the `Watch` message.
+pub async fn connect_raw(relay: &Handle, name: &str, revision: u64) -> AgentConnection {
     let mut connection: AgentConnection = connect(address(relay), &hello(Role::Agent), Role::Relay)
         .await
         .expect("connect");
@@ -178,29 +178,29 @@
     connection
 }
 
-/// The next message from the relay.
+/// Receives the next message from the relay.
 pub async fn receive(agent: &mut AgentConnection) -> RelayToAgent {
-    timeout(WAIT_LIMIT, agent.reader.receive())
+    timeout(WAIT_TIMEOUT, agent.reader.receive())
         .await
-        .expect("a message in time")
+        .expect("no message before the timeout")
         .expect("receive")
 }
 
 /// Waits until `condition` holds.
-pub async fn until(what: &str, mut condition: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let holds = async {
         while !condition() {
             sleep(Duration::from_millis(2)).await;
         }
     };
-    timeout(WAIT_LIMIT, holds)
+    timeout(WAIT_TIMEOUT, holds)
         .await
-        .unwrap_or_else(|_| panic!("not reached: {what}"));
+        .unwrap_or_else(|_| panic!("timed out waiting until: {what}"));
 }
 
-/// Waits until the subscription has the revision in force and proved to be current.
-pub async fn current_at(subscription: &Subscription, revision: u64) {
-    until("the revision in force and current", || {
+/// Waits until the subscription has the given revision and a current lease.
+pub async fn wait_current_at(subscription: &Subscription, revision: u64) {
+    wait_until("the revision in force and current", || {
         subscription.view().revision == revision && subscription.lease().current
     })
     .await;
