--- a/crates/sablehaven-relay/src/agent/hints.rs
+++ b/crates/sablehaven-relay/src/agent/hints.rs
@@ -9,7 +9,7 @@
 /// Maximum number of cached hints. Further ones are only reported to control.
 const MAX_HINTS: usize = 10_000;
 
-/// Observations of draining back ends that agents learn before control commits the change.
+/// Observations of draining back ends, sent to agents before control has committed the change.
 #[derive(Debug)]
 pub struct HintCache {
     lifetime: Duration,
--- a/crates/sablehaven-relay/src/agent/session.rs
+++ b/crates/sablehaven-relay/src/agent/session.rs
@@ -105,7 +105,7 @@
             let awaits_proof = self.pending_lease_nonce.is_some();
             tokio::select! {
                 received = timeout(receive_limit, self.connection.reader.receive()) => {
-                    let Ok(message) = received else { return Err(self.receive_timeout()) };
+                    let Ok(message) = received else { return Err(self.receive_timeout_error()) };
                     self.handle(message?).await?;
                 }
                 Ok(()) = self.revision.changed() => self.send_update().await?,
@@ -315,7 +315,7 @@
         let limit = Duration::from_millis(self.hub.config.agent_send_timeout_ms);
         let written = timeout(limit, self.connection.writer.feed_encoded(message)).await;
         let Ok(result) = written else {
-            return Err(self.send_timeout());
+            return Err(self.send_timeout_error());
         };
         Ok(result?)
     }
@@ -325,7 +325,7 @@
         let written = timeout(limit, self.connection.writer.flush()).await;
         self.count_bytes();
         let Ok(result) = written else {
-            return Err(self.send_timeout());
+            return Err(self.send_timeout_error());
         };
         Ok(result?)
     }
@@ -366,12 +366,12 @@
         format!("{} at {address}", self.connection.hello.sender)
     }
 
-    fn receive_timeout(&self) -> SessionError {
+    fn receive_timeout_error(&self) -> SessionError {
         let agent = self.agent_name();
         SessionError::ReceiveTimeout { agent }
     }
 
-    fn send_timeout(&self) -> SessionError {
+    fn send_timeout_error(&self) -> SessionError {
         let agent = self.agent_name();
         SessionError::SendTimeout { agent }
     }
--- a/crates/sablehaven-relay/src/control/choice.rs
+++ b/crates/sablehaven-relay/src/control/choice.rs
@@ -4,8 +4,8 @@
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// Maximum number of redirects to a leader that are followed without delay: one after a change of
-/// leader, and one more if the first replica named a replica that has been replaced as leader.
+/// Maximum number of redirects to a leader that are followed without delay: one for a change of
+/// leader, and one for a replica that has not learned of the change yet.
 const MAX_IMMEDIATE_REDIRECTS: u32 = 2;
 
 /// Maximum number of times that the delay is doubled.
--- a/crates/sablehaven-relay/src/handle.rs
+++ b/crates/sablehaven-relay/src/handle.rs
@@ -19,7 +19,7 @@
 /// second.
 const BACKLOG: u32 = 4_096;
 
-/// Interval at which expired state is removed.
+/// Interval at which expired state is removed and the readiness is updated.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time that HTTP connections (health and metrics) have to finish during a planned stop.
@@ -119,7 +119,7 @@
     }
 
     /// Stops the relay gracefully: reports not ready, stops accepting connections, asks the agents
-    /// to move to another relay, delivers the replies to ledger calls in flight, and terminates.
+    /// to move to another relay, delivers the replies to open ledger calls, and terminates.
     pub async fn stop(self) {
         self.telemetry.set_ready(false);
         self.hub.stopping.send_replace(true);
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Waits until every agent has moved. After the grace period, waits only for ledger calls.
+    /// Waits until every agent has moved, at most for `stop_limit_ms`. After `stop_grace_ms`, waits
+    /// only for open ledger calls.
     async fn wait_for_agents(&self) {
         let started = Instant::now();
         let grace = Duration::from_millis(self.hub.config.stop_grace_ms);
@@ -194,7 +195,7 @@
     let router = telemetry.router();
     let task = tokio::spawn(async move {
         if let Err(error) = server.try_serve(router).await {
-            log::error!("serve HTTP on {address}: {error}");
+            log::error!("failed to serve HTTP on {address}: {error}");
         }
     });
     Ok((handle, task))
--- a/crates/sablehaven-relay/src/hub.rs
+++ b/crates/sablehaven-relay/src/hub.rs
@@ -75,7 +75,7 @@
 impl Hub {
     pub(crate) fn new(config: Config, relay: RelayId) -> Self {
         let status_interval = Duration::from_millis(config.status_interval_ms);
-        let forget_after = Duration::from_millis(config.agent_forget_ms);
+        let agent_retention = Duration::from_millis(config.agent_forget_ms);
         let observation_interval = Duration::from_millis(config.observation_interval_ms);
         let ledger_limits = config.ledger_limits();
         let full_update_permits = Semaphore::new(config.concurrent_snapshots as usize);
@@ -91,7 +91,7 @@
             full_update_permits,
             outgoing: Notify::new(),
             distribution: Mutex::default(),
-            directory: Mutex::new(AgentDirectory::new(status_interval, forget_after)),
+            directory: Mutex::new(AgentDirectory::new(status_interval, agent_retention)),
             hints: Mutex::new(HintCache::new(HINT_LIFETIME)),
             observations: Mutex::new(ObservationQueue::new(observation_interval)),
             ledger: Mutex::new(LedgerBatcher::new(ledger_limits)),
--- a/crates/sablehaven-relay/src/lib.rs
+++ b/crates/sablehaven-relay/src/lib.rs
@@ -1,4 +1,4 @@
-//! Distributes committed state from control to agents. A relay stores nothing on disk.
+//! Distributes committed state from control to agents. A relay has no persistent state.
 //!
 //! A relay holds the latest committed state once for all of its agents and watches one control
 //! replica, the leader if there is one. It forwards:
@@ -7,8 +7,9 @@
 //!   agents), hints, ledger replies;
 //! - to control, in batches: agent statuses, observations of back ends, ledger calls.
 //!
-//! The decisions are made by state machines without I/O, which get the current time as an argument: [`RelayState`], [`Distribution`],
-//! [`AgentDirectory`], [`LedgerBatcher`], [`HintCache`], [`ObservationQueue`] and [`ReplicaSelector`].
+//! The decisions are made by state machines that do no I/O and take the current time as an
+//! argument: [`RelayState`], [`Distribution`], [`AgentDirectory`], [`LedgerBatcher`], [`HintCache`],
+//! [`ObservationQueue`] and [`ReplicaSelector`].
 
 mod agent;
 mod config;
--- a/crates/sablehaven-relay/tests/relay.rs
+++ b/crates/sablehaven-relay/tests/relay.rs
@@ -19,7 +19,8 @@
 
 use support::{
     AgentConnection, address, changes, claim, connect_raw, control_double::ControlDouble, draining,
-    full_state, hello, receive, relay_config, start_relay, subscribe, wait_current_at, wait_until,
+    full_state, hello, receive, relay_config, start_relay, subscribe, wait_until,
+    wait_until_current_at,
 };
 
 const SEARCH: &str = "stock.Search";
@@ -61,9 +62,9 @@
     let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let agent = subscribe("agent-1", &[&relay], &[SEARCH]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     let revision = control.commit(changes(SEARCH, 2));
-    wait_current_at(&agent, revision).await;
+    wait_until_current_at(&agent, revision).await;
     wait_until("control receives the acknowledgement", || {
         last_status(&control, "agent-1")
             .flatten()
@@ -88,13 +89,13 @@
         .collect();
     let reserving = subscribe("reserve", &[&relay], &[RESERVE]);
     for agent in searching.iter().chain([&reserving]) {
-        wait_current_at(agent, 10).await;
+        wait_until_current_at(agent, 10).await;
     }
     let encoded = relay.metrics().encoded_updates.get();
     assert!(encoded <= 2, "{encoded} encodings for two interests");
     let revision = control.commit(changes(SEARCH, 2));
     for agent in searching.iter().chain([&reserving]) {
-        wait_current_at(agent, revision).await;
+        wait_until_current_at(agent, revision).await;
     }
     let encoded = relay.metrics().encoded_updates.get() - encoded;
     assert_eq!(encoded, 2, "one encoding for each interest");
@@ -115,14 +116,14 @@
     let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let early = subscribe("early", &[&relay], &[]);
-    wait_current_at(&early, 10).await;
+    wait_until_current_at(&early, 10).await;
     let mut revision = 0;
     for generation in 0..400 {
         revision = control.commit(changes(SEARCH, generation));
     }
-    wait_current_at(&early, revision).await;
+    wait_until_current_at(&early, revision).await;
     let late = subscribe("late", &[&relay], &[]);
-    wait_current_at(&late, revision).await;
+    wait_until_current_at(&late, revision).await;
     assert_eq!(late.metrics().updates.get(), 1);
     assert_eq!(late.metrics().full_updates.get(), 1);
     assert_eq!(*late.view(), *early.view());
@@ -138,7 +139,7 @@
     restarted.lease_timeout_ms = 50_000;
     let restarted = start_relay(restarted).await;
     let agent = subscribe("agent-1", &[&relay, &restarted], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     wait_until("the lagging relay has its state", || {
         restarted.metrics().revision.get() == 5
     })
@@ -175,7 +176,7 @@
     let near = near.await.expect("start");
     let far = start_relay(relay_config(&[&healthy])).await;
     let agent = subscribe("agent-1", &[&near, &far], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     wait_until("the near relay is ready", || telemetry.is_ready()).await;
     cut.script().frozen = true;
     wait_until("the agent moves", || {
@@ -183,7 +184,7 @@
     })
     .await;
     let revision = healthy.commit(changes(SEARCH, 2));
-    wait_current_at(&agent, revision).await;
+    wait_until_current_at(&agent, revision).await;
     wait_until("the near relay is no longer ready", || {
         !telemetry.is_ready()
     })
@@ -192,9 +193,9 @@
     let lease_request = AgentToRelay::RequestLease { nonce: 1 };
     let mut raw = connect_raw(&near, "raw", revision).await;
     raw.writer.send(&lease_request).await.expect("request");
-    let expected_leases = far.metrics().leases.get() + 20;
+    let lease_threshold = far.metrics().leases.get() + 20;
     wait_until("the far relay keeps granting leases", || {
-        far.metrics().leases.get() > expected_leases
+        far.metrics().leases.get() > lease_threshold
     })
     .await;
     assert_eq!(near.metrics().leases.get(), granted);
@@ -208,10 +209,10 @@
     config.lease_timeout_ms = 500;
     let relay = start_relay(config).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     cut.script().frozen = true;
     let revision = healthy.commit(changes(SEARCH, 2));
-    wait_current_at(&agent, revision).await;
+    wait_until_current_at(&agent, revision).await;
 }
 
 #[tokio::test]
@@ -220,7 +221,7 @@
     control.script().lease_ms = 400;
     let relay = start_relay(relay_config(&[&control])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     control.script().frozen = true;
     wait_until("the lease has expired", || !agent.lease().current).await;
     wait_until("the lease is current again", || {
@@ -238,9 +239,9 @@
     follower.script().leader = Some(leader.address);
     let relay = start_relay(relay_config(&[&follower])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     let revision = leader.commit(changes(SEARCH, 2));
-    wait_current_at(&agent, revision).await;
+    wait_until_current_at(&agent, revision).await;
     // Leadership moves back, and the other replica must receive the statuses of the relay's agents.
     follower.script().state = leader.script().state.clone();
     follower.script().leads = true;
@@ -251,7 +252,7 @@
     })
     .await;
     let revision = follower.commit(changes(SEARCH, 3));
-    wait_current_at(&agent, revision).await;
+    wait_until_current_at(&agent, revision).await;
 }
 
 #[tokio::test]
@@ -285,9 +286,9 @@
     let second = start_control(12).await;
     let relay = start_relay(relay_config(&[&first, &second])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     first.kill().await;
-    wait_current_at(&agent, 12).await;
+    wait_until_current_at(&agent, 12).await;
     let is_resume =
         |message: &RelayToControl| matches!(message, RelayToControl::Watch { revision: 10, .. });
     assert!(second.script().received.iter().any(is_resume));
@@ -298,14 +299,14 @@
     let control = start_control(10).await;
     let relay = start_relay(relay_config(&[&control])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     control.script().state.revision = 14;
     let mut skipping = changes(SEARCH, 5);
     skipping.from_revision = 13;
     skipping.revision = 14;
     skipping.configuration_version = 14;
     control.send(ControlToRelay::Update(skipping));
-    wait_current_at(&agent, 14).await;
+    wait_until_current_at(&agent, 14).await;
 }
 
 #[tokio::test]
@@ -318,7 +319,7 @@
         .map(|number| subscribe(&format!("agent-{number}"), &[&relay], &[]))
         .collect();
     for agent in &agents {
-        wait_current_at(agent, 10).await;
+        wait_until_current_at(agent, 10).await;
     }
     let calls: Vec<_> = agents.iter().map(call_in_background).collect();
     for call in calls {
@@ -337,7 +338,7 @@
     config.ledger_timeout_ms = CALL_TIMEOUT.as_millis() as u64;
     let relay = start_relay(config).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     let call = call_in_background(&agent);
     wait_until("the call arrives", || ledger_calls(&first) == 1).await;
     first.kill().await;
@@ -361,7 +362,7 @@
     first.script().answers_ledger = false;
     let relay = start_relay(relay_config(&[&first, &second])).await;
     let agent = subscribe("agent-1", &[&relay], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     let call = call_in_background(&agent);
     wait_until("the call arrives", || ledger_calls(&first) == 1).await;
     first.send(ControlToRelay::GoAway);
@@ -395,7 +396,7 @@
     let relay = start_relay(relay_config(&[&control])).await;
     let fast = subscribe("fast", &[&relay], &[]);
     let mut slow = connect_raw(&relay, "slow", 0).await;
-    wait_current_at(&fast, 10).await;
+    wait_until_current_at(&fast, 10).await;
     let mut revision = 0;
     for round in 0..100 {
         let schema = SchemaSource {
@@ -457,7 +458,7 @@
     let other = subscribe("other", &[&relay], &[SEARCH]);
     let elsewhere = subscribe("elsewhere", &[&relay], &[RESERVE]);
     for agent in [&observer, &other, &elsewhere] {
-        wait_current_at(agent, 10).await;
+        wait_until_current_at(agent, 10).await;
     }
     let backend = format!("{SEARCH}-backend");
     observer.observe(draining(&backend, SEARCH, 1));
@@ -493,7 +494,7 @@
     let near = start_relay(relay_config(&[&control])).await;
     let far = start_relay(relay_config(&[&control])).await;
     let agent = subscribe("agent-1", &[&near, &far], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     let call = call_in_background(&agent);
     wait_until("the call arrives", || ledger_calls(&control) == 1).await;
     let stopping = tokio::spawn(near.stop());
@@ -505,7 +506,7 @@
     assert_eq!(call.await.expect("call"), LedgerReply::Recorded);
     stopping.await.expect("stop");
     let revision = control.commit(changes(SEARCH, 2));
-    wait_current_at(&agent, revision).await;
+    wait_until_current_at(&agent, revision).await;
     assert_eq!(agent.metrics().session_errors.get(), 0);
 }
 
@@ -557,11 +558,11 @@
     let relay = start_relay(config).await;
     let mut other_deployment = hello(Role::Agent);
     other_deployment.deployment = "tareas".to_owned();
-    let refused: Result<AgentConnection, _> =
+    let rejected: Result<AgentConnection, _> =
         connect(address(&relay), &other_deployment, Role::Relay).await;
-    assert!(matches!(refused, Err(WireError::Refused { .. })));
+    assert!(matches!(rejected, Err(WireError::Refused { .. })));
     let agent = subscribe("agent-1", &[&relay], &[]);
-    wait_current_at(&agent, 10).await;
+    wait_until_current_at(&agent, 10).await;
     let second: Result<AgentConnection, _> =
         connect(address(&relay), &hello(Role::Agent), Role::Relay).await;
     assert!(second.is_err());
--- a/crates/sablehaven-relay/tests/state.rs
+++ b/crates/sablehaven-relay/tests/state.rs
@@ -93,8 +93,8 @@
     let update = state.update_from(10, &interest(&[])).expect("an update");
     assert!(!update.full);
     assert_eq!(update.services.len(), 1);
-    let gone = [("stock.Reserve-backend".into(), None)].into();
-    assert_eq!(update.backends, gone);
+    let removed = [("stock.Reserve-backend".into(), None)].into();
+    assert_eq!(update.backends, removed);
 }
 
 #[test]
@@ -150,12 +150,16 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..3usize, 0..4u64).prop_map(|(name, generation)| Step::SetService(name, generation)),
+        (0..3usize, 0..4u64)
+            .prop_map(|(service, generation)| Step::SetService(service, generation)),
         (0..3usize).prop_map(Step::RemoveService),
-        (0..5u8, 0..3usize, 0..4u64)
-            .prop_map(|(id, name, start)| Step::SetBackend(id, name, start)),
+        (0..5u8, 0..3usize, 0..4u64).prop_map(|(id, service, incarnation)| Step::SetBackend(
+            id,
+            service,
+            incarnation
+        )),
         (0..5u8).prop_map(Step::RemoveBackend),
-        (0..3usize, 0..4u32).prop_map(|(name, count)| Step::SetCount(name, count)),
+        (0..3usize, 0..4u32).prop_map(|(service, count)| Step::SetCount(service, count)),
         (1..4u8).prop_map(Step::FullState),
         (0..4usize).prop_map(Step::SyncAgent),
     ]
@@ -171,25 +175,25 @@
     fn change(&mut self, step: &Step) -> StateUpdate {
         let mut update = StateUpdate::default();
         match step {
-            Step::SetService(name, generation) => {
-                let key = SERVICES[*name].into();
+            Step::SetService(index, generation) => {
+                let key = SERVICES[*index].into();
                 update.services.insert(key, Some(service(*generation)));
             }
-            Step::RemoveService(name) => {
-                update.services.insert(SERVICES[*name].into(), None);
+            Step::RemoveService(index) => {
+                update.services.insert(SERVICES[*index].into(), None);
             }
-            Step::SetBackend(id, name, start) => {
+            Step::SetBackend(id, index, incarnation) => {
                 let id = format!("backend-{id}");
-                let backend = record(&id, SERVICES[*name], *start, BackendState::Live);
+                let backend = record(&id, SERVICES[*index], *incarnation, BackendState::Live);
                 update.backends.insert(backend.id.clone(), Some(backend));
             }
             Step::RemoveBackend(id) => {
                 update.backends.insert(format!("backend-{id}").into(), None);
             }
-            Step::SetCount(name, count) => {
+            Step::SetCount(index, count) => {
                 update
                     .agents_per_service
-                    .insert(SERVICES[*name].into(), *count);
+                    .insert(SERVICES[*index].into(), *count);
             }
             Step::FullState(_) | Step::SyncAgent(_) => {}
         }
@@ -211,8 +215,8 @@
         let mut backends: BTreeMap<ServiceName, Vec<BackendRecord>> = BTreeMap::new();
         for record in self.state.backends.values().flatten() {
             if interest.includes(&record.service) {
-                let of_service = backends.entry(record.service.clone()).or_default();
-                of_service.push(record.clone());
+                let service_backends = backends.entry(record.service.clone()).or_default();
+                service_backends.push(record.clone());
             }
         }
         backends
@@ -279,8 +283,8 @@
         for step in &steps {
             match step {
                 Step::SyncAgent(agent) => sync(&relay, &model, *agent),
-                Step::FullState(missed) => {
-                    for number in 0..*missed {
+                Step::FullState(change_count) => {
+                    for number in 0..*change_count {
                         model.change(&Step::SetBackend(number, usize::from(number) % 3, 9));
                     }
                     let full = StateUpdate { full: true, ..model.state.clone() };
--- a/crates/sablehaven-relay/tests/support/mod.rs
+++ b/crates/sablehaven-relay/tests/support/mod.rs
@@ -199,8 +199,8 @@
 }
 
 /// Waits until the subscription has the given revision and a current lease.
-pub async fn wait_current_at(subscription: &Subscription, revision: u64) {
-    wait_until("the revision in force and current", || {
+pub async fn wait_until_current_at(subscription: &Subscription, revision: u64) {
+    wait_until("the agent has the revision and a current lease", || {
         subscription.view().revision == revision && subscription.lease().current
     })
     .await;
--- a/crates/sablehaven-relay/tests/upward.rs
+++ b/crates/sablehaven-relay/tests/upward.rs
@@ -161,16 +161,16 @@
     ) {
         let mut batcher = LedgerBatcher::new(LIMITS);
         let mut now = Duration::ZERO;
-        let mut last_call = 0;
+        let mut last_call_id = 0;
         let mut open = std::collections::BTreeSet::new();
         let mut sent = Vec::new();
         for step in steps {
             let mut replies = Vec::new();
             match step {
                 Step::Add(session) => {
-                    last_call += 1;
-                    if batcher.add(session, last_call, claim(last_call), now).is_ok() {
-                        open.insert((session, last_call));
+                    last_call_id += 1;
+                    if batcher.add(session, last_call_id, claim(last_call_id), now).is_ok() {
+                        open.insert((session, last_call_id));
                     }
                 }
                 Step::TakeBatch(link) => {
@@ -195,7 +195,10 @@
                 }
             }
             for reply in replies {
-                prop_assert!(open.remove(&(reply.session, reply.call)), "{reply:?} was delivered twice");
+                prop_assert!(
+                    open.remove(&(reply.session, reply.call)),
+                    "{reply:?} was delivered twice"
+                );
             }
             prop_assert_eq!(batcher.open_call_count(), open.len());
         }
@@ -210,8 +213,8 @@
     let mut unreachable = draining("depot-2", "stock.Search", 1);
     unreachable.kind = ObservationKind::Unreachable;
     for agent in ["agent-1", "agent-2", "agent-3"] {
-        let report = draining("depot-1", "stock.Search", 1);
-        queue.add(&agent.into(), report, milliseconds(0));
+        let observation = draining("depot-1", "stock.Search", 1);
+        queue.add(&agent.into(), observation, milliseconds(0));
         queue.add(&agent.into(), unreachable.clone(), milliseconds(0));
         queue.add(&agent.into(), unreachable.clone(), milliseconds(0));
     }
@@ -231,25 +234,25 @@
     let mut state = RelayState::default();
     state.apply(full_state(1, &["stock.Search"]));
     let mut hints = HintCache::new(milliseconds(10_000));
-    let report = draining("stock.Search-backend", "stock.Search", 1);
+    let observation = draining("stock.Search-backend", "stock.Search", 1);
     let now = milliseconds(0);
-    assert!(hints.insert(&report, &state, now));
-    assert!(!hints.insert(&report, &state, now), "already cached");
+    assert!(hints.insert(&observation, &state, now));
+    assert!(!hints.insert(&observation, &state, now), "already cached");
     let unknown = draining("depot-9", "stock.Search", 1);
     assert!(!hints.insert(&unknown, &state, now));
     let interest = Interest::new(["stock.Search".into()].into());
     let other = Interest::new(["stock.Reserve".into()].into());
     assert_eq!(hints.matching(&interest).len(), 1);
     assert!(hints.matching(&other).is_empty());
-    let mut whole = full_state(2, &["stock.Search"]);
+    let mut update = full_state(2, &["stock.Search"]);
     let leaving = record(
         "stock.Search-backend",
         "stock.Search",
         1,
         BackendState::Leaving,
     );
-    whole.backends.insert(leaving.id.clone(), Some(leaving));
-    state.apply(whole);
+    update.backends.insert(leaving.id.clone(), Some(leaving));
+    state.apply(update);
     hints.prune(&state, now);
     assert!(hints.matching(&interest).is_empty());
 }
