--- a/crates/sablehaven-relay/src/control/link.rs
+++ b/crates/sablehaven-relay/src/control/link.rs
@@ -12,8 +12,8 @@
 
 use crate::{
     control::{
-        choice::{LinkEnd, ReplicaSelector},
         ledger::LinkId,
+        replica_selector::{LinkEnd, ReplicaSelector},
     },
     hub::Hub,
 };
--- a/crates/sablehaven-relay/src/lib.rs
+++ b/crates/sablehaven-relay/src/lib.rs
@@ -26,9 +26,9 @@
 };
 pub use config::Config;
 pub use control::{
-    choice::{LinkEnd, ReplicaSelector},
     ledger::{FinishedCall, LedgerBatcher, LedgerLimits, TooManyCalls},
     observations::ObservationQueue,
+    replica_selector::{LinkEnd, ReplicaSelector},
 };
 pub use handle::{Handle, StartError, start};
 pub use metrics::RelayMetrics;
