--- a/crates/sablehaven-relay/src/agent/directory.rs
+++ b/crates/sablehaven-relay/src/agent/directory.rs
@@ -23,6 +23,7 @@
     report_interval: Duration,
     retention: Duration,
     agents: BTreeMap<AgentId, AgentEntry>,
+    /// Agents whose status has changed since the last report.
     unreported: BTreeSet<AgentId>,
     next_report_at: Duration,
 }
@@ -34,6 +35,7 @@
     placement: Placement,
     interest: Interest,
     lease: Option<LeaseProof>,
+    /// Whether the last report to control said that the agent may hold a lease.
     reported_lease_held: bool,
     disconnected_at: Option<Duration>,
 }
--- a/crates/sablehaven-relay/src/agent/session.rs
+++ b/crates/sablehaven-relay/src/agent/session.rs
@@ -49,6 +49,7 @@
 
 type AgentConnection = Connection<AgentToRelay, RelayToAgent>;
 
+/// The connection of one agent, together with its subscriptions to the shared state.
 struct Session {
     hub: Arc<Hub>,
     id: SessionId,
@@ -59,9 +60,12 @@
     proof: watch::Receiver<Option<LeaseProof>>,
     stopping: watch::Receiver<bool>,
     watch: Option<WatchState>,
+    /// The nonce of a lease request that waits for a fresh proof.
     pending_lease_nonce: Option<u64>,
     has_left: bool,
+    /// Received bytes that the metrics already include.
     counted_received_bytes: u64,
+    /// Sent bytes that the metrics already include.
     counted_sent_bytes: u64,
 }
 
--- a/crates/sablehaven-relay/src/control/ledger.rs
+++ b/crates/sablehaven-relay/src/control/ledger.rs
@@ -60,6 +60,7 @@
 struct Call {
     session: SessionId,
     agent_call_id: u64,
+    /// `None` once the call has been sent.
     request: Option<LedgerRequest>,
     arrived_at: Duration,
     sent_on_link: Option<LinkId>,
--- a/crates/sablehaven-relay/src/control/link.rs
+++ b/crates/sablehaven-relay/src/control/link.rs
@@ -44,6 +44,7 @@
     },
 }
 
+/// A connection to one control replica.
 struct Link {
     hub: Arc<Hub>,
     id: LinkId,
@@ -53,7 +54,9 @@
     /// Whether the replica has proved that it is the leader.
     is_leader: bool,
     last_proof_at: Duration,
+    /// Received bytes that the metrics already include.
     counted_received_bytes: u64,
+    /// Sent bytes that the metrics already include.
     counted_sent_bytes: u64,
 }
 
@@ -341,7 +344,7 @@
     }
 }
 
-/// Waits until something is due to be sent to the leader. Cancel safe, since it takes nothing from
+/// Waits until something is due to be sent to the leader. Cancel safe, since nothing is removed from
 /// the queues.
 async fn outgoing_due(hub: &Hub) {
     loop {
--- a/crates/sablehaven-relay/src/hub.rs
+++ b/crates/sablehaven-relay/src/hub.rs
@@ -21,8 +21,8 @@
     control::ledger::{FinishedCall, LedgerBatcher, LinkId},
 };
 
-/// Maximum number of hints queued for a slow agent. It misses the oldest ones and learns of the
-/// changes from an update.
+/// Maximum number of hints queued for a slow agent. Further hints replace the oldest ones, and the
+/// agent learns of those changes from an update.
 const HINT_CHANNEL_CAPACITY: usize = 1_024;
 
 /// Time for which a hint is sent to newly connected agents.
--- a/crates/sablehaven-relay/src/metrics.rs
+++ b/crates/sablehaven-relay/src/metrics.rs
@@ -32,7 +32,7 @@
     pub agent_errors: Counter,
     /// Agents rejected because too many are connected.
     pub agents_refused: Counter,
-    /// Hints sent to agents.
+    /// Hints broadcast to agents. A hint counts once, however many agents receive it.
     pub hints: Counter,
     /// Ledger calls received from agents.
     pub ledger_calls: Counter,
@@ -101,7 +101,7 @@
                 "Agents rejected because too many are connected",
                 &self.agents_refused,
             ),
-            ("hints", "Hints sent to agents", &self.hints),
+            ("hints", "Hints broadcast to agents", &self.hints),
             (
                 "ledger_calls",
                 "Ledger calls received from agents",
--- a/crates/sablehaven-relay/tests/relay.rs
+++ b/crates/sablehaven-relay/tests/relay.rs
@@ -53,8 +53,8 @@
 }
 
 fn call_in_background(subscription: &Subscription) -> tokio::task::JoinHandle<LedgerReply> {
-    let calling = subscription.clone();
-    tokio::spawn(async move { calling.ledger(claim(1), CALL_TIMEOUT).await })
+    let caller = subscription.clone();
+    tokio::spawn(async move { caller.ledger(claim(1), CALL_TIMEOUT).await })
 }
 
 #[tokio::test]
