--- a/crates/sablehaven-control/src/driver/run.rs
+++ b/crates/sablehaven-control/src/driver/run.rs
@@ -7,7 +7,7 @@
 };
 
 use sablehaven_consensus::{Ready, Replica, ReplicaId, Restored};
-use sablehaven_storage::{GroupWrite, Opened, SnapshotWriter};
+use sablehaven_storage::{GroupWrite, OpenedStorage, SnapshotWriter};
 use sablehaven_wire::SuspensionClock;
 use tokio::{
     sync::{mpsc, watch},
@@ -42,7 +42,7 @@
 /// The components from which the driver is built.
 pub(crate) struct DriverParts {
     pub(crate) config: Arc<Config>,
-    pub(crate) opened: Opened,
+    pub(crate) opened: OpenedStorage,
     pub(crate) state: SharedStateHandle,
     pub(crate) handle: DriverHandle,
     pub(crate) inputs: mpsc::Receiver<Input>,
--- a/crates/sablehaven-control/src/server/start.rs
+++ b/crates/sablehaven-control/src/server/start.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use sablehaven_storage::{Disk, Opened, RealDisk, Storage};
+use sablehaven_storage::{Disk, OpenedStorage, RealDisk, Storage};
 use sablehaven_telemetry::Telemetry;
 use sablehaven_types::BoundAddresses;
 use sablehaven_wire::SuspensionClock;
@@ -167,7 +167,10 @@
 }
 
 /// Opens the storage on a blocking thread, because this reads the whole log.
-async fn open_storage(config: Arc<Config>, disk: Arc<dyn Disk>) -> Result<Opened, StartError> {
+async fn open_storage(
+    config: Arc<Config>,
+    disk: Arc<dyn Disk>,
+) -> Result<OpenedStorage, StartError> {
     let open = move || Storage::open(&config.data_folder, disk, config.storage());
     match tokio::task::spawn_blocking(open).await {
         Ok(opened) => opened.map_err(|source| StartError::Storage { source }),
@@ -180,7 +183,7 @@
 /// Creates the components of the replica and connects them. No task runs yet.
 fn assemble(
     config: Arc<Config>,
-    opened: Opened,
+    opened: OpenedStorage,
     own_addresses: ReplicaAddresses,
     telemetry: &Telemetry,
 ) -> Result<AssembledParts, StartError> {
--- a/crates/sablehaven-storage/examples/storage_bench/append.rs
+++ b/crates/sablehaven-storage/examples/storage_bench/append.rs
@@ -52,33 +52,33 @@
                 ..options()
             },
         )?;
-        let plain = File::create(scratch.join(format!("plain-{size}-{allocation_bytes}")))?;
-        measure_size(storage.storage, &plain, size, rounds, batches)?;
+        let baseline = File::create(scratch.join(format!("plain-{size}-{allocation_bytes}")))?;
+        measure_size(storage.storage, &baseline, size, rounds, batches)?;
     }
     Ok(())
 }
 
 fn measure_size(
     mut storage: Storage,
-    plain: &File,
+    baseline: &File,
     size: u64,
     rounds: usize,
     batches: u64,
 ) -> Result<(), Box<dyn Error>> {
-    let mut plain_length = 0;
-    let (mut rates, mut plain_rates, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
+    let mut baseline_length = 0;
+    let (mut rates, mut baseline_rates, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
     let mut next_index = 1;
     // One round more than asked for: the first warms both up and is not counted.
     for round in 0..=rounds {
         let bytes_before = storage.counters().log_bytes;
-        let took = append(&mut storage, &mut next_index, size, batches)?;
+        let elapsed = append(&mut storage, &mut next_index, size, batches)?;
         let bytes = (storage.counters().log_bytes - bytes_before) / batches;
-        let plain_took = append_plainly(plain, &mut plain_length, bytes, batches)?;
+        let baseline_elapsed = append_baseline(baseline, &mut baseline_length, bytes, batches)?;
         if round > 0 {
             let records = (size * batches) as f64;
-            rates.push(records / took.as_secs_f64());
-            plain_rates.push(records / plain_took.as_secs_f64());
-            ratios.push(plain_took.as_secs_f64() / took.as_secs_f64());
+            rates.push(records / elapsed.as_secs_f64());
+            baseline_rates.push(records / baseline_elapsed.as_secs_f64());
+            ratios.push(baseline_elapsed.as_secs_f64() / elapsed.as_secs_f64());
         }
     }
     let counters = storage.counters();
@@ -87,9 +87,9 @@
     let bytes = counters.log_bytes / counters.log_syncs;
     let ratio = median(&ratios);
     let (lower, upper) = (ratios[ratios.len() / 4], ratios[ratios.len() * 3 / 4]);
-    let (rate, plain_rate) = (median(&rates), median(&plain_rates));
+    let (rate, baseline_rate) = (median(&rates), median(&baseline_rates));
     println!(
-        "| {size} | {syncs:.4} | {bytes} | {rate:.0} | {plain_rate:.0} | {ratio:.2} | {lower:.2} to {upper:.2} |"
+        "| {size} | {syncs:.4} | {bytes} | {rate:.0} | {baseline_rate:.0} | {ratio:.2} | {lower:.2} to {upper:.2} |"
     );
     Ok(())
 }
@@ -101,15 +101,15 @@
     size: u64,
     batches: u64,
 ) -> Result<Duration, Box<dyn Error>> {
-    let mut took = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for _ in 0..batches {
         let batch = batch(*next_index, size);
         *next_index += size.div_ceil(GROUPS);
         let begin = Instant::now();
         storage.write(&batch)?;
-        took += begin.elapsed();
+        elapsed += begin.elapsed();
     }
-    Ok(took)
+    Ok(elapsed)
 }
 
 fn batch(first_index: u64, size: u64) -> Vec<GroupWrite> {
@@ -127,8 +127,8 @@
 /// An entry whose command is different for each index.
 pub fn entry(index: u64) -> Entry {
     let mut command = vec![0; COMMAND_BYTES];
-    for (place, byte) in command.iter_mut().enumerate() {
-        *byte = (index as usize * 31 + place * 7) as u8;
+    for (position, byte) in command.iter_mut().enumerate() {
+        *byte = (index as usize * 31 + position * 7) as u8;
     }
     Entry {
         index,
@@ -138,7 +138,7 @@
 }
 
 /// The least that any log must do: write the bytes after the last ones, then sync.
-fn append_plainly(
+fn append_baseline(
     file: &File,
     length: &mut u64,
     bytes: u64,
--- a/crates/sablehaven-storage/examples/storage_bench/main.rs
+++ b/crates/sablehaven-storage/examples/storage_bench/main.rs
@@ -13,7 +13,7 @@
 };
 
 use clap::{Arg, Command, value_parser};
-use sablehaven_storage::{Opened, Options, RealDisk, Storage, StorageError};
+use sablehaven_storage::{OpenedStorage, Options, RealDisk, Storage, StorageError};
 
 fn main() -> Result<(), Box<dyn Error>> {
     let arguments = command().get_matches();
@@ -62,10 +62,10 @@
 }
 
 /// Opens a data folder with the default settings.
-fn open(folder: &Path) -> Result<Opened, StorageError> {
+fn open(folder: &Path) -> Result<OpenedStorage, StorageError> {
     open_with(folder, options())
 }
 
-fn open_with(folder: &Path, options: Options) -> Result<Opened, StorageError> {
+fn open_with(folder: &Path, options: Options) -> Result<OpenedStorage, StorageError> {
     Storage::open(folder, Arc::new(RealDisk), options)
 }
--- a/crates/sablehaven-storage/examples/storage_bench/recovery.rs
+++ b/crates/sablehaven-storage/examples/storage_bench/recovery.rs
@@ -9,10 +9,10 @@
 
 use crate::{append::entry, open};
 
-const LOG_RECORDS: [u64; 5] = [10_000, 50_000, 100_000, 250_000, 500_000];
+const LOG_RECORD_COUNTS: [u64; 5] = [10_000, 50_000, 100_000, 250_000, 500_000];
 const SNAPSHOT_MEBIBYTES: [usize; 5] = [1, 16, 64, 128, 256];
 /// How many entries a batch has while the log is filled.
-const FILL_BATCH: u64 = 500;
+const ENTRIES_PER_FILL_BATCH: u64 = 500;
 const MEBIBYTE: usize = 1024 * 1024;
 
 /// Prints recovery times against the number of records in the log, and their line.
@@ -21,18 +21,18 @@
     println!("| records | log, MiB | open, ms |");
     println!("|---|---|---|");
     let mut points = Vec::new();
-    for records in LOG_RECORDS {
+    for records in LOG_RECORD_COUNTS {
         let folder = scratch.join(format!("log-{records}"));
-        let bytes = fill(&folder, records)?;
-        let time = opening_ms(&folder, rounds)?;
+        let bytes = fill_log(&folder, records)?;
+        let time_ms = median_open_ms(&folder, rounds)?;
         println!(
-            "| {records} | {:.1} | {time:.1} |",
+            "| {records} | {:.1} | {time_ms:.1} |",
             bytes as f64 / MEBIBYTE as f64
         );
-        points.push((records as f64 / 1000.0, time));
+        points.push((records as f64 / 1000.0, time_ms));
         std::fs::remove_dir_all(&folder)?;
     }
-    print_line(&points, "1,000 records");
+    print_fit(&points, "1,000 records");
     Ok(())
 }
 
@@ -44,21 +44,21 @@
     let mut points = Vec::new();
     for mebibytes in SNAPSHOT_MEBIBYTES {
         let folder = scratch.join(format!("snapshot-{mebibytes}"));
-        let write = store_snapshot(&folder, mebibytes)?;
-        let time = opening_ms(&folder, rounds)?;
-        println!("| {mebibytes} | {write:.1} | {time:.1} |");
-        points.push((mebibytes as f64, time));
+        let write_ms = write_snapshot(&folder, mebibytes)?;
+        let time_ms = median_open_ms(&folder, rounds)?;
+        println!("| {mebibytes} | {write_ms:.1} | {time_ms:.1} |");
+        points.push((mebibytes as f64, time_ms));
         std::fs::remove_dir_all(&folder)?;
     }
-    print_line(&points, "MiB");
+    print_fit(&points, "MiB");
     Ok(())
 }
 
-fn fill(folder: &Path, records: u64) -> Result<u64, Box<dyn Error>> {
+fn fill_log(folder: &Path, records: u64) -> Result<u64, Box<dyn Error>> {
     let mut storage = open(folder)?.storage;
     let mut index = 1;
     while index <= records {
-        let end = (index + FILL_BATCH).min(records + 1);
+        let end = (index + ENTRIES_PER_FILL_BATCH).min(records + 1);
         let write = GroupWrite {
             entries: (index..end).map(entry).collect(),
             ..GroupWrite::default()
@@ -69,8 +69,8 @@
     Ok(storage.counters().log_bytes)
 }
 
-fn store_snapshot(folder: &Path, mebibytes: usize) -> Result<f64, Box<dyn Error>> {
-    fill(folder, 1)?;
+fn write_snapshot(folder: &Path, mebibytes: usize) -> Result<f64, Box<dyn Error>> {
+    fill_log(folder, 1)?;
     let mut storage = open(folder)?.storage;
     let metadata = SnapshotMetadata {
         index: 1,
@@ -78,25 +78,25 @@
         ..SnapshotMetadata::default()
     };
     let data = (0..mebibytes * MEBIBYTE)
-        .map(|place| (place * 31) as u8)
+        .map(|position| (position * 31) as u8)
         .collect();
     let begin = Instant::now();
     storage.compact(0, &Snapshot { metadata, data })?;
     Ok(begin.elapsed().as_secs_f64() * 1000.0)
 }
 
-fn opening_ms(folder: &Path, rounds: usize) -> Result<f64, Box<dyn Error>> {
-    let mut times = Vec::new();
+fn median_open_ms(folder: &Path, rounds: usize) -> Result<f64, Box<dyn Error>> {
+    let mut times_ms = Vec::new();
     for _ in 0..rounds {
         let begin = Instant::now();
         let opened = open(folder)?;
-        times.push(begin.elapsed().as_secs_f64() * 1000.0);
+        times_ms.push(begin.elapsed().as_secs_f64() * 1000.0);
         drop(opened);
     }
-    Ok(median(&times))
+    Ok(median(&times_ms))
 }
 
-fn print_line(points: &[(f64, f64)], unit: &str) {
+fn print_fit(points: &[(f64, f64)], unit: &str) {
     let Some(line) = fit_pairs(points) else {
         return;
     };
--- a/crates/sablehaven-storage/src/commit.rs
+++ b/crates/sablehaven-storage/src/commit.rs
@@ -10,7 +10,7 @@
     group_state::GroupState,
     manifest::Manifest,
     names,
-    record::{Record, RecordEntry, RecordSnapshot, RecordWrite, SegmentStart},
+    record::{Record, RecordEntry, RecordSnapshot, RecordWrite, SegmentHeader},
     scan::SegmentSummary,
     segment, snapshot_file,
     snapshot_writer::PreparedSnapshot,
@@ -62,11 +62,11 @@
         // crash would leave a reference to a file that is not there.
         self.write_snapshots(batch, record)?;
         if self.is_full(&frame) {
-            self.begin_segment()?;
+            self.rotate_segment()?;
         }
         self.append(frame)?;
-        let replaced = self.replaced_snapshots(record);
-        self.take_over(record);
+        let replaced = self.replaced_snapshot_files(record);
+        self.apply_record(record);
         // Only what is durable may make anything superfluous, so removal comes last.
         for name in replaced {
             self.folder.remove(&name)?;
@@ -81,7 +81,7 @@
     }
 
     /// Checks that a snapshot of this replica's own state stands at a stored entry.
-    pub(crate) fn check_covers_entries(
+    pub(crate) fn check_snapshot_position(
         &self,
         group: u32,
         metadata: &SnapshotMetadata,
@@ -152,15 +152,15 @@
 
     fn is_full(&self, frame: &[u8]) -> bool {
         let active = &self.active.summary;
-        let length = active.length + frame.len() as u64;
+        let length = active.records_end + frame.len() as u64;
         active.records > 0 && length > self.options.segment_bytes
     }
 
     /// Closes the active segment and begins the next one.
-    fn begin_segment(&mut self) -> Result<(), StorageError> {
+    fn rotate_segment(&mut self) -> Result<(), StorageError> {
         let number = self.manifest.last_segment + 1;
         let groups = self.groups.iter();
-        let start = SegmentStart {
+        let header = SegmentHeader {
             replica: self.identity.replica,
             number,
             first_sequence: self.next_sequence,
@@ -171,7 +171,7 @@
         // The order must hold: the segment is durable before the manifest names it, and the
         // manifest is durable before a record is acknowledged in it. Otherwise a crash could leave
         // a manifest that names no file, or acknowledged records that nothing names.
-        let length = segment::begin(&self.folder, &start)?;
+        let header_end = segment::create(&self.folder, &header)?;
         let manifest = Manifest {
             last_segment: number,
             ..self.manifest
@@ -180,13 +180,13 @@
         self.manifest = manifest;
         let summary = SegmentSummary {
             number,
-            length,
+            records_end: header_end,
             ..SegmentSummary::default()
         };
         let next = ActiveSegment {
             file: self.folder.open_file(&names::segment(number))?,
             summary,
-            allocated: length,
+            allocated_bytes: header_end,
         };
         let closed = std::mem::replace(&mut self.active, next);
         self.closed.push_back(closed.summary);
@@ -199,17 +199,17 @@
         let frame_bytes = frame.len() as u64;
         self.allocate(&mut frame);
         let active = &mut self.active;
-        active.file.write_at(active.summary.length, &frame)?;
+        active.file.write_at(active.summary.records_end, &frame)?;
         active.file.sync()?;
-        active.summary.length += frame_bytes;
+        active.summary.records_end += frame_bytes;
         active.summary.records += 1;
         self.next_sequence += 1;
         self.counters.records += 1;
         self.counters.log_bytes += frame_bytes;
         self.counters.log_syncs += 1;
-        self.synced.write(SyncedPosition {
+        self.synced_position.write(SyncedPosition {
             segment: active.summary.number,
-            length: active.summary.length,
+            synced_bytes: active.summary.records_end,
         })
     }
 
@@ -217,18 +217,18 @@
     /// as far as the segment may grow.
     fn allocate(&mut self, frame: &mut Vec<u8>) {
         let active = &mut self.active;
-        let end = active.summary.length + frame.len() as u64;
-        if end <= active.allocated {
+        let end = active.summary.records_end + frame.len() as u64;
+        if end <= active.allocated_bytes {
             return;
         }
         let wanted = end + self.options.allocation_bytes;
-        active.allocated = wanted.min(self.options.segment_bytes).max(end);
-        let added = active.allocated - end;
+        active.allocated_bytes = wanted.min(self.options.segment_bytes).max(end);
+        let added = active.allocated_bytes - end;
         frame.resize(frame.len() + added as usize, 0);
     }
 
     /// The files of the snapshots that a record replaces.
-    fn replaced_snapshots(&self, record: &Record<'_>) -> Vec<String> {
+    fn replaced_snapshot_files(&self, record: &Record<'_>) -> Vec<String> {
         let with_snapshot = record
             .writes
             .iter()
@@ -240,8 +240,8 @@
         replaced.collect()
     }
 
-    fn take_over(&mut self, record: &Record<'_>) {
-        self.active.summary.note(record);
+    fn apply_record(&mut self, record: &Record<'_>) {
+        self.active.summary.add_record(record);
         for write in &record.writes {
             self.counters.snapshots += u64::from(write.snapshot.is_some());
             self.groups.entry(write.group).or_default().apply(write);
@@ -274,7 +274,7 @@
     }
 
     fn is_covered(&self, segment: &SegmentSummary) -> bool {
-        let mut highest = segment.highest.iter();
+        let mut highest = segment.highest_indexes.iter();
         highest.all(|(group, highest)| *highest <= self.snapshot_index(*group))
     }
 }
--- a/crates/sablehaven-storage/src/error.rs
+++ b/crates/sablehaven-storage/src/error.rs
@@ -4,7 +4,7 @@
 
 /// What storage was doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum Step {
+pub enum StorageOperation {
     /// create data folder
     CreateFolder,
     /// lock data folder
@@ -36,10 +36,10 @@
 /// Errors of storage.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StorageError {
-    /// {step} {path}: {source}
+    /// {operation} {path}: {source}
     Disk {
         /// The step that failed.
-        step: Step,
+        operation: StorageOperation,
         /// The file or folder.
         path: PathBuf,
         /// The cause; [`io::ErrorKind::StorageFull`] when the disk is full.
--- a/crates/sablehaven-storage/src/folder.rs
+++ b/crates/sablehaven-storage/src/folder.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     disk::{Disk, DiskFile, DiskLock},
-    error::{Step, StorageError},
+    error::{StorageError, StorageOperation},
     format::FormatError,
     names,
 };
@@ -41,7 +41,7 @@
 
     pub(crate) fn create(&self) -> Result<(), StorageError> {
         let result = self.disk.create_folder(&self.path);
-        result.map_err(|source| disk_error(Step::CreateFolder, &self.path, source))
+        result.map_err(|source| disk_error(StorageOperation::CreateFolder, &self.path, source))
     }
 
     pub(crate) fn lock(&self) -> Result<Box<dyn DiskLock>, StorageError> {
@@ -51,14 +51,15 @@
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 Err(StorageError::InUse { path })
             }
-            Err(source) => Err(disk_error(Step::Lock, &path, source)),
+            Err(source) => Err(disk_error(StorageOperation::Lock, &path, source)),
         }
     }
 
     /// The names of the files, in ascending order.
     pub(crate) fn list(&self) -> Result<Vec<String>, StorageError> {
         let result = self.disk.list(&self.path);
-        let mut list = result.map_err(|source| disk_error(Step::List, &self.path, source))?;
+        let mut list =
+            result.map_err(|source| disk_error(StorageOperation::List, &self.path, source))?;
         list.sort();
         Ok(list)
     }
@@ -73,7 +74,7 @@
                 let reason = format!("the file is longer than the {limit} bytes it may have");
                 Err(self.damaged(name, limit, reason))
             }
-            Err(source) => Err(disk_error(Step::Read, &path, source)),
+            Err(source) => Err(disk_error(StorageOperation::Read, &path, source)),
         }
     }
 
@@ -87,7 +88,7 @@
         let path = self.path_of(name);
         match self.disk.create(&path) {
             Ok(file) => Ok(FolderFile { path, file }),
-            Err(source) => Err(disk_error(Step::Create, &path, source)),
+            Err(source) => Err(disk_error(StorageOperation::Create, &path, source)),
         }
     }
 
@@ -95,7 +96,7 @@
         let path = self.path_of(name);
         match self.disk.open(&path) {
             Ok(file) => Ok(FolderFile { path, file }),
-            Err(source) => Err(disk_error(Step::Open, &path, source)),
+            Err(source) => Err(disk_error(StorageOperation::Open, &path, source)),
         }
     }
 
@@ -113,19 +114,19 @@
         file.sync()?;
         let (from, to) = (self.path_of(&temporary), self.path_of(name));
         let result = self.disk.rename(&from, &to);
-        result.map_err(|source| disk_error(Step::Rename, &from, source))?;
+        result.map_err(|source| disk_error(StorageOperation::Rename, &from, source))?;
         self.sync()
     }
 
     pub(crate) fn remove(&self, name: &str) -> Result<(), StorageError> {
         let path = self.path_of(name);
         let result = self.disk.remove(&path);
-        result.map_err(|source| disk_error(Step::Remove, &path, source))
+        result.map_err(|source| disk_error(StorageOperation::Remove, &path, source))
     }
 
     pub(crate) fn sync(&self) -> Result<(), StorageError> {
         let result = self.disk.sync_folder(&self.path);
-        result.map_err(|source| disk_error(Step::SyncFolder, &self.path, source))
+        result.map_err(|source| disk_error(StorageOperation::SyncFolder, &self.path, source))
     }
 
     pub(crate) fn damaged(
@@ -154,30 +155,30 @@
 
     pub(crate) fn encode_error(&self, name: &str, error: rmp_serde::encode::Error) -> StorageError {
         let source = io::Error::new(io::ErrorKind::InvalidData, error);
-        disk_error(Step::Encode, &self.path_of(name), source)
+        disk_error(StorageOperation::Encode, &self.path_of(name), source)
     }
 }
 
 impl FolderFile {
     pub(crate) fn write_at(&mut self, offset: u64, bytes: &[u8]) -> Result<(), StorageError> {
         let result = self.file.write_at(offset, bytes);
-        result.map_err(|source| disk_error(Step::Write, &self.path, source))
+        result.map_err(|source| disk_error(StorageOperation::Write, &self.path, source))
     }
 
     pub(crate) fn truncate(&mut self, length: u64) -> Result<(), StorageError> {
         let result = self.file.truncate(length);
-        result.map_err(|source| disk_error(Step::Truncate, &self.path, source))
+        result.map_err(|source| disk_error(StorageOperation::Truncate, &self.path, source))
     }
 
     pub(crate) fn sync(&mut self) -> Result<(), StorageError> {
         let result = self.file.sync();
-        result.map_err(|source| disk_error(Step::Sync, &self.path, source))
+        result.map_err(|source| disk_error(StorageOperation::Sync, &self.path, source))
     }
 }
 
-fn disk_error(step: Step, path: &Path, source: io::Error) -> StorageError {
+fn disk_error(operation: StorageOperation, path: &Path, source: io::Error) -> StorageError {
     StorageError::Disk {
-        step,
+        operation,
         path: path.to_owned(),
         source,
     }
--- a/crates/sablehaven-storage/src/format.rs
+++ b/crates/sablehaven-storage/src/format.rs
@@ -76,15 +76,15 @@
 
 /// Why no frame can be read at a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub(crate) enum BadFrame {
+pub(crate) enum FrameError {
     /// the file ends within a record's header
-    HeaderCutShort,
+    TruncatedHeader,
     /// a record's header does not match its checksum
     HeaderChecksum,
     /// a record's length is over the limit
     TooLong,
     /// the file ends within a record
-    PayloadCutShort,
+    TruncatedPayload,
     /// a record does not match its checksum
     PayloadChecksum {
         /// Where the record ends.
@@ -151,24 +151,24 @@
 }
 
 /// Reads the frame at `offset`.
-pub(crate) fn read_frame(bytes: &[u8], offset: usize, seed: u32) -> Result<Frame<'_>, BadFrame> {
+pub(crate) fn read_frame(bytes: &[u8], offset: usize, seed: u32) -> Result<Frame<'_>, FrameError> {
     let rest = bytes.get(offset..).unwrap_or_default();
     let Some((header, rest)) = rest.split_at_checked(FRAME_HEADER_BYTES) else {
-        return Err(BadFrame::HeaderCutShort);
+        return Err(FrameError::TruncatedHeader);
     };
     if crc32c::crc32c_append(seed, &header[..16]) != read_u32(&header[16..]) {
-        return Err(BadFrame::HeaderChecksum);
+        return Err(FrameError::HeaderChecksum);
     }
     let length = read_u32(header) as usize;
     if length > MAXIMUM_PAYLOAD_BYTES {
-        return Err(BadFrame::TooLong);
+        return Err(FrameError::TooLong);
     }
     let Some(payload) = rest.get(..length) else {
-        return Err(BadFrame::PayloadCutShort);
+        return Err(FrameError::TruncatedPayload);
     };
     let end = offset + FRAME_HEADER_BYTES + length;
     if crc32c::crc32c_append(seed, payload) != read_u32(&header[12..]) {
-        return Err(BadFrame::PayloadChecksum { end });
+        return Err(FrameError::PayloadChecksum { end });
     }
     Ok(Frame {
         sequence: read_u64(&header[4..]),
@@ -203,7 +203,7 @@
 ) -> Result<(T, usize), FormatError> {
     check_file_header(kind, bytes)?;
     let frame = read_frame(bytes, FILE_HEADER_BYTES, NO_SEED)
-        .map_err(|bad| FormatError::damaged(FILE_HEADER_BYTES, bad.to_string()))?;
+        .map_err(|error| FormatError::damaged(FILE_HEADER_BYTES, error.to_string()))?;
     let value = rmp_serde::from_slice(frame.payload)
         .map_err(|error| FormatError::damaged(FILE_HEADER_BYTES, error.to_string()))?;
     Ok((value, frame.end))
--- a/crates/sablehaven-storage/src/inspect.rs
+++ b/crates/sablehaven-storage/src/inspect.rs
@@ -107,7 +107,7 @@
         ..Inspection::default()
     };
     if let Err(error) = inspection.read(&folder) {
-        inspection.note_damage(&error);
+        inspection.report_damage(&error);
     }
     Ok(inspection)
 }
@@ -123,11 +123,11 @@
         let log = scan.read_log(folder);
         self.describe(&scan);
         if let Err(error) = log {
-            self.note_damage(&error);
+            self.report_damage(&error);
             return Ok(());
         }
         self.check_snapshots(folder, &scan);
-        let checked = recovery::check_unnamed_segments(folder, &scan);
+        let checked = recovery::check_unlisted_segments(folder, &scan);
         self.other_files.retain(|name| !is_stored(name, &scan));
         checked
     }
@@ -152,12 +152,12 @@
             };
             let replica = scan.identity.replica;
             if let Err(error) = snapshot_file::read(folder, replica, *group, reference) {
-                self.note_damage(&error);
+                self.report_damage(&error);
             }
         }
     }
 
-    fn note_damage(&mut self, error: &StorageError) {
+    fn report_damage(&mut self, error: &StorageError) {
         let report = match error {
             StorageError::Damaged {
                 path,
@@ -190,7 +190,7 @@
         Self {
             number: summary.number,
             file: names::segment(summary.number),
-            bytes: summary.length,
+            bytes: summary.records_end,
             records: summary.records,
         }
     }
@@ -216,7 +216,7 @@
         names::MANIFEST,
         names::SYNCED_POSITION,
     ];
-    FIXED.contains(&name) || recovery::is_needed(name, scan)
+    FIXED.contains(&name) || recovery::is_referenced(name, scan)
 }
 
 fn file_name(path: &Path) -> String {
--- a/crates/sablehaven-storage/src/lib.rs
+++ b/crates/sablehaven-storage/src/lib.rs
@@ -30,7 +30,7 @@
 mod write;
 
 pub use disk::{Disk, DiskFile, DiskLock};
-pub use error::{Step, StorageError};
+pub use error::{StorageError, StorageOperation};
 pub use format::FORMAT_VERSION;
 pub use identity::Identity;
 pub use inspect::{
@@ -38,7 +38,7 @@
 };
 pub use options::Options;
 pub use real_disk::RealDisk;
-pub use scan::CutTail;
+pub use scan::TruncatedTail;
 pub use snapshot_writer::{PreparedSnapshot, SnapshotWriter};
-pub use storage::{Opened, RestoredGroup, Storage, StorageCounters};
+pub use storage::{OpenedStorage, RestoredGroup, Storage, StorageCounters};
 pub use write::GroupWrite;
--- a/crates/sablehaven-storage/src/manifest.rs
+++ b/crates/sablehaven-storage/src/manifest.rs
@@ -23,7 +23,7 @@
 
 impl Manifest {
     /// Whether the segment with this number is part of the log.
-    pub(crate) fn names(&self, segment: u64) -> bool {
+    pub(crate) fn contains(&self, segment: u64) -> bool {
         (self.first_segment..=self.last_segment).contains(&segment)
     }
 
--- a/crates/sablehaven-storage/src/record.rs
+++ b/crates/sablehaven-storage/src/record.rs
@@ -13,7 +13,7 @@
 
 /// The first frame of a segment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct SegmentStart {
+pub(crate) struct SegmentHeader {
     /// The disk that wrote it.
     pub(crate) replica: ReplicaId,
     /// Segments are numbered from 1 without gaps.
--- a/crates/sablehaven-storage/src/recovery.rs
+++ b/crates/sablehaven-storage/src/recovery.rs
@@ -9,7 +9,7 @@
     manifest::Manifest,
     names,
     options::Options,
-    record::SegmentStart,
+    record::SegmentHeader,
     scan::FolderScan,
     segment::{self, MAXIMUM_FILE_BYTES, SegmentReader},
     snapshot_file,
@@ -22,7 +22,7 @@
 const FIRST_SEQUENCE: u64 = 1;
 
 /// The identity of the folder, and whether it was made just now.
-pub(crate) fn identify(
+pub(crate) fn load_or_create_identity(
     folder: &Folder,
     options: &Options,
 ) -> Result<(Identity, bool), StorageError> {
@@ -42,16 +42,16 @@
 }
 
 /// Reads everything and checks it, without changing anything.
-pub(crate) fn read_all(folder: &Folder, identity: Identity) -> Result<FolderScan, StorageError> {
+pub(crate) fn scan_folder(folder: &Folder, identity: Identity) -> Result<FolderScan, StorageError> {
     let manifest = Manifest::read(folder, identity.replica)?;
     let mut scan = FolderScan::new(folder, identity, manifest);
     scan.read_log(folder)?;
-    check_unnamed_segments(folder, &scan)?;
+    check_unlisted_segments(folder, &scan)?;
     Ok(scan)
 }
 
 /// Checks that no segment beyond the manifest holds records.
-pub(crate) fn check_unnamed_segments(
+pub(crate) fn check_unlisted_segments(
     folder: &Folder,
     scan: &FolderScan,
 ) -> Result<(), StorageError> {
@@ -76,7 +76,7 @@
             None => None,
         };
         let group_restored = RestoredGroup {
-            restored: replayed.take_restored(),
+            restored: replayed.take_restored_state(),
             snapshot_data,
         };
         restored.insert(*group, group_restored);
@@ -113,9 +113,9 @@
 }
 
 /// Whether the file is a segment or a snapshot that is part of what is stored.
-pub(crate) fn is_needed(name: &str, scan: &FolderScan) -> bool {
+pub(crate) fn is_referenced(name: &str, scan: &FolderScan) -> bool {
     if let Some(number) = names::segment_number(name) {
-        return scan.manifest.names(number);
+        return scan.manifest.contains(number);
     }
     scan.replay.groups.iter().any(|(group, replayed)| {
         let snapshot = replayed.state.snapshot.as_ref();
@@ -124,21 +124,21 @@
 }
 
 fn is_leftover(name: &str, scan: &FolderScan) -> bool {
-    let is_own = names::segment_number(name).is_some() || names::is_snapshot(name);
-    names::is_temporary(name) || is_own && !is_needed(name, scan)
+    let is_storage_file = names::segment_number(name).is_some() || names::is_snapshot(name);
+    names::is_temporary(name) || is_storage_file && !is_referenced(name, scan)
 }
 
 /// Gives the folder an identity and an empty log. The identity comes last: a folder without one
 /// never acknowledged anything, and can be formatted again.
 fn format(folder: &Folder, deployment: &str) -> Result<Identity, StorageError> {
     let identity = Identity::random(deployment);
-    let start = SegmentStart {
+    let header = SegmentHeader {
         replica: identity.replica,
         number: FIRST_SEGMENT,
         first_sequence: FIRST_SEQUENCE,
         groups: Vec::new(),
     };
-    segment::begin(folder, &start)?;
+    segment::create(folder, &header)?;
     let manifest = Manifest {
         replica: identity.replica,
         first_segment: FIRST_SEGMENT,
@@ -174,13 +174,13 @@
     }
     let first = names::segment(FIRST_SEGMENT);
     match folder.read(&first, MAXIMUM_FILE_BYTES)? {
-        Some(content) => check_without_records(folder, &first, &content),
+        Some(content) => check_no_records(folder, &first, &content),
         None => Ok(()),
     }
 }
 
-fn check_without_records(folder: &Folder, name: &str, content: &[u8]) -> Result<(), StorageError> {
-    let checked = SegmentReader::is_without_records(content);
+fn check_no_records(folder: &Folder, name: &str, content: &[u8]) -> Result<(), StorageError> {
+    let checked = SegmentReader::has_no_records(content);
     if checked.map_err(|error| folder.format_error(name, error))? {
         return Ok(());
     }
--- a/crates/sablehaven-storage/src/replay.rs
+++ b/crates/sablehaven-storage/src/replay.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     group_state::GroupState,
-    record::{Record, RecordWrite, SegmentStart},
+    record::{Record, RecordWrite, SegmentHeader},
 };
 
 /// The groups as the records read so far leave them.
@@ -26,9 +26,9 @@
 
 impl Replay {
     /// The groups as the log's first segment finds them.
-    pub(crate) fn new(start: &SegmentStart) -> Self {
+    pub(crate) fn new(header: &SegmentHeader) -> Self {
         let mut groups = BTreeMap::new();
-        for checkpoint in &start.groups {
+        for checkpoint in &header.groups {
             let state = GroupState::from_checkpoint(checkpoint);
             let entries = Vec::new();
             groups.insert(checkpoint.group, ReplayedGroup { state, entries });
@@ -37,12 +37,12 @@
     }
 
     /// Checks that a later segment begins where the records before it end.
-    pub(crate) fn check_start(&self, start: &SegmentStart) -> Result<(), String> {
+    pub(crate) fn check_segment_header(&self, header: &SegmentHeader) -> Result<(), String> {
         let replayed = self.groups.iter();
         let expected: Vec<_> = replayed
             .map(|(group, replayed)| replayed.state.checkpoint(*group))
             .collect();
-        if start.groups == expected {
+        if header.groups == expected {
             return Ok(());
         }
         Err("the segment's start does not fit the records before it".to_owned())
@@ -82,7 +82,7 @@
 
 impl ReplayedGroup {
     /// What a replica starts from; takes the entries out.
-    pub(crate) fn take_restored(&mut self) -> Restored {
+    pub(crate) fn take_restored_state(&mut self) -> Restored {
         Restored {
             hard_state: self.state.hard_state,
             snapshot: self.snapshot_metadata(),
--- a/crates/sablehaven-storage/src/scan.rs
+++ b/crates/sablehaven-storage/src/scan.rs
@@ -8,9 +8,9 @@
     identity::Identity,
     manifest::Manifest,
     names,
-    record::{Record, SegmentStart},
+    record::{Record, SegmentHeader},
     replay::Replay,
-    segment::{BadRecord, MAXIMUM_FILE_BYTES, SegmentReader},
+    segment::{MAXIMUM_FILE_BYTES, RecordError, SegmentReader},
     synced_position::SyncedPosition,
 };
 
@@ -23,13 +23,13 @@
     pub(crate) segments: Vec<SegmentSummary>,
     /// The groups, as of the last record that was read.
     pub(crate) replay: Replay,
-    pub(crate) torn_tail: Option<CutTail>,
+    pub(crate) torn_tail: Option<TruncatedTail>,
     /// The log's last record, if the last segment has one.
     pub(crate) last_record: Option<LastRecord>,
     pub(crate) next_sequence: u64,
     /// The length of the last segment's file, with the space allocated after the records.
     pub(crate) file_bytes: u64,
-    synced: Option<SyncedPosition>,
+    synced_position: Option<SyncedPosition>,
 }
 
 /// One segment.
@@ -37,10 +37,10 @@
 pub(crate) struct SegmentSummary {
     pub(crate) number: u64,
     /// Where its whole records end, in bytes.
-    pub(crate) length: u64,
+    pub(crate) records_end: u64,
     pub(crate) records: u64,
     /// The highest index of an entry in it, by group.
-    pub(crate) highest: BTreeMap<u32, u64>,
+    pub(crate) highest_indexes: BTreeMap<u32, u64>,
 }
 
 /// The log's last record as it stands in the file.
@@ -52,7 +52,7 @@
 
 /// An unfinished write at the end of the log that recovery cut; it was never acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CutTail {
+pub struct TruncatedTail {
     /// The segment file.
     pub path: PathBuf,
     /// The offset, in bytes, from which it was cut.
@@ -64,7 +64,7 @@
 impl FolderScan {
     /// A scan that has read nothing yet.
     pub(crate) fn new(folder: &Folder, identity: Identity, manifest: Manifest) -> Self {
-        let synced = SyncedPosition::read(folder, identity.replica);
+        let synced_position = SyncedPosition::read(folder, identity.replica);
         Self {
             identity,
             manifest,
@@ -74,7 +74,7 @@
             last_record: None,
             next_sequence: 0,
             file_bytes: 0,
-            synced,
+            synced_position,
         }
     }
 
@@ -108,7 +108,7 @@
 
     fn check_synced_segment(&self, folder: &Folder) -> Result<(), StorageError> {
         let last = self.manifest.last_segment;
-        match self.synced {
+        match self.synced_position {
             Some(synced) if synced.segment > last => {
                 let segment = synced.segment;
                 let reason = format!("segment {segment} was in use, the manifest ends at {last}");
@@ -122,51 +122,51 @@
         let name = names::segment(number);
         let content = folder.read_existing(&name, MAXIMUM_FILE_BYTES)?;
         let opened = SegmentReader::new(&content, self.identity.replica, number);
-        let (start, mut reader) = opened.map_err(|error| folder.format_error(&name, error))?;
-        self.begin_segment(folder, &name, &start)?;
+        let (header, mut reader) = opened.map_err(|error| folder.format_error(&name, error))?;
+        self.apply_segment_header(folder, &name, &header)?;
         let mut summary = SegmentSummary {
             number,
             ..SegmentSummary::default()
         };
-        let bad_record = self.read_records(folder, &name, &mut reader, &mut summary)?;
-        summary.length = reader.position();
+        let record_error = self.read_records(folder, &name, &mut reader, &mut summary)?;
+        summary.records_end = reader.position();
         summary.records = reader.records();
         self.next_sequence = reader.next_sequence();
         if number == self.manifest.last_segment {
             self.last_record = reader.last_record().map(LastRecord::from);
             self.file_bytes = content.len() as u64;
-            self.end_log(folder, &name, &summary, bad_record, reader.rest())?;
-        } else if let Some(bad_record) = bad_record {
-            return Err(folder.damaged(&name, bad_record.offset, bad_record.reason));
+            self.check_log_end(folder, &name, &summary, record_error, reader.unread_bytes())?;
+        } else if let Some(record_error) = record_error {
+            return Err(folder.damaged(&name, record_error.offset, record_error.reason));
         }
         self.segments.push(summary);
         Ok(())
     }
 
     /// Checks that a segment begins where the one before it ends.
-    fn begin_segment(
+    fn apply_segment_header(
         &mut self,
         folder: &Folder,
         name: &str,
-        start: &SegmentStart,
+        header: &SegmentHeader,
     ) -> Result<(), StorageError> {
         let Some(previous) = self.segments.last() else {
-            self.replay = Replay::new(start);
+            self.replay = Replay::new(header);
             return Ok(());
         };
-        let (found, expected) = (start.first_sequence, self.next_sequence);
+        let (found, expected) = (header.first_sequence, self.next_sequence);
         if found > expected {
             let previous_name = names::segment(previous.number);
             let reason = format!(
                 "the records from {expected} on are missing; {name} begins with record {found}"
             );
-            return Err(folder.damaged(&previous_name, previous.length, reason));
+            return Err(folder.damaged(&previous_name, previous.records_end, reason));
         }
         if found < expected {
             let reason = format!("the segment begins with record {found}, not with {expected}");
             return Err(folder.damaged(name, 0, reason));
         }
-        let checked = self.replay.check_start(start);
+        let checked = self.replay.check_segment_header(header);
         checked.map_err(|reason| folder.damaged(name, 0, reason))
     }
 
@@ -177,35 +177,35 @@
         name: &str,
         reader: &mut SegmentReader<'_>,
         summary: &mut SegmentSummary,
-    ) -> Result<Option<BadRecord>, StorageError> {
+    ) -> Result<Option<RecordError>, StorageError> {
         while let Some(next) = reader.next() {
             let found = match next {
                 Ok(found) => found,
-                Err(bad_record) => return Ok(Some(bad_record)),
+                Err(record_error) => return Ok(Some(record_error)),
             };
             let applied = self.replay.apply(&found.record);
             applied.map_err(|reason| folder.damaged(name, found.offset, reason))?;
-            summary.note(&found.record);
+            summary.add_record(&found.record);
         }
         Ok(None)
     }
 
     /// Tells a torn tail from damage at the end of the last segment.
-    fn end_log(
+    fn check_log_end(
         &mut self,
         folder: &Folder,
         name: &str,
         summary: &SegmentSummary,
-        bad_record: Option<BadRecord>,
+        record_error: Option<RecordError>,
         rest: &[u8],
     ) -> Result<(), StorageError> {
-        if let Some(bad_record) = bad_record {
-            if !bad_record.may_be_torn {
-                return Err(folder.damaged(name, bad_record.offset, bad_record.reason));
+        if let Some(record_error) = record_error {
+            if !record_error.may_be_torn {
+                return Err(folder.damaged(name, record_error.offset, record_error.reason));
             }
-            self.torn_tail = Some(CutTail {
+            self.torn_tail = Some(TruncatedTail {
                 path: folder.path_of(name),
-                offset: bad_record.offset,
+                offset: record_error.offset,
                 bytes: rest.len() as u64,
             });
         }
@@ -219,19 +219,19 @@
         summary: &SegmentSummary,
     ) -> Result<(), StorageError> {
         let Some(synced) = self
-            .synced
+            .synced_position
             .filter(|synced| synced.segment == summary.number)
         else {
             return Ok(());
         };
-        if synced.length <= summary.length {
+        if synced.synced_bytes <= summary.records_end {
             return Ok(());
         }
         let reason = format!(
             "no whole record from here on, but the file was synced up to byte {}",
-            synced.length
+            synced.synced_bytes
         );
-        Err(folder.damaged(name, summary.length, reason))
+        Err(folder.damaged(name, summary.records_end, reason))
     }
 }
 
@@ -244,10 +244,10 @@
 
 impl SegmentSummary {
     /// Notes the entries of a record.
-    pub(crate) fn note(&mut self, record: &Record<'_>) {
+    pub(crate) fn add_record(&mut self, record: &Record<'_>) {
         for write in &record.writes {
             if let Some(last) = write.entries.last() {
-                let highest = self.highest.entry(write.group).or_default();
+                let highest = self.highest_indexes.entry(write.group).or_default();
                 *highest = last.index.max(*highest);
             }
         }
--- a/crates/sablehaven-storage/src/segment.rs
+++ b/crates/sablehaven-storage/src/segment.rs
@@ -6,13 +6,13 @@
     error::StorageError,
     folder::Folder,
     format::{
-        BadFrame, FRAME_HEADER_BYTES, FileKind, FormatError, Frame, MAXIMUM_PAYLOAD_BYTES,
+        FRAME_HEADER_BYTES, FileKind, FormatError, Frame, FrameError, MAXIMUM_PAYLOAD_BYTES,
         checksum_seed, decode_document, encode_document, later_frame_exists, read_frame,
     },
     group_state::MAXIMUM_NUMBER,
     names,
     options::MAXIMUM_SEGMENT_BYTES,
-    record::{Record, SegmentStart},
+    record::{Record, SegmentHeader},
 };
 
 /// The largest size of a segment's file, in bytes: a full one, its start and one record more.
@@ -33,14 +33,14 @@
 
 /// A record and where it stands.
 #[derive(Debug)]
-pub(crate) struct RecordAt<'a> {
+pub(crate) struct LocatedRecord<'a> {
     pub(crate) offset: u64,
     pub(crate) record: Record<'a>,
 }
 
 /// Why a segment's next record cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct BadRecord {
+pub(crate) struct RecordError {
     pub(crate) offset: u64,
     pub(crate) reason: String,
     /// Whether a write that a crash interrupted can have left it, in the log's last segment.
@@ -53,18 +53,18 @@
         bytes: &'a [u8],
         replica: ReplicaId,
         number: u64,
-    ) -> Result<(SegmentStart, Self), FormatError> {
-        let (start, position): (SegmentStart, usize) = decode_document(FileKind::Segment, bytes)?;
-        if start.replica != replica {
-            let reason = format!("the segment is of replica {}", start.replica);
+    ) -> Result<(SegmentHeader, Self), FormatError> {
+        let (header, position): (SegmentHeader, usize) = decode_document(FileKind::Segment, bytes)?;
+        if header.replica != replica {
+            let reason = format!("the segment is of replica {}", header.replica);
             return Err(FormatError::damaged(0, reason));
         }
-        if start.number != number {
-            let reason = format!("the segment has number {} inside", start.number);
+        if header.number != number {
+            let reason = format!("the segment has number {} inside", header.number);
             return Err(FormatError::damaged(0, reason));
         }
-        let mut numbers = start.groups.iter().map(|group| group.last_index);
-        if start.first_sequence > MAXIMUM_NUMBER || numbers.any(|last| last > MAXIMUM_NUMBER) {
+        let mut numbers = header.groups.iter().map(|group| group.last_index);
+        if header.first_sequence > MAXIMUM_NUMBER || numbers.any(|last| last > MAXIMUM_NUMBER) {
             let reason = "the segment's start holds a number that is out of range";
             return Err(FormatError::damaged(0, reason));
         }
@@ -72,29 +72,29 @@
             bytes,
             seed: checksum_seed(replica),
             position,
-            next_sequence: start.first_sequence,
+            next_sequence: header.first_sequence,
             records: 0,
             last_record: None,
         };
-        Ok((start, reader))
+        Ok((header, reader))
     }
 
     /// Whether a segment of any disk is whole and holds no record.
-    pub(crate) fn is_without_records(bytes: &[u8]) -> Result<bool, FormatError> {
-        let (_, end): (SegmentStart, usize) = decode_document(FileKind::Segment, bytes)?;
+    pub(crate) fn has_no_records(bytes: &[u8]) -> Result<bool, FormatError> {
+        let (_, end): (SegmentHeader, usize) = decode_document(FileKind::Segment, bytes)?;
         Ok(end == bytes.len())
     }
 
     /// The next record; `None` where only allocated space follows, which is zeros.
-    pub(crate) fn next(&mut self) -> Option<Result<RecordAt<'a>, BadRecord>> {
+    pub(crate) fn next(&mut self) -> Option<Result<LocatedRecord<'a>, RecordError>> {
         if is_zeros(&self.bytes[self.position..]) {
             return None;
         }
-        Some(self.read_next())
+        Some(self.read_record())
     }
 
     /// The bytes from the next record on, without the zeros at the end of the file.
-    pub(crate) fn rest(&self) -> &'a [u8] {
+    pub(crate) fn unread_bytes(&self) -> &'a [u8] {
         let rest = &self.bytes[self.position..];
         let last = rest.iter().rposition(|byte| *byte != 0);
         &rest[..last.map_or(0, |last| last + 1)]
@@ -121,10 +121,11 @@
         Some((begin as u64, &self.bytes[begin..self.position]))
     }
 
-    fn read_next(&mut self) -> Result<RecordAt<'a>, BadRecord> {
+    fn read_record(&mut self) -> Result<LocatedRecord<'a>, RecordError> {
         let begin = self.position;
-        let frame = read_frame(self.bytes, begin, self.seed).map_err(|bad| self.bad_record(bad))?;
-        let record = self.decode(&frame).map_err(|reason| BadRecord {
+        let frame =
+            read_frame(self.bytes, begin, self.seed).map_err(|error| self.record_error(error))?;
+        let record = self.decode(&frame).map_err(|reason| RecordError {
             offset: begin as u64,
             reason,
             may_be_torn: false,
@@ -133,7 +134,7 @@
         self.next_sequence += 1;
         self.records += 1;
         self.last_record = Some(begin);
-        Ok(RecordAt {
+        Ok(LocatedRecord {
             offset: begin as u64,
             record,
         })
@@ -149,20 +150,22 @@
 
     /// A record is written and synced before the next one is begun. So a torn write is the last
     /// thing in the file, and no longer than one record; anything else is damage.
-    fn bad_record(&self, bad: BadFrame) -> BadRecord {
-        let can_begin_torn_write = match bad {
-            BadFrame::PayloadChecksum { end } => is_zeros(&self.bytes[end..]),
-            BadFrame::TooLong => false,
-            BadFrame::HeaderCutShort | BadFrame::HeaderChecksum | BadFrame::PayloadCutShort => true,
+    fn record_error(&self, error: FrameError) -> RecordError {
+        let can_begin_torn_write = match error {
+            FrameError::PayloadChecksum { end } => is_zeros(&self.bytes[end..]),
+            FrameError::TooLong => false,
+            FrameError::TruncatedHeader
+            | FrameError::HeaderChecksum
+            | FrameError::TruncatedPayload => true,
         };
         // Zeros at the end are searched too: a later record may end in some.
         let written = &self.bytes[self.position..];
         let may_be_torn = can_begin_torn_write
-            && self.rest().len() as u64 <= MAXIMUM_RECORD_BYTES
+            && self.unread_bytes().len() as u64 <= MAXIMUM_RECORD_BYTES
             && !later_frame_exists(written, self.seed, self.next_sequence);
-        BadRecord {
+        RecordError {
             offset: self.position as u64,
-            reason: bad.to_string(),
+            reason: error.to_string(),
             may_be_torn,
         }
     }
@@ -173,9 +176,9 @@
 }
 
 /// Writes a new segment's file durably, with no record in it; returns its length in bytes.
-pub(crate) fn begin(folder: &Folder, start: &SegmentStart) -> Result<u64, StorageError> {
-    let name = names::segment(start.number);
-    let content = encode_document(FileKind::Segment, start)
+pub(crate) fn create(folder: &Folder, header: &SegmentHeader) -> Result<u64, StorageError> {
+    let name = names::segment(header.number);
+    let content = encode_document(FileKind::Segment, header)
         .map_err(|error| folder.encode_error(&name, error))?;
     folder.write_file(&name, &[&content])?;
     Ok(content.len() as u64)
--- a/crates/sablehaven-storage/src/split.rs
+++ b/crates/sablehaven-storage/src/split.rs
@@ -9,12 +9,12 @@
 ///
 /// # Errors
 /// [`StorageError::EntryTooLarge`] where a single entry takes the `bytes` of the whole batch.
-pub(crate) fn halves(
+pub(crate) fn split_batch(
     batch: &[GroupWrite],
     bytes: usize,
 ) -> Result<[Vec<GroupWrite>; 2], StorageError> {
     if let [write] = batch {
-        let [first, second] = halves_of_group(write).ok_or_else(|| too_large(write, bytes))?;
+        let [first, second] = split_write(write).ok_or_else(|| too_large(write, bytes))?;
         return Ok([vec![first], vec![second]]);
     }
     let (first, second) = batch.split_at(batch.len() / 2);
@@ -30,7 +30,7 @@
     }
 }
 
-fn halves_of_group(write: &GroupWrite) -> Option<[GroupWrite; 2]> {
+fn split_write(write: &GroupWrite) -> Option<[GroupWrite; 2]> {
     if write.entries.len() < 2 {
         return None;
     }
--- a/crates/sablehaven-storage/src/storage.rs
+++ b/crates/sablehaven-storage/src/storage.rs
@@ -17,7 +17,7 @@
     manifest::Manifest,
     options::Options,
     recovery,
-    scan::{CutTail, FolderScan, SegmentSummary},
+    scan::{FolderScan, SegmentSummary, TruncatedTail},
     segment::MAXIMUM_RECORD_BYTES,
     snapshot_writer::{PreparedSnapshot, SnapshotWriter},
     split,
@@ -36,7 +36,7 @@
 
 /// A data folder after it was opened.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedStorage {
     /// Takes the writes.
     pub storage: Storage,
     /// Who the folder belongs to.
@@ -46,7 +46,7 @@
     /// Whether the folder was empty and has been formatted with a new identity.
     pub formatted: bool,
     /// The torn tail, where there was one.
-    pub cut_tail: Option<CutTail>,
+    pub truncated_tail: Option<TruncatedTail>,
 }
 
 /// What storage has done since it was opened.
@@ -79,7 +79,7 @@
     /// The segment that is written to.
     pub(crate) active: ActiveSegment,
     pub(crate) next_sequence: u64,
-    pub(crate) synced: SyncedPositionFile,
+    pub(crate) synced_position: SyncedPositionFile,
     pub(crate) counters: StorageCounters,
     pub(crate) failure: Option<String>,
     /// Held for as long as the storage lives; last, so that it is released last.
@@ -92,7 +92,7 @@
     pub(crate) file: FolderFile,
     pub(crate) summary: SegmentSummary,
     /// The file's length: the records' end, or more where space was allocated.
-    pub(crate) allocated: u64,
+    pub(crate) allocated_bytes: u64,
 }
 
 impl Storage {
@@ -107,24 +107,24 @@
         folder: &Path,
         disk: Arc<dyn Disk>,
         options: Options,
-    ) -> Result<Opened, StorageError> {
+    ) -> Result<OpenedStorage, StorageError> {
         let folder = Folder::new(folder, disk);
         folder.create()?;
         let lock = Arc::from(folder.lock()?);
-        let (identity, formatted) = recovery::identify(&folder, &options)?;
-        let mut scan = recovery::read_all(&folder, identity.clone())?;
+        let (identity, formatted) = recovery::load_or_create_identity(&folder, &options)?;
+        let mut scan = recovery::scan_folder(&folder, identity.clone())?;
         let groups = recovery::restore(&folder, &mut scan)?;
         // Everything has been read and found right; only now may the folder be changed.
         let file = recovery::make_durable(&folder, &scan)?;
         recovery::remove_leftovers(&folder, &scan)?;
-        let cut_tail = scan.torn_tail.clone();
+        let truncated_tail = scan.torn_tail.clone();
         let storage = Self::from_scan(folder, lock, options, scan, file)?;
-        Ok(Opened {
+        Ok(OpenedStorage {
             storage,
             identity,
             groups,
             formatted,
-            cut_tail,
+            truncated_tail,
         })
     }
 
@@ -137,19 +137,19 @@
     ) -> Result<Self, StorageError> {
         let mut closed = VecDeque::from(scan.segments);
         let summary = closed.pop_back().unwrap_or_default();
-        let mut synced = SyncedPositionFile::create(&folder, scan.identity.replica)?;
-        synced.write(SyncedPosition {
+        let mut synced_position = SyncedPositionFile::create(&folder, scan.identity.replica)?;
+        synced_position.write(SyncedPosition {
             segment: summary.number,
-            length: summary.length,
+            synced_bytes: summary.records_end,
         })?;
-        let allocated = match scan.torn_tail {
-            Some(_) => summary.length,
+        let allocated_bytes = match scan.torn_tail {
+            Some(_) => summary.records_end,
             None => scan.file_bytes,
         };
         let active = ActiveSegment {
             file,
             summary,
-            allocated,
+            allocated_bytes,
         };
         let replayed = scan.replay.groups.into_iter();
         Ok(Self {
@@ -163,7 +163,7 @@
             closed,
             active,
             next_sequence: scan.next_sequence,
-            synced,
+            synced_position,
             counters: StorageCounters::default(),
             failure: None,
             lock,
@@ -185,14 +185,14 @@
         }
         let record = self.record_of_batch(batch)?;
         let encoded = self.encode(&record);
-        let frame = self.note_failure(encoded)?;
+        let frame = self.poison_on_error(encoded)?;
         if frame.len() as u64 > MAXIMUM_RECORD_BYTES {
-            let [first, second] = split::halves(batch, frame.len())?;
+            let [first, second] = split::split_batch(batch, frame.len())?;
             self.write(&first)?;
             return self.write(&second);
         }
         let result = self.commit(batch, &record, frame);
-        self.note_failure(result)
+        self.poison_on_error(result)
     }
 
     /// Stores a snapshot that this replica took of its own state and drops the entries up to it.
@@ -205,9 +205,9 @@
         if snapshot.metadata.index <= self.snapshot_index(group) {
             return Ok(());
         }
-        self.check_covers_entries(group, &snapshot.metadata)?;
+        self.check_snapshot_position(group, &snapshot.metadata)?;
         let written = self.snapshot_writer().write(group, snapshot);
-        let prepared = self.note_failure(written)?;
+        let prepared = self.poison_on_error(written)?;
         self.compact_to(prepared)
     }
 
@@ -221,12 +221,12 @@
         let result = if prepared.reference.metadata.index <= self.snapshot_index(prepared.group) {
             self.remove_unless_current(&prepared)
         } else {
-            self.check_covers_entries(prepared.group, &prepared.reference.metadata)?;
+            self.check_snapshot_position(prepared.group, &prepared.reference.metadata)?;
             let record = prepared.record();
             self.encode(&record)
                 .and_then(|frame| self.commit(&[], &record, frame))
         };
-        self.note_failure(result)
+        self.poison_on_error(result)
     }
 
     /// Writes snapshots of this replica's own state without holding up the log: it can be used on
@@ -249,7 +249,7 @@
         if self.closed.len() <= self.options.closed_segments as usize {
             return Vec::new();
         }
-        let holding = oldest.highest.iter();
+        let holding = oldest.highest_indexes.iter();
         let holding = holding.filter(|(group, highest)| self.snapshot_index(**group) < **highest);
         holding.map(|(group, _)| *group).collect()
     }
@@ -280,7 +280,7 @@
 
     /// After a failed step it is unknown what is on the disk, so nothing more may be acknowledged;
     /// opening the folder again finds out.
-    fn note_failure<T>(&mut self, result: Result<T, StorageError>) -> Result<T, StorageError> {
+    fn poison_on_error<T>(&mut self, result: Result<T, StorageError>) -> Result<T, StorageError> {
         if let Err(error) = &result {
             self.failure.get_or_insert_with(|| error.to_string());
         }
--- a/crates/sablehaven-storage/src/synced_position.rs
+++ b/crates/sablehaven-storage/src/synced_position.rs
@@ -26,7 +26,7 @@
 pub(crate) struct SyncedPosition {
     pub(crate) segment: u64,
     /// The bytes of the segment that are synced.
-    pub(crate) length: u64,
+    pub(crate) synced_bytes: u64,
 }
 
 /// Writes positions.
@@ -52,7 +52,7 @@
         }
         Some(Self {
             segment: read_u64(position),
-            length: read_u64(&position[8..]),
+            synced_bytes: read_u64(&position[8..]),
         })
     }
 }
@@ -69,7 +69,7 @@
     pub(crate) fn write(&mut self, position: SyncedPosition) -> Result<(), StorageError> {
         let mut bytes = [0; POSITION_BYTES];
         bytes[..8].copy_from_slice(&position.segment.to_le_bytes());
-        bytes[8..16].copy_from_slice(&position.length.to_le_bytes());
+        bytes[8..16].copy_from_slice(&position.synced_bytes.to_le_bytes());
         let checksum = crc32c::crc32c_append(self.seed, &bytes[..16]);
         bytes[16..].copy_from_slice(&checksum.to_le_bytes());
         self.file.write_at(FILE_HEADER_BYTES as u64, &bytes)
--- a/crates/sablehaven-storage/tests/crash.rs
+++ b/crates/sablehaven-storage/tests/crash.rs
@@ -4,14 +4,14 @@
 mod support;
 
 use sablehaven_faults::disk::{FaultyDisk, UnsyncedLoss};
-use sablehaven_storage::{Opened, Options, StorageError};
+use sablehaven_storage::{OpenedStorage, Options, StorageError};
 use support::{Model, Step, open_with, options, run, workload};
 
 /// How many seeds each test tries unless `STORAGE_SEEDS` says otherwise.
 const DEFAULT_SEEDS: u64 = 6;
 const STEPS: usize = 24;
 /// More operations than any of the workloads takes.
-const MANY_OPERATIONS: u64 = 4000;
+const MAXIMUM_OPERATIONS: u64 = 4000;
 
 /// A disk, and the settings that storage is opened with on it.
 struct Machine {
@@ -28,14 +28,14 @@
         Self { disk, options }
     }
 
-    fn open(&self) -> Result<Opened, StorageError> {
+    fn open(&self) -> Result<OpenedStorage, StorageError> {
         open_with(&self.disk, self.options.clone())
     }
 }
 
 /// How a run is disturbed.
 #[derive(Clone, Copy, Debug)]
-enum Disturbance {
+enum InjectedFault {
     /// The power fails.
     Crash(UnsyncedLoss),
     /// An operation fails; the process is killed and started again.
@@ -94,34 +94,34 @@
     Err(Violation::WrongState { expected })
 }
 
-/// One run with one disturbance at operation `at`; `Ok(false)` when the workload ends before it.
-fn disturbed_run(
+/// One run with one fault at operation `at`; `Ok(false)` when the workload ends before it.
+fn run_with_fault(
     machine: &Machine,
     workload: &[Step],
-    disturbance: Disturbance,
+    fault: InjectedFault,
     at: u64,
 ) -> Result<bool, Violation> {
     let disk = &machine.disk;
-    match disturbance {
-        Disturbance::Crash(_) => disk.crash_at(at),
-        Disturbance::FailedOperation => disk.fail_at(at),
+    match fault {
+        InjectedFault::Crash(_) => disk.crash_at(at),
+        InjectedFault::FailedOperation => disk.fail_at(at),
     }
     let acknowledged = run_until_error(machine, workload)?;
-    let was_disturbed = disk.counts().all >= at;
-    match disturbance {
-        Disturbance::Crash(loss) => disk.restart(loss),
-        Disturbance::FailedOperation => disk.kill_process(),
+    let fault_reached = disk.counts().all >= at;
+    match fault {
+        InjectedFault::Crash(loss) => disk.restart(loss),
+        InjectedFault::FailedOperation => disk.kill_process(),
     }
-    // A second crash, during the recovery from the first disturbance or just after it.
+    // A second crash, during the recovery from the first fault or just after it.
     disk.crash_at(disk.counts().all + 1 + at % 6);
-    let shown = match machine.open() {
+    let first_recovery = match machine.open() {
         Ok(opened) => Some(opened.groups),
         Err(_) if disk.is_crashed() => None,
         Err(error) => return Err(Violation::NotRecovered(error)),
     };
-    let loss = match disturbance {
-        Disturbance::Crash(loss) => loss,
-        Disturbance::FailedOperation => UnsyncedLoss::Random,
+    let loss = match fault {
+        InjectedFault::Crash(loss) => loss,
+        InjectedFault::FailedOperation => UnsyncedLoss::Random,
     };
     disk.restart(loss);
     let recovered = recover(machine)?;
@@ -129,7 +129,7 @@
     // What a recovery has shown must be durable itself.
     disk.restart(UnsyncedLoss::All);
     let opened = machine.open().map_err(Violation::NotRecovered)?;
-    if opened.groups != recovered || shown.is_some_and(|shown| shown != recovered) {
+    if opened.groups != recovered || first_recovery.is_some_and(|groups| groups != recovered) {
         let expected = "the state that a former recovery showed".to_owned();
         return Err(Violation::WrongState { expected });
     }
@@ -141,7 +141,7 @@
     drop(storage);
     let end = check(&recover(machine)?, workload, workload.len())?;
     assert_eq!(end, workload.len());
-    Ok(was_disturbed)
+    Ok(fault_reached)
 }
 
 fn seeds() -> u64 {
@@ -151,17 +151,17 @@
 }
 
 /// Disturbs every operation of every seed's workload; the first violation ends it.
-fn disturb_all(
-    disturbance: Disturbance,
+fn inject_at_every_operation(
+    fault: InjectedFault,
     prepare: impl Fn(&FaultyDisk),
 ) -> Result<u64, (u64, u64, Violation)> {
     let mut runs = 0;
     for seed in 0..seeds() {
         let workload = workload(seed, STEPS);
-        for at in 1..MANY_OPERATIONS {
-            let machine = Machine::new(seed, seed * MANY_OPERATIONS + at);
+        for at in 1..MAXIMUM_OPERATIONS {
+            let machine = Machine::new(seed, seed * MAXIMUM_OPERATIONS + at);
             prepare(&machine.disk);
-            let result = disturbed_run(&machine, &workload, disturbance, at);
+            let result = run_with_fault(&machine, &workload, fault, at);
             runs += 1;
             match result {
                 Ok(true) => {}
@@ -180,7 +180,7 @@
         UnsyncedLoss::Nothing,
         UnsyncedLoss::Random,
     ] {
-        let result = disturb_all(Disturbance::Crash(loss), |_| ());
+        let result = inject_at_every_operation(InjectedFault::Crash(loss), |_| ());
         let runs = result.unwrap_or_else(|violation| panic!("{loss:?}: {violation:?}"));
         println!("{loss:?}: {runs} runs");
         assert!(runs > 1000, "{runs} runs");
@@ -188,36 +188,36 @@
 }
 
 #[test]
-fn failed_operation_stops_acknowledging_and_loses_nothing() {
-    let result = disturb_all(Disturbance::FailedOperation, |_| ());
+fn failed_operation_ends_acknowledgements_and_loses_nothing() {
+    let result = inject_at_every_operation(InjectedFault::FailedOperation, |_| ());
     let runs = result.unwrap_or_else(|violation| panic!("{violation:?}"));
     println!("{runs} runs");
     assert!(runs > 1000, "{runs} runs");
 }
 
 #[test]
-fn checker_finds_missing_file_sync() {
-    let crash = Disturbance::Crash(UnsyncedLoss::Random);
-    let result = disturb_all(crash, FaultyDisk::ignore_file_syncs);
+fn checker_detects_missing_file_sync() {
+    let crash = InjectedFault::Crash(UnsyncedLoss::Random);
+    let result = inject_at_every_operation(crash, FaultyDisk::ignore_file_syncs);
     assert!(result.is_err());
 }
 
 #[test]
-fn checker_finds_missing_folder_sync() {
-    let crash = Disturbance::Crash(UnsyncedLoss::Random);
-    let result = disturb_all(crash, FaultyDisk::ignore_folder_syncs);
+fn checker_detects_missing_folder_sync() {
+    let crash = InjectedFault::Crash(UnsyncedLoss::Random);
+    let result = inject_at_every_operation(crash, FaultyDisk::ignore_folder_syncs);
     assert!(result.is_err());
 }
 
 #[test]
-fn checker_finds_trust_in_pages_after_failed_sync() {
-    let failure = Disturbance::FailedOperation;
-    let result = disturb_all(failure, FaultyDisk::ignore_identical_writes);
+fn checker_detects_trust_in_page_cache_after_failed_sync() {
+    let failure = InjectedFault::FailedOperation;
+    let result = inject_at_every_operation(failure, FaultyDisk::ignore_identical_writes);
     assert!(result.is_err());
 }
 
 #[test]
-fn full_disk_stops_acknowledging_and_loses_nothing() {
+fn full_disk_ends_acknowledgements_and_loses_nothing() {
     let workload = workload(7, STEPS);
     for free_bytes in (0..40_000).step_by(97) {
         let machine = Machine::new(7, free_bytes);
--- a/crates/sablehaven-storage/tests/damage.rs
+++ b/crates/sablehaven-storage/tests/damage.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn every_flipped_bit_is_reported_with_file_and_place() {
+fn every_flipped_bit_is_reported_with_its_file() {
     let (disk, model) = written_disk(3, 12);
     assert!(segments(&disk).len() > 1);
     for name in disk.names_in(folder()) {
@@ -67,7 +67,10 @@
                 // In the space after the last record it is cut like a torn tail.
                 let opened = open(&disk).expect("decides nothing");
                 assert_eq!(opened.groups, model);
-                assert_eq!(opened.cut_tail.expect("cut").offset, stored_end as u64);
+                assert_eq!(
+                    opened.truncated_tail.expect("cut").offset,
+                    stored_end as u64
+                );
             } else {
                 assert_refused(&disk, &name, &format!("{name} at {offset}"));
             }
@@ -100,7 +103,7 @@
 /// Without the synced position (a power failure may lose it) the log itself must tell a torn tail
 /// from damage, for every record but the last.
 #[test]
-fn damage_before_the_last_record_is_no_torn_tail() {
+fn damage_before_the_last_record_is_not_treated_as_a_torn_tail() {
     let (disk, _) = written_disk(5, 24);
     let before = segments(&disk);
     let mut storage = open(&disk).expect("whole").storage;
@@ -129,14 +132,14 @@
     let end = stored_end(&disk, &name);
     let torn = content(&disk, &name)[..end - 1].to_vec();
     disk.damage(&file(&name), torn);
-    let cut = open(&disk).expect("torn").cut_tail.expect("cut");
+    let cut = open(&disk).expect("torn").truncated_tail.expect("cut");
     assert_eq!(cut.offset, last_record as u64);
     assert_eq!(cut.path, file(&name));
 }
 
 /// The broken variant that cuts wherever the first damage is: the comparison with the model finds it.
 #[test]
-fn comparison_finds_cut_at_any_damage() {
+fn model_comparison_detects_truncation_at_the_first_damage() {
     let disk = FaultyDisk::new(1);
     let mut storage = open(&disk).expect("empty").storage;
     let name = segments(&disk).pop().expect("a segment");
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn torn_tail_is_cut_and_stays_cut() {
+fn torn_tail_is_truncated_durably() {
     let (disk, model) = written_disk(6, 10);
     let name = segments(&disk).pop().expect("a segment");
     let end = stored_end(&disk, &name);
@@ -165,13 +168,13 @@
     torn.extend_from_slice(&[0; 700]);
     disk.damage(&file(&name), torn);
     let opened = open(&disk).expect("torn");
-    let cut = opened.cut_tail.expect("cut");
+    let cut = opened.truncated_tail.expect("cut");
     assert_eq!((cut.offset, cut.bytes), (whole.len() as u64, 60));
     assert_eq!(opened.groups, model);
     drop(opened.storage);
     disk.restart(UnsyncedLoss::All);
     assert_eq!(content(&disk, &name), whole);
-    assert_eq!(open(&disk).expect("whole").cut_tail, None);
+    assert_eq!(open(&disk).expect("whole").truncated_tail, None);
 }
 
 #[test]
@@ -199,7 +202,7 @@
 }
 
 #[test]
-fn segment_of_another_disk_is_refused() {
+fn segment_of_another_replica_is_refused() {
     let (disk, _) = written_disk(9, 5);
     let (other, _) = written_disk(10, 5);
     let name = segments(&disk).pop().expect("a segment");
@@ -208,7 +211,7 @@
 }
 
 #[test]
-fn damaged_folder_is_left_as_it_was_found() {
+fn damaged_folder_is_not_modified() {
     let (disk, _) = written_disk(3, 24);
     let name = &segments(&disk)[0];
     let mut damaged = content(&disk, name);
--- a/crates/sablehaven-storage/tests/folder.rs
+++ b/crates/sablehaven-storage/tests/folder.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn real_disk_keeps_everything_and_locks_the_folder() {
+fn real_disk_preserves_writes_and_locks_the_folder() {
     let parent = tempfile::tempdir().expect("temporary folder");
     let folder = parent.path().join("nested").join("data");
     let disk = Arc::new(RealDisk);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn segments_go_once_every_group_has_a_snapshot_over_them() {
+fn segments_are_removed_once_snapshots_of_all_groups_cover_them() {
     let disk = FaultyDisk::new(1);
     let mut storage = open(&disk).expect("empty").storage;
     let vote = HardState {
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn wrong_writes_are_refused_and_leave_storage_usable() {
+fn invalid_writes_are_refused_and_leave_storage_usable() {
     let disk = FaultyDisk::new(1);
     let mut storage = open(&disk).expect("empty").storage;
     write_round(&mut storage, 1, 1);
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn failure_names_step_and_file_and_stays() {
+fn failure_names_operation_and_file_and_persists() {
     let disk = FaultyDisk::new(1);
     let mut storage = open(&disk).expect("empty").storage;
     let write = entries_write(0, vec![entry(1, 1, b"command")]);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn report_shows_torn_tail_and_other_files() {
+fn inspection_reports_torn_tail_and_other_files() {
     let disk = FaultyDisk::new(1);
     let mut storage = open(&disk).expect("empty").storage;
     write_round(&mut storage, 1, 1);
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn settings_out_of_range_are_named() {
+fn settings_out_of_range_are_reported_with_their_keys() {
     let wrong = Options {
         segment_bytes: 1,
         allocation_bytes: u64::MAX,
--- a/crates/sablehaven-storage/tests/format.rs
+++ b/crates/sablehaven-storage/tests/format.rs
@@ -30,7 +30,7 @@
 }
 
 /// What the folder was made of, up to its last call.
-fn sample() -> Vec<Operation> {
+fn sample_operations() -> Vec<Operation> {
     let empty = Entry {
         index: 1,
         term: 1,
@@ -64,12 +64,12 @@
             entries_write(7, vec![entry(1, 1, b"other group")]),
         ]),
         Operation::Compact(0, compacted),
-        last(),
+        last_operation(),
     ]
 }
 
 /// The last call; its record is the end of the segment.
-fn last() -> Operation {
+fn last_operation() -> Operation {
     Operation::Write(vec![entries_write(
         0,
         vec![entry(3, 2, b"replaced"), entry(4, 2, b"")],
@@ -96,7 +96,7 @@
     let opened = open_with(&stored_folder(), sample_options()).expect("version 1");
     assert_eq!(opened.identity.replica, REPLICA);
     let mut model = Model::new();
-    for operation in &sample() {
+    for operation in &sample_operations() {
         apply(&mut model, operation);
     }
     assert_eq!(opened.groups, model);
@@ -111,17 +111,17 @@
     assert_eq!(report.expect("listed").segments[0].records, 3);
     drop(opened);
     // Without its last record, which is then written again.
-    let last_record = record_begin(&whole, 2);
+    let last_record = record_offset(&whole, 2);
     disk.damage(&file(SEGMENT), whole[..last_record].to_vec());
     disk.lose_file(&file("synced-position"));
     let mut storage: Storage = open_with(&disk, sample_options()).expect("shorter").storage;
-    support::run(&mut storage, &last()).expect("written");
+    support::run(&mut storage, &last_operation()).expect("written");
     assert_eq!(disk.content(&file(SEGMENT)), Some(whole));
 }
 
 /// Where the record with this number, from 0, begins: after the file's header, the segment's start
 /// and the records before it.
-fn record_begin(segment: &[u8], number: usize) -> usize {
+fn record_offset(segment: &[u8], number: usize) -> usize {
     let mut begin = 16;
     for _ in 0..=number {
         let length = segment[begin..begin + 4].try_into().expect("4 bytes");
--- a/crates/sablehaven-storage/tests/fuzz.rs
+++ b/crates/sablehaven-storage/tests/fuzz.rs
@@ -107,8 +107,8 @@
     target[..length].copy_from_slice(&bytes[..length]);
 }
 
-const FILE_HEADER: usize = 16;
-const FRAME_HEADER: usize = 20;
+const FILE_HEADER_BYTES: usize = 16;
+const FRAME_HEADER_BYTES: usize = 20;
 
 /// A frame whose checksums fit, to reach the decoder behind them.
 fn frame(seed: u32, sequence: u64, payload: &[u8]) -> Vec<u8> {
@@ -123,7 +123,7 @@
 
 fn frame_length(bytes: &[u8]) -> usize {
     let length = bytes[..4].try_into().expect("4 bytes");
-    FRAME_HEADER + u32::from_le_bytes(length) as usize
+    FRAME_HEADER_BYTES + u32::from_le_bytes(length) as usize
 }
 
 /// Opens and inspects; neither may panic.
@@ -154,7 +154,7 @@
     #![proptest_config(config(20))]
 
     #[test]
-    fn mutated_files_give_the_written_state_or_an_error(
+    fn mutated_files_yield_the_written_state_or_an_error(
         which in any::<prop::sample::Index>(),
         mutations in vec(mutation(), 1..4),
     ) {
@@ -180,13 +180,13 @@
     }
 
     #[test]
-    fn any_payload_behind_right_checksums_is_decoded_or_refused(
+    fn any_payload_with_valid_checksums_is_decoded_or_refused(
         which in any::<prop::sample::Index>(),
         payload in vec(any::<u8>(), 0..120),
     ) {
         let (mut files, _) = WRITTEN.clone();
         let which = which.index(files.len());
-        files[which].1.truncate(FILE_HEADER);
+        files[which].1.truncate(FILE_HEADER_BYTES);
         files[which].1.extend(frame(0, 0, &payload));
         if let Err(error) = try_open(&files) {
             prop_assert!(error.contains("/data/"), "{}", error);
@@ -194,22 +194,22 @@
     }
 
     #[test]
-    fn changed_start_or_record_behind_right_checksums_is_decoded_or_refused(
-        of_start in any::<bool>(),
+    fn mutated_header_or_record_with_valid_checksums_is_decoded_or_refused(
+        in_header in any::<bool>(),
         mutations in vec(mutation(), 1..3),
     ) {
         let (mut files, _) = WRITTEN.clone();
         let replica = open(&disk_with(&files)).expect("whole").identity.replica;
         let segment = files.iter_mut().find(|(name, _)| name.starts_with("segment-"));
         let content = &mut segment.expect("a segment").1;
-        let start_end = FILE_HEADER + frame_length(&content[FILE_HEADER..]);
-        let begin = if of_start { FILE_HEADER } else { start_end };
+        let header_end = FILE_HEADER_BYTES + frame_length(&content[FILE_HEADER_BYTES..]);
+        let begin = if in_header { FILE_HEADER_BYTES } else { header_end };
         let end = begin + frame_length(&content[begin..]);
-        let mut payload = content[begin + FRAME_HEADER..end].to_vec();
+        let mut payload = content[begin + FRAME_HEADER_BYTES..end].to_vec();
         for mutation in &mutations {
             mutate(&mut payload, mutation);
         }
-        let seed = if of_start { 0 } else { crc32c::crc32c(&replica.0.to_le_bytes()) };
+        let seed = if in_header { 0 } else { crc32c::crc32c(&replica.0.to_le_bytes()) };
         let sequence = u64::from_le_bytes(content[begin + 4..begin + 12].try_into().expect("8"));
         content.splice(begin..end, frame(seed, sequence, &payload));
         if let Err(error) = try_open(&files) {
--- a/crates/sablehaven-storage/tests/support/mod.rs
+++ b/crates/sablehaven-storage/tests/support/mod.rs
@@ -13,7 +13,9 @@
     Entry, EntryPayload, HardState, Membership, ReplicaId, Snapshot, SnapshotMetadata,
 };
 use sablehaven_faults::disk::FaultyDisk;
-use sablehaven_storage::{GroupWrite, Opened, Options, RestoredGroup, Storage, StorageError};
+use sablehaven_storage::{
+    GroupWrite, OpenedStorage, Options, RestoredGroup, Storage, StorageError,
+};
 
 /// What storage must hold, by group.
 pub type Model = BTreeMap<u32, RestoredGroup>;
@@ -49,11 +51,11 @@
     }
 }
 
-pub fn open(disk: &FaultyDisk) -> Result<Opened, StorageError> {
+pub fn open(disk: &FaultyDisk) -> Result<OpenedStorage, StorageError> {
     open_with(disk, options())
 }
 
-pub fn open_with(disk: &FaultyDisk, options: Options) -> Result<Opened, StorageError> {
+pub fn open_with(disk: &FaultyDisk, options: Options) -> Result<OpenedStorage, StorageError> {
     Storage::open(folder(), Arc::new(disk.clone()), options)
 }
 
@@ -98,8 +100,8 @@
 
 fn random_operation(model: &Model, random: &mut Pcg64Mcg) -> Operation {
     let group = random.random_range(0..3);
-    if let Some(held) = model.get(&group).filter(|_| random.random_range(0..5) == 0) {
-        let entries = &held.restored.entries;
+    if let Some(stored) = model.get(&group).filter(|_| random.random_range(0..5) == 0) {
+        let entries = &stored.restored.entries;
         if !entries.is_empty() {
             let at = &entries[random.random_range(0..entries.len())];
             let snapshot = snapshot(at.index, at.term, random);
@@ -109,15 +111,15 @@
     let mut batch = Vec::new();
     for group in 0..3 {
         if random.random_range(0..2) == 0 {
-            let held = model.get(&group).cloned().unwrap_or_default();
-            batch.push(random_write(group, &held, random));
+            let stored = model.get(&group).cloned().unwrap_or_default();
+            batch.push(random_write(group, &stored, random));
         }
     }
     Operation::Write(batch)
 }
 
-fn random_write(group: u32, held: &RestoredGroup, random: &mut Pcg64Mcg) -> GroupWrite {
-    let restored = &held.restored;
+fn random_write(group: u32, stored: &RestoredGroup, random: &mut Pcg64Mcg) -> GroupWrite {
+    let restored = &stored.restored;
     let mut write = GroupWrite {
         group,
         ..GroupWrite::default()
@@ -176,27 +178,28 @@
         }
         Operation::Write(batch) => {
             for write in batch {
-                let held = model.entry(write.group).or_default();
+                let stored = model.entry(write.group).or_default();
                 if let Some(hard_state) = write.hard_state {
-                    held.restored.hard_state = hard_state;
+                    stored.restored.hard_state = hard_state;
                 }
                 if let Some(snapshot) = &write.snapshot {
-                    install(held, snapshot);
+                    install(stored, snapshot);
                 }
                 if let Some(first) = write.entries.first() {
-                    held.restored
+                    stored
+                        .restored
                         .entries
                         .retain(|entry| entry.index < first.index);
-                    held.restored.entries.extend(write.entries.clone());
+                    stored.restored.entries.extend(write.entries.clone());
                 }
             }
         }
     }
 }
 
-fn install(held: &mut RestoredGroup, snapshot: &Snapshot) {
+fn install(stored: &mut RestoredGroup, snapshot: &Snapshot) {
     let (index, term) = (snapshot.metadata.index, snapshot.metadata.term);
-    let entries = &mut held.restored.entries;
+    let entries = &mut stored.restored.entries;
     if !entries
         .iter()
         .any(|entry| entry.index == index && entry.term == term)
@@ -204,8 +207,8 @@
         entries.clear();
     }
     entries.retain(|entry| entry.index > index);
-    held.restored.snapshot = snapshot.metadata.clone();
-    held.snapshot_data = Some(snapshot.data.clone());
+    stored.restored.snapshot = snapshot.metadata.clone();
+    stored.snapshot_data = Some(snapshot.data.clone());
 }
 
 /// Writes a whole workload to a new disk.
