--- a/crates/sablehaven-storage/examples/storage_bench/append.rs
+++ b/crates/sablehaven-storage/examples/storage_bench/append.rs
@@ -1,4 +1,5 @@
-//! Appending batches, in turns with a plain loop that appends and syncs as many bytes.
+//! Measures appending batches. The rounds alternate with those of a baseline loop that appends and
+//! syncs the same number of bytes.
 
 use std::{
     error::Error,
@@ -16,12 +17,12 @@
 use crate::{open_with, options};
 
 const BATCH_SIZES: [u64; 4] = [1, 8, 64, 512];
-/// The groups that a batch is spread over.
+/// The largest number of groups that a batch is spread over.
 const GROUPS: u64 = 8;
-/// The size of a command, in bytes: about that of a ledger claim.
+/// The size of a command. A ledger claim has about this size.
 const COMMAND_BYTES: usize = 200;
 
-/// Prints a row for each batch size.
+/// Prints two tables, with and without preallocation, that have a row for each batch size.
 pub fn measure(scratch: &Path, rounds: usize, batches: u64) -> Result<(), Box<dyn Error>> {
     for allocation_bytes in [options().allocation_bytes, 0] {
         measure_allocation(scratch, allocation_bytes, rounds, batches)?;
@@ -36,11 +37,11 @@
     batches: u64,
 ) -> Result<(), Box<dyn Error>> {
     println!(
-        "\nAppending, allocating {allocation_bytes} bytes at a time: {batches} batches a round, \
+        "\nAppend, allocating {allocation_bytes} bytes at a time: {batches} batches per round, \
          medians of {rounds} rounds"
     );
     println!(
-        "| records a batch | syncs a record | bytes a batch | records/s | plain loop, records/s | ratio | middle half of ratios |"
+        "| records per batch | syncs per record | bytes per batch | records/s | baseline loop, records/s | ratio | interquartile range of ratios |"
     );
     println!("|---|---|---|---|---|---|---|");
     for size in BATCH_SIZES {
@@ -68,7 +69,7 @@
     let mut baseline_length = 0;
     let (mut rates, mut baseline_rates, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
     let mut next_index = 1;
-    // One round more than asked for: the first warms both up and is not counted.
+    // The first round is a warm-up and is not counted, so there is one more than requested.
     for round in 0..=rounds {
         let bytes_before = storage.counters().log_bytes;
         let elapsed = append(&mut storage, &mut next_index, size, batches)?;
@@ -94,7 +95,8 @@
     Ok(())
 }
 
-/// Appends batches; each group's records of a batch have consecutive indices.
+/// Appends batches and returns the time spent in [`Storage::write`]. A group's entries have
+/// consecutive indexes.
 fn append(
     storage: &mut Storage,
     next_index: &mut u64,
@@ -124,7 +126,7 @@
     (0..groups).map(write).collect()
 }
 
-/// An entry whose command is different for each index.
+/// Returns an entry whose command depends on its index.
 pub fn entry(index: u64) -> Entry {
     let mut command = vec![0; COMMAND_BYTES];
     for (position, byte) in command.iter_mut().enumerate() {
@@ -137,7 +139,7 @@
     }
 }
 
-/// The least that any log must do: write the bytes after the last ones, then sync.
+/// Appends and syncs plain bytes, which is the minimum work of any durable log.
 fn append_baseline(
     file: &File,
     length: &mut u64,
--- a/crates/sablehaven-storage/examples/storage_bench/main.rs
+++ b/crates/sablehaven-storage/examples/storage_bench/main.rs
@@ -1,5 +1,7 @@
-//! Measures storage on the disk of a folder: appending beside a plain append-and-sync loop of the same
-//! bytes, and recovery against the log's length and a snapshot's size.
+//! Benchmarks storage on the disk that holds a given folder.
+//!
+//! Measures the append throughput against a baseline loop that appends and syncs the same number of
+//! bytes, and the recovery time as a function of the log's length and of the snapshot's size.
 //!
 //!     cargo run --release -p sablehaven-storage --example storage_bench -- --folder target
 
@@ -31,26 +33,26 @@
 fn command() -> Command {
     let folder = Arg::new("folder")
         .long("folder")
-        .help("Where the scratch folder is made; its disk is what is measured")
+        .help("Parent of the scratch folder; the benchmark measures the disk it is on")
         .default_value("target")
         .value_parser(value_parser!(PathBuf));
     let rounds = Arg::new("rounds")
         .long("rounds")
-        .help("Rounds of appending, in turns with the plain loop; the table shows medians")
+        .help("Append rounds, alternating with the baseline loop; the table shows medians")
         .default_value("41")
         .value_parser(value_parser!(usize));
     let batches = Arg::new("batches")
         .long("batches")
-        .help("Batches in a round of appending")
+        .help("Batches per append round")
         .default_value("100")
         .value_parser(value_parser!(u64));
     let openings = Arg::new("openings")
         .long("openings")
-        .help("Openings of each folder; the table shows medians")
+        .help("How many times each folder is opened; the table shows medians")
         .default_value("9")
         .value_parser(value_parser!(usize));
     Command::new("storage_bench")
-        .about("Measures appending and recovery of sablehaven-storage")
+        .about("Benchmarks append and recovery in sablehaven-storage")
         .args([folder, rounds, batches, openings])
 }
 
--- a/crates/sablehaven-storage/examples/storage_bench/recovery.rs
+++ b/crates/sablehaven-storage/examples/storage_bench/recovery.rs
@@ -1,5 +1,8 @@
-//! Opening a data folder, against the log's length and a snapshot's size. The files are in the page
-//! cache, since they have just been written: a cold disk adds its own reading time.
+//! Measures the time to open a data folder as a function of the log's length and the snapshot's
+//! size.
+//!
+//! The files have just been written and are in the page cache. A cold cache adds the time to read
+//! them from the disk.
 
 use std::{error::Error, path::Path, time::Instant};
 
@@ -11,13 +14,12 @@
 
 const LOG_RECORD_COUNTS: [u64; 5] = [10_000, 50_000, 100_000, 250_000, 500_000];
 const SNAPSHOT_MEBIBYTES: [usize; 5] = [1, 16, 64, 128, 256];
-/// How many entries a batch has while the log is filled.
 const ENTRIES_PER_FILL_BATCH: u64 = 500;
 const MEBIBYTE: usize = 1024 * 1024;
 
-/// Prints recovery times against the number of records in the log, and their line.
+/// Prints the recovery time for each number of log records, and a linear fit.
 pub fn measure_log(scratch: &Path, rounds: usize) -> Result<(), Box<dyn Error>> {
-    println!("\nRecovery against log length: medians of {rounds} openings, warm page cache");
+    println!("\nRecovery by log length: medians of {rounds} openings, warm page cache");
     println!("| records | log, MiB | open, ms |");
     println!("|---|---|---|");
     let mut points = Vec::new();
@@ -36,9 +38,9 @@
     Ok(())
 }
 
-/// Prints recovery times against the size of one snapshot, and their line.
+/// Prints the recovery time for each size of a single snapshot, and a linear fit.
 pub fn measure_snapshot(scratch: &Path, rounds: usize) -> Result<(), Box<dyn Error>> {
-    println!("\nRecovery against snapshot size: medians of {rounds} openings, warm page cache");
+    println!("\nRecovery by snapshot size: medians of {rounds} openings, warm page cache");
     println!("| snapshot, MiB | write, ms | open, ms |");
     println!("|---|---|---|");
     let mut points = Vec::new();
@@ -101,7 +103,7 @@
         return;
     };
     println!(
-        "Line: {:.2} ms + {:.4} ms (standard error {:.4}) a {unit}; {:.3} of the variance explained",
+        "Linear fit: {:.2} ms + {:.4} ms (standard error {:.4}) per {unit}; R² = {:.3}",
         line.intercept, line.slope, line.slope_error, line.explained
     );
 }
--- a/crates/sablehaven-storage/src/commit.rs
+++ b/crates/sablehaven-storage/src/commit.rs
@@ -1,4 +1,7 @@
-//! How a batch becomes durable: checks, the record, segment changes and removal.
+//! Makes a batch durable.
+//!
+//! A batch is checked and encoded as a record, the log moves to a new segment if the active one is
+//! full, the record is appended, and files that are no longer needed are removed.
 
 use std::collections::BTreeSet;
 
@@ -19,11 +22,12 @@
     write::GroupWrite,
 };
 
-/// The largest command, in bytes: a record's payload less ample room for what is beside it.
+/// The largest command: a record's maximum payload minus 1 MiB, which is ample for the other fields
+/// of the record.
 const MAXIMUM_COMMAND_BYTES: usize = MAXIMUM_PAYLOAD_BYTES - 1024 * 1024;
 
 impl Storage {
-    /// The record for a batch, checked against what is stored.
+    /// Checks a batch against the stored state and converts it to a record.
     pub(crate) fn record_of_batch<'a>(
         &self,
         batch: &'a [GroupWrite],
@@ -32,7 +36,7 @@
         let mut groups = BTreeSet::new();
         for write in batch {
             if !groups.insert(write.group) {
-                let reason = "the batch holds the group twice";
+                let reason = "the batch contains the group twice";
                 return Err(invalid_write(write.group, reason));
             }
             check_entry_sizes(write)?;
@@ -41,7 +45,7 @@
         Ok(Record { writes })
     }
 
-    /// The frame of a record.
+    /// Encodes a record as a frame.
     pub(crate) fn encode(&self, record: &Record<'_>) -> Result<Vec<u8>, StorageError> {
         let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES);
         let seed = checksum_seed(self.identity.replica);
@@ -51,15 +55,15 @@
         Ok(frame)
     }
 
-    /// Makes a checked record durable and takes it over.
+    /// Makes a checked record durable and applies it to the state in memory.
     pub(crate) fn commit(
         &mut self,
         batch: &[GroupWrite],
         record: &Record<'_>,
         frame: Vec<u8>,
     ) -> Result<(), StorageError> {
-        // The order must hold: a record may refer only to snapshot files that are durable, or a
-        // crash would leave a reference to a file that is not there.
+        // Snapshot files must be durable before the record that refers to them. Otherwise a crash
+        // could leave a record that refers to a missing file.
         self.write_snapshots(batch, record)?;
         if self.is_full(&frame) {
             self.rotate_segment()?;
@@ -67,20 +71,20 @@
         self.append(frame)?;
         let replaced = self.replaced_snapshot_files(record);
         self.apply_record(record);
-        // Only what is durable may make anything superfluous, so removal comes last.
+        // Files may be removed only after the record that replaces them is durable.
         for name in replaced {
             self.folder.remove(&name)?;
         }
         self.remove_covered_segments()
     }
 
-    /// The index of the last entry that a group's snapshot covers.
+    /// Returns the index of the last entry that a group's snapshot covers, or 0 without a snapshot.
     pub(crate) fn snapshot_index(&self, group: u32) -> u64 {
         let state = self.groups.get(&group);
         state.map_or(0, GroupState::snapshot_index)
     }
 
-    /// Checks that a snapshot of this replica's own state stands at a stored entry.
+    /// Checks that a snapshot of this replica's own state ends at a stored entry of the same term.
     pub(crate) fn check_snapshot_position(
         &self,
         group: u32,
@@ -90,11 +94,13 @@
             return Ok(());
         }
         let (index, term) = (metadata.index, metadata.term);
-        let reason = format!("no entry {index} of term {term} is stored that a snapshot may cover");
+        let reason =
+            format!("the snapshot ends at entry {index} of term {term}, which is not stored");
         Err(invalid_write(group, reason))
     }
 
-    /// Removes a prepared snapshot that came too late.
+    /// Removes the file of a prepared snapshot that is not newer than the stored one, unless both
+    /// are the same file.
     pub(crate) fn remove_unless_current(
         &mut self,
         prepared: &PreparedSnapshot,
@@ -156,7 +162,7 @@
         active.records > 0 && length > self.options.segment_bytes
     }
 
-    /// Closes the active segment and begins the next one.
+    /// Closes the active segment and creates the next one.
     fn rotate_segment(&mut self) -> Result<(), StorageError> {
         let number = self.manifest.last_segment + 1;
         let groups = self.groups.iter();
@@ -168,9 +174,10 @@
                 .map(|(group, state)| state.checkpoint(*group))
                 .collect(),
         };
-        // The order must hold: the segment is durable before the manifest names it, and the
-        // manifest is durable before a record is acknowledged in it. Otherwise a crash could leave
-        // a manifest that names no file, or acknowledged records that nothing names.
+        // The segment must be durable before the manifest lists it, and the manifest must be
+        // durable before a record in the segment is acknowledged. Otherwise a crash could leave a
+        // manifest that lists a missing file, or acknowledged records in a segment that is not
+        // listed.
         let header_end = segment::create(&self.folder, &header)?;
         let manifest = Manifest {
             last_segment: number,
@@ -194,7 +201,7 @@
         Ok(())
     }
 
-    /// The one write and the one sync of a record.
+    /// Appends a record to the active segment with one write and one sync.
     fn append(&mut self, mut frame: Vec<u8>) -> Result<(), StorageError> {
         let frame_bytes = frame.len() as u64;
         self.allocate(&mut frame);
@@ -213,8 +220,9 @@
         })
     }
 
-    /// Where a record does not fit into the file, lets it bring along the space for the next ones,
-    /// as far as the segment may grow.
+    /// Pads a record that reaches past the end of the file with zeros, which allocates space for
+    /// later records in the same write. The padding does not reach beyond the segment's maximum
+    /// size.
     fn allocate(&mut self, frame: &mut Vec<u8>) {
         let active = &mut self.active;
         let end = active.summary.records_end + frame.len() as u64;
@@ -227,7 +235,7 @@
         frame.resize(frame.len() + added as usize, 0);
     }
 
-    /// The files of the snapshots that a record replaces.
+    /// Returns the names of the snapshot files that a record replaces.
     fn replaced_snapshot_files(&self, record: &Record<'_>) -> Vec<String> {
         let with_snapshot = record
             .writes
@@ -248,7 +256,7 @@
         }
     }
 
-    /// Removes the oldest segments whose entries are all covered by snapshots.
+    /// Removes the oldest segments. Stops at the first one with an entry that no snapshot covers.
     fn remove_covered_segments(&mut self) -> Result<(), StorageError> {
         let covered = self
             .closed
@@ -258,7 +266,8 @@
         let Some(last_covered) = covered.last() else {
             return Ok(());
         };
-        // The order must hold: once the manifest no longer names them their loss is no damage.
+        // The manifest must stop listing the segments before their files are removed: a listed
+        // segment that is missing counts as damage.
         let manifest = Manifest {
             first_segment: last_covered + 1,
             ..self.manifest
@@ -279,7 +288,8 @@
     }
 }
 
-/// An entry larger than this could not be read back; smaller ones fit into a record by themselves.
+/// Checks that each command is small enough for a record of its own. A larger one could not be read
+/// back.
 fn check_entry_sizes(write: &GroupWrite) -> Result<(), StorageError> {
     for entry in &write.entries {
         let EntryPayload::Command(command) = &entry.payload else {
--- a/crates/sablehaven-storage/src/error.rs
+++ b/crates/sablehaven-storage/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors, each with the step and the file at which it arose.
+//! Storage errors. A disk error names the operation that failed and the file.
 
 use std::{io, path::PathBuf};
 
-/// What storage was doing.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum StorageOperation {
     /// create data folder
@@ -19,7 +19,7 @@
     Open,
     /// write
     Write,
-    /// cut torn tail of
+    /// truncate torn tail of
     Truncate,
     /// sync
     Sync,
@@ -33,12 +33,12 @@
     Encode,
 }
 
-/// Errors of storage.
+/// A storage error.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StorageError {
     /// {operation} {path}: {source}
     Disk {
-        /// The step that failed.
+        /// The operation that failed.
         operation: StorageOperation,
         /// The file or folder.
         path: PathBuf,
@@ -52,11 +52,11 @@
     },
     /// {path} is damaged at byte {offset}: {reason}
     Damaged {
-        /// The file; a file that should be there and is not is named too, with offset 0.
+        /// The damaged file. A missing file is reported here too, with offset 0.
         path: PathBuf,
-        /// Where in the file, in bytes.
+        /// The offset of the damage in the file, in bytes.
         offset: u64,
-        /// What is wrong there.
+        /// A description of the damage.
         reason: String,
     },
     /// {path} has format version {found}; this program reads version {known}
@@ -65,7 +65,7 @@
         path: PathBuf,
         /// The version in the file.
         found: u32,
-        /// The version that this program reads and writes.
+        /// The only version that this program reads and writes.
         known: u32,
     },
     /// data folder {path} belongs to deployment '{found}', not to '{expected}'
@@ -81,23 +81,24 @@
     InvalidWrite {
         /// The group.
         group: u32,
-        /// What does not fit; nothing was written and storage stays usable.
+        /// Why the write is invalid. Nothing was written and storage stays usable.
         reason: String,
     },
-    /// write for group {group} refused: entry {index} has {bytes} bytes, allowed are {allowed}
+    /// write for group {group} refused: entry {index} has {bytes} bytes, the maximum is {allowed}
     EntryTooLarge {
         /// The group.
         group: u32,
-        /// The entry.
+        /// The entry's index.
         index: u64,
-        /// Its command's size; nothing was written and storage stays usable.
+        /// The size in bytes of the entry's command, or of the record that contains only this
+        /// entry. Nothing was written and storage stays usable.
         bytes: u64,
-        /// The largest size of a command.
+        /// The maximum size, in bytes.
         allowed: u64,
     },
-    /// refused, since an earlier step failed: {first}
+    /// storage is unusable after an earlier failure: {first}
     Poisoned {
-        /// The first failure.
+        /// The error message of the first failure.
         first: String,
     },
 }
--- a/crates/sablehaven-storage/src/folder.rs
+++ b/crates/sablehaven-storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! A data folder's files, with errors that name step and file.
+//! File operations in a data folder. Their errors name the operation and the file.
 
 use std::{
     io,
@@ -20,7 +20,7 @@
     disk: Arc<dyn Disk>,
 }
 
-/// A file of the folder opened for writing.
+/// A file in the data folder, opened for writing.
 #[derive(Debug)]
 pub(crate) struct FolderFile {
     path: PathBuf,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The names of the files, in ascending order.
+    /// Lists the names of the files in ascending order.
     pub(crate) fn list(&self) -> Result<Vec<String>, StorageError> {
         let result = self.disk.list(&self.path);
         let mut list =
@@ -64,21 +64,22 @@
         Ok(list)
     }
 
-    /// Reads a file; `None` where there is none of that name.
+    /// Reads a file, or returns `None` if it does not exist. A file longer than `limit` bytes
+    /// counts as damaged.
     pub(crate) fn read(&self, name: &str, limit: u64) -> Result<Option<Vec<u8>>, StorageError> {
         let path = self.path_of(name);
         match self.disk.read(&path, limit) {
             Ok(content) => Ok(Some(content)),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
             Err(error) if error.kind() == io::ErrorKind::FileTooLarge => {
-                let reason = format!("the file is longer than the {limit} bytes it may have");
+                let reason = format!("the file is longer than its maximum of {limit} bytes");
                 Err(self.damaged(name, limit, reason))
             }
             Err(source) => Err(disk_error(StorageOperation::Read, &path, source)),
         }
     }
 
-    /// Reads a file that must be there.
+    /// Reads a file that must exist.
     pub(crate) fn read_existing(&self, name: &str, limit: u64) -> Result<Vec<u8>, StorageError> {
         let content = self.read(name, limit)?;
         content.ok_or_else(|| self.damaged(name, 0, "the file is missing"))
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Writes a whole file durably: a crash leaves the former file or this one, never a part.
+    /// Replaces a whole file atomically and durably. A crash leaves either the previous file or the
+    /// new one, never a part of it.
     pub(crate) fn write_file(&self, name: &str, parts: &[&[u8]]) -> Result<(), StorageError> {
         let temporary = names::temporary(name);
         let mut file = self.create_file(&temporary)?;
@@ -109,8 +111,8 @@
             file.write_at(offset, part)?;
             offset += part.len() as u64;
         }
-        // The content must be durable before the name is: otherwise a crash could leave a file of
-        // this name with a part of the content.
+        // The content must be durable before the rename. Otherwise a crash could leave a file of
+        // this name with only a part of the content.
         file.sync()?;
         let (from, to) = (self.path_of(&temporary), self.path_of(name));
         let result = self.disk.rename(&from, &to);
--- a/crates/sablehaven-storage/src/format.rs
+++ b/crates/sablehaven-storage/src/format.rs
@@ -1,14 +1,21 @@
-//! File headers, checksummed frames and small files made of one frame.
+//! Encoding of file headers, checksummed frames and documents.
 //!
-//! Every file begins with a header that no later version will change: 8 bytes that name its kind, its
-//! version (u32) and the CRC-32C of both. So an unknown version can be told from a damaged header.
+//! Every file begins with a header whose layout stays the same in all versions: 8 magic bytes that
+//! identify the kind of file, the format version (u32), and the CRC-32C of both. A reader can
+//! therefore distinguish an unknown version from a damaged header.
 //!
-//! A frame is its payload's length (u32), a sequence number (u64), the payload's CRC-32C (u32), the
-//! CRC-32C of these 16 bytes (u32), and the payload. The header has a checksum of its own so that a
-//! damaged length is never followed, and so that the search for frames after a damage costs no
-//! checksum of a payload at wrong places. Numbers are little-endian. Both checksums begin from a seed
-//! that is made of the disk's identity, so that a frame of another disk, or one that a caller packed
-//! into a command, is no frame here.
+//! A frame consists of the payload's length (u32), a sequence number (u64), the payload's CRC-32C
+//! (u32), the CRC-32C of these 16 bytes (u32), and the payload. All numbers are little-endian.
+//!
+//! The frame header has its own checksum for two reasons: a damaged length is never used, and a
+//! search for frames after a damaged one computes no payload checksum at offsets where no frame
+//! begins.
+//!
+//! Both checksums start from a seed that is derived from the replica's identity. A frame that
+//! another replica wrote, or that a caller embedded in a command, is therefore not recognized as a
+//! frame.
+//!
+//! A document is a file header followed by one frame.
 
 use sablehaven_consensus::ReplicaId;
 use serde::{Serialize, de::DeserializeOwned};
@@ -16,18 +23,18 @@
 /// The version of every file format in the data folder.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// The size of a file's header, in bytes.
+/// The size of a file header.
 pub(crate) const FILE_HEADER_BYTES: usize = 16;
-/// The size of a frame's header, in bytes.
+/// The size of a frame header.
 pub(crate) const FRAME_HEADER_BYTES: usize = 20;
-/// The largest payload of a frame, in bytes.
+/// The maximum size of a frame's payload.
 pub(crate) const MAXIMUM_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
-/// The largest size of a file that consists of one small frame, in bytes.
+/// The maximum size of a file that consists of one document.
 pub(crate) const MAXIMUM_DOCUMENT_BYTES: u64 = 1024 * 1024;
-/// The seed of frames that are read before the disk's identity is known.
+/// The checksum seed of documents. They are read before the replica's identity is known.
 pub(crate) const NO_SEED: u32 = 0;
 
-/// The kinds of files, by their first 8 bytes.
+/// The kind of a file, identified by the file's first 8 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Identity,
@@ -49,7 +56,7 @@
     }
 }
 
-/// Why a file or frame cannot be used.
+/// Why a file cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FormatError {
     UnknownVersion(u32),
@@ -65,39 +72,39 @@
     }
 }
 
-/// A frame that was read and whose checksums fit.
+/// A decoded frame whose checksums match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Frame<'a> {
     pub(crate) sequence: u64,
     pub(crate) payload: &'a [u8],
-    /// Where the next frame begins.
+    /// The offset at which the next frame begins.
     pub(crate) end: usize,
 }
 
-/// Why no frame can be read at a place.
+/// Why no frame can be decoded at an offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub(crate) enum FrameError {
-    /// the file ends within a record's header
+    /// the file ends within a record header
     TruncatedHeader,
-    /// a record's header does not match its checksum
+    /// a record header does not match its checksum
     HeaderChecksum,
-    /// a record's length is over the limit
+    /// a record's length exceeds the limit
     TooLong,
     /// the file ends within a record
     TruncatedPayload,
     /// a record does not match its checksum
     PayloadChecksum {
-        /// Where the record ends.
+        /// The offset at which the record ends.
         end: usize,
     },
 }
 
-/// The seed of the checksums of a disk's frames.
+/// Returns the seed for the checksums of a replica's frames.
 pub(crate) fn checksum_seed(replica: ReplicaId) -> u32 {
     crc32c::crc32c(&replica.0.to_le_bytes())
 }
 
-/// The header of a file of this kind.
+/// Encodes the header of a file of the given kind.
 pub(crate) fn file_header(kind: FileKind) -> [u8; FILE_HEADER_BYTES] {
     let mut header = [0; FILE_HEADER_BYTES];
     header[..8].copy_from_slice(kind.magic());
@@ -107,18 +114,18 @@
     header
 }
 
-/// Checks the header of a file.
+/// Checks the kind, version and checksum in a file header.
 pub(crate) fn check_file_header(kind: FileKind, bytes: &[u8]) -> Result<(), FormatError> {
     let Some(header) = bytes.get(..FILE_HEADER_BYTES) else {
         let reason = "the file ends within its header";
         return Err(FormatError::damaged(bytes.len(), reason));
     };
     if crc32c::crc32c(&header[..12]) != read_u32(&header[12..]) {
-        let reason = "the file's header does not match its checksum";
+        let reason = "the file header does not match its checksum";
         return Err(FormatError::damaged(0, reason));
     }
     if &header[..8] != kind.magic() {
-        let reason = "the file is of another kind than its name says";
+        let reason = "the kind of the file does not match its name";
         return Err(FormatError::damaged(0, reason));
     }
     match read_u32(&header[8..]) {
@@ -138,7 +145,8 @@
     let payload_begin = begin + FRAME_HEADER_BYTES;
     bytes.resize(payload_begin, 0);
     rmp_serde::encode::write(bytes, value)?;
-    // A longer payload is refused by the callers before it is written; the cast loses nothing then.
+    // Callers refuse a payload over the limit before they write the frame, so the length of every
+    // written frame fits into 32 bits.
     let length = (bytes.len() - payload_begin) as u32;
     let payload_checksum = crc32c::crc32c_append(seed, &bytes[payload_begin..]);
     let header = &mut bytes[begin..payload_begin];
@@ -150,7 +158,7 @@
     Ok(())
 }
 
-/// Reads the frame at `offset`.
+/// Decodes the frame at `offset`.
 pub(crate) fn read_frame(bytes: &[u8], offset: usize, seed: u32) -> Result<Frame<'_>, FrameError> {
     let rest = bytes.get(offset..).unwrap_or_default();
     let Some((header, rest)) = rest.split_at_checked(FRAME_HEADER_BYTES) else {
@@ -177,7 +185,8 @@
     })
 }
 
-/// Whether a whole frame with a sequence number over `sequence` begins anywhere after the first byte.
+/// Returns whether a valid frame with a sequence number greater than `sequence` begins anywhere
+/// after the first byte.
 pub(crate) fn later_frame_exists(bytes: &[u8], seed: u32, sequence: u64) -> bool {
     let is_later = |candidate| match read_frame(bytes, candidate, seed) {
         Ok(frame) => frame.sequence > sequence,
@@ -186,7 +195,7 @@
     (1..bytes.len()).any(is_later)
 }
 
-/// A file header followed by one frame.
+/// Encodes a file header followed by one frame.
 pub(crate) fn encode_document<T: Serialize>(
     kind: FileKind,
     value: &T,
@@ -196,7 +205,8 @@
     Ok(bytes)
 }
 
-/// Reads a file header and the frame after it; also returns where the frame ends.
+/// Decodes a file header and the frame after it, and returns the value and the offset at which the
+/// frame ends.
 pub(crate) fn decode_document<T: DeserializeOwned>(
     kind: FileKind,
     bytes: &[u8],
@@ -209,27 +219,33 @@
     Ok((value, frame.end))
 }
 
-/// Reads a file that consists of a header and one frame.
+/// Decodes a file that consists of a file header and one frame only.
 pub(crate) fn decode_whole_document<T: DeserializeOwned>(
     kind: FileKind,
     bytes: &[u8],
 ) -> Result<T, FormatError> {
     let (value, end) = decode_document(kind, bytes)?;
     if end != bytes.len() {
-        let reason = "unexpected bytes after the end";
+        let reason = "unexpected bytes after the end of the document";
         return Err(FormatError::damaged(end, reason));
     }
     Ok(value)
 }
 
-/// The number in the first 4 bytes; the caller has made sure that there are as many.
+/// Decodes the first 4 bytes.
+///
+/// # Panics
+/// If there are fewer bytes.
 pub(crate) fn read_u32(bytes: &[u8]) -> u32 {
     let mut number = [0; 4];
     number.copy_from_slice(&bytes[..4]);
     u32::from_le_bytes(number)
 }
 
-/// The number in the first 8 bytes; the caller has made sure that there are as many.
+/// Decodes the first 8 bytes.
+///
+/// # Panics
+/// If there are fewer bytes.
 pub(crate) fn read_u64(bytes: &[u8]) -> u64 {
     let mut number = [0; 8];
     number.copy_from_slice(&bytes[..8]);
--- a/crates/sablehaven-storage/src/group_state.rs
+++ b/crates/sablehaven-storage/src/group_state.rs
@@ -1,4 +1,4 @@
-//! Where a group stands: what storage keeps in memory of it, and the rules that writes must keep.
+//! The state of a group that storage keeps in memory, and the validation of writes against it.
 
 use std::collections::VecDeque;
 
@@ -6,21 +6,21 @@
 
 use crate::record::{GroupCheckpoint, RecordWrite, SnapshotReference};
 
-/// The largest index, sequence number or segment number that is taken for real; it keeps a number
-/// made of damaged bytes from overflowing.
+/// The largest index, sequence number or segment number that is accepted. The limit prevents an
+/// arithmetic overflow with a number that was decoded from damaged bytes.
 pub(crate) const MAXIMUM_NUMBER: u64 = u64::MAX / 2;
 
-/// Where a group stands.
+/// The stored state of a group, without the entries' payloads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct GroupState {
     pub(crate) hard_state: HardState,
     pub(crate) snapshot: Option<SnapshotReference>,
     pub(crate) last_index: u64,
-    /// The terms of the stored entries, one run for each term.
+    /// The terms of the stored entries, as one run per term in ascending order.
     term_runs: VecDeque<TermRun>,
 }
 
-/// Consecutive entries of one term.
+/// A run of consecutive entries of the same term, up to the start of the next run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TermRun {
     first_index: u64,
@@ -46,13 +46,13 @@
         }
     }
 
-    /// The index of the last entry that the snapshot covers; 0 without a snapshot.
+    /// Returns the index of the last entry that the snapshot covers, or 0 without a snapshot.
     pub(crate) fn snapshot_index(&self) -> u64 {
         let snapshot = self.snapshot.as_ref();
         snapshot.map_or(0, |reference| reference.metadata.index)
     }
 
-    /// The term of a stored entry; `None` where none is stored at this index.
+    /// Returns the term of the stored entry at an index, or `None` if there is none.
     pub(crate) fn term_of(&self, index: u64) -> Option<u64> {
         if index > self.last_index {
             return None;
@@ -62,7 +62,7 @@
         Some(run.term)
     }
 
-    /// Checks that a write follows what is stored.
+    /// Checks that a write is consistent with the stored state.
     pub(crate) fn check(&self, write: &RecordWrite<'_>) -> Result<(), String> {
         let mut snapshot_index = self.snapshot_index();
         let mut last_index = self.last_index;
@@ -80,7 +80,7 @@
                 last_index = index;
             } else if index > last_index {
                 return Err(format!(
-                    "snapshot at {index} cannot keep entries that end at {last_index}"
+                    "snapshot at {index} cannot keep later entries: the last entry is {last_index}"
                 ));
             }
             snapshot_index = index;
@@ -99,19 +99,22 @@
         }
         if first.index > last_index + 1 {
             return Err(format!(
-                "entry {} does not follow the last one, {last_index}",
+                "entry {} leaves a gap after the last entry, {last_index}",
                 first.index
             ));
         }
         for (expected, entry) in (first.index..).zip(&write.entries) {
             if entry.index != expected {
-                return Err(format!("entry {} in place of {expected}", entry.index));
+                return Err(format!(
+                    "found entry {} where entry {expected} was expected",
+                    entry.index
+                ));
             }
         }
         Ok(())
     }
 
-    /// Takes a write that [`Self::check`] found right.
+    /// Applies a write that [`Self::check`] has accepted.
     pub(crate) fn apply(&mut self, write: &RecordWrite<'_>) {
         if let Some(hard_state) = write.hard_state {
             self.hard_state = hard_state;
--- a/crates/sablehaven-storage/src/identity.rs
+++ b/crates/sablehaven-storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a data folder belongs to.
+//! The identity of a data folder: the replica and the deployment that it belongs to.
 
 use sablehaven_consensus::ReplicaId;
 use serde::{Deserialize, Serialize};
@@ -12,19 +12,20 @@
     names,
 };
 
-/// Made once, when a data folder is formatted; never changed.
+/// The identity of a data folder. It is created when the folder is formatted and never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The replica, a random number: a lost or emptied disk comes back as another replica.
+    /// The replica's id, a random number. A replica whose disk was lost or emptied therefore starts
+    /// with a different id.
     pub replica: ReplicaId,
     /// The deployment's name.
     pub deployment: String,
-    /// The version of the folder's formats.
+    /// The format version of the folder's files.
     pub format_version: u32,
 }
 
 impl Identity {
-    /// A new disk's identity.
+    /// Creates the identity for a folder that is being formatted.
     pub(crate) fn random(deployment: &str) -> Self {
         Self {
             replica: ReplicaId(rand::random()),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Reads the identity; `None` where the folder has none.
+    /// Reads the identity, or returns `None` if the folder has none.
     pub(crate) fn read(folder: &Folder) -> Result<Option<Self>, StorageError> {
         let Some(content) = folder.read(names::IDENTITY, MAXIMUM_DOCUMENT_BYTES)? else {
             return Ok(None);
--- a/crates/sablehaven-storage/src/inspect.rs
+++ b/crates/sablehaven-storage/src/inspect.rs
@@ -1,4 +1,4 @@
-//! A report on a data folder, made without the lock and without changing anything.
+//! Read-only inspection of a data folder, without acquiring its lock.
 
 use std::{collections::BTreeMap, path::Path, sync::Arc};
 
@@ -19,50 +19,50 @@
     snapshot_file,
 };
 
-/// What a data folder holds.
+/// The contents of a data folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inspection {
-    /// Who it belongs to; `None` in a folder that is not formatted or whose identity is damaged.
+    /// The folder's identity; `None` if the folder is not formatted or its identity is damaged.
     pub identity: Option<Identity>,
     /// The log's segments, in order.
     pub segments: Vec<SegmentReport>,
-    /// Where each group stands, as far as the log can be read.
+    /// The state of each group, as far as the log can be read.
     pub groups: BTreeMap<u32, GroupReport>,
-    /// An unfinished write at the end of the log, which the next start cuts. A running process may
-    /// show one for a moment.
+    /// An unfinished write at the end of the log, which the next start truncates. If a process is
+    /// writing to the folder, its current write may appear here.
     pub torn_tail: Option<TornTail>,
-    /// What keeps the folder from being opened; empty where nothing does.
+    /// The damage that prevents the folder from being opened; empty if there is none.
     pub damage: Vec<DamageReport>,
-    /// Files that are no part of what is stored: leftovers, which the next start removes, and
-    /// strangers, which it leaves alone.
+    /// Files that are not part of the stored state: leftovers of storage, which the next start
+    /// removes, and unrelated files, which it keeps.
     pub other_files: Vec<String>,
 }
 
 /// One segment of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentReport {
-    /// Its number.
+    /// The segment's number.
     pub number: u64,
-    /// Its file's name.
+    /// The name of its file.
     pub file: String,
-    /// Its size in bytes.
+    /// The size of its valid content in bytes, without allocated space.
     pub bytes: u64,
-    /// How many whole records it holds.
+    /// The number of complete records.
     pub records: u64,
 }
 
-/// Where one group stands.
+/// The stored state of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupReport {
-    /// Term and vote.
+    /// The current term and vote.
     pub hard_state: HardState,
-    /// The latest snapshot's position and members.
+    /// The position and membership of the latest snapshot.
     pub snapshot: SnapshotMetadata,
-    /// The size of its data in bytes; `None` without a snapshot.
+    /// The size of the snapshot's data in bytes; `None` without a snapshot.
     pub snapshot_bytes: Option<u64>,
-    /// The last stored entry's index; the snapshot's where no entry follows it.
+    /// The index of the last stored entry, or the snapshot's index if no entry follows it.
     pub last_index: u64,
-    /// How many entries after the snapshot are stored.
+    /// The number of stored entries after the snapshot.
     pub entries: u64,
 }
 
@@ -71,35 +71,35 @@
 pub struct TornTail {
     /// The segment's file name.
     pub file: String,
-    /// Where it begins, in bytes.
+    /// The offset at which it begins, in bytes.
     pub offset: u64,
     /// Its length in bytes.
     pub bytes: u64,
 }
 
-/// One damage.
+/// Damage to a file, or an error while reading it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DamageReport {
-    /// The file's name.
+    /// The file's name; empty if it is unknown.
     pub file: String,
-    /// Where in the file, in bytes, where that is known.
+    /// The offset of the damage in bytes, if it is known.
     pub offset: Option<u64>,
-    /// What is wrong.
+    /// A description of the damage.
     pub reason: String,
 }
 
-/// Reports on a data folder of this machine.
+/// Inspects a data folder on this machine's file system.
 ///
 /// # Errors
-/// Only when the folder cannot be listed; damage is part of the report.
+/// Fails only if the folder cannot be listed. Damage is part of the returned report.
 pub fn inspect(folder: &Path) -> Result<Inspection, StorageError> {
     inspect_on(Arc::new(RealDisk), folder)
 }
 
-/// Reports on a data folder of `disk`.
+/// Inspects a data folder on `disk`.
 ///
 /// # Errors
-/// As [`inspect`].
+/// Fails under the same condition as [`inspect`].
 pub fn inspect_on(disk: Arc<dyn Disk>, folder: &Path) -> Result<Inspection, StorageError> {
     let folder = Folder::new(folder, disk);
     let mut inspection = Inspection {
--- a/crates/sablehaven-storage/src/lib.rs
+++ b/crates/sablehaven-storage/src/lib.rs
@@ -1,9 +1,12 @@
-//! Durable log segments, snapshots and disk identity under one data folder.
+//! Durable storage for replicated logs: log segments, snapshots and the replica's identity in one
+//! data folder.
 //!
-//! One [`Storage`] serves every consensus group of a process: a batch of writes for many groups is
-//! one record of a shared write-ahead log and costs one sync. What [`Storage::write`] and
-//! [`Storage::compact`] return `Ok` for is durable. `docs/design/storage.md` has the layout, the
-//! recovery rules and what was weighed; `docs/operators/data-folder.md` is the operators' page.
+//! One [`Storage`] serves all consensus groups of a process. A batch of writes for many groups is
+//! one record of a shared write-ahead log and costs one sync. Once [`Storage::write`] or
+//! [`Storage::compact`] has returned `Ok`, the written data is durable.
+//!
+//! `docs/design/storage.md` describes the layout, the recovery rules and the alternatives
+//! considered; `docs/operators/data-folder.md` is the page for operators.
 
 mod commit;
 mod disk;
--- a/crates/sablehaven-storage/src/manifest.rs
+++ b/crates/sablehaven-storage/src/manifest.rs
@@ -1,6 +1,6 @@
-//! Which segments must exist.
+//! The manifest, which lists the segments that must exist.
 //!
-//! Without it, the loss of the log's last segment could not be told from a shorter log.
+//! Without it, a log that lost its last segment would look like a shorter log.
 
 use sablehaven_consensus::ReplicaId;
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
     names,
 };
 
-/// The segments that make up the log.
+/// The range of segments that make up the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Manifest {
     pub(crate) replica: ReplicaId,
@@ -22,7 +22,7 @@
 }
 
 impl Manifest {
-    /// Whether the segment with this number is part of the log.
+    /// Returns whether the segment with this number is part of the log.
     pub(crate) fn contains(&self, segment: u64) -> bool {
         (self.first_segment..=self.last_segment).contains(&segment)
     }
@@ -32,12 +32,12 @@
         let manifest: Self = decode_whole_document(FileKind::Manifest, &content)
             .map_err(|error| folder.format_error(names::MANIFEST, error))?;
         if manifest.replica != replica {
-            let reason = format!("the file is of replica {}", manifest.replica);
+            let reason = format!("the file belongs to replica {}", manifest.replica);
             return Err(folder.damaged(names::MANIFEST, 0, reason));
         }
         let (first, last) = (manifest.first_segment, manifest.last_segment);
         if first == 0 || first > last || last > MAXIMUM_NUMBER {
-            let reason = format!("segments {first} to {last} make no range");
+            let reason = format!("the segment range {first} to {last} is invalid");
             return Err(folder.damaged(names::MANIFEST, 0, reason));
         }
         Ok(manifest)
--- a/crates/sablehaven-storage/src/options.rs
+++ b/crates/sablehaven-storage/src/options.rs
@@ -1,30 +1,31 @@
-//! Settings of storage.
+//! Storage settings.
 
 use sablehaven_types::SettingError;
 use serde::{Deserialize, Serialize};
 
-/// The smallest segment size that is allowed, in bytes.
+/// The smallest allowed value of [`Options::segment_bytes`].
 const MINIMUM_SEGMENT_BYTES: u64 = 4 * 1024;
-/// The largest segment size that is allowed, in bytes.
+/// The largest allowed value of [`Options::segment_bytes`].
 pub(crate) const MAXIMUM_SEGMENT_BYTES: u64 = 256 * 1024 * 1024;
 
-/// The largest step that is allowed by which the log's file grows, in bytes.
+/// The largest allowed value of [`Options::allocation_bytes`].
 const MAXIMUM_ALLOCATION_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Settings of storage.
+/// Storage settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// The deployment's name; a folder that belongs to another deployment is refused.
+    /// The deployment's name. A folder that belongs to another deployment is refused.
     pub deployment: String,
-    /// A segment that has reached this size, in bytes, is closed and the next one begun.
+    /// The maximum size of a segment in bytes. A record that would exceed it goes to a new segment,
+    /// unless it is the first record of its segment.
     pub segment_bytes: u64,
-    /// The log's file grows by this many bytes of zeros at a time, or by each record alone if it is
-    /// 0. Syncing a record in space that exists costs about half of syncing one that makes the file
-    /// longer (`docs/design/storage.md` has the measurement).
+    /// How many bytes of zeros are allocated after a record that extends the segment's file; with 0
+    /// the file grows by each record alone. To sync a record in allocated space costs about half as
+    /// much as to sync one that extends the file (measured in `docs/design/storage.md`).
     pub allocation_bytes: u64,
-    /// How many closed segments may stay before [`crate::Storage::groups_to_compact`] names the
-    /// groups that keep the oldest one.
+    /// The number of closed segments above which [`crate::Storage::groups_to_compact`] returns the
+    /// groups that prevent the removal of the oldest segment.
     pub closed_segments: u32,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl Options {
-    /// The settings that cannot be used, with their keys under `prefix`.
+    /// Returns an error for each invalid setting, with its key under `prefix`.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
         let mut errors = Vec::new();
         if self.deployment.is_empty() {
--- a/crates/sablehaven-storage/src/real_disk.rs
+++ b/crates/sablehaven-storage/src/real_disk.rs
@@ -1,4 +1,4 @@
-//! The machine's own disk.
+//! The [`Disk`] implementation on the machine's file system.
 
 use std::{
     fs::{self, File, OpenOptions, TryLockError},
@@ -9,7 +9,7 @@
 
 use crate::disk::{Disk, DiskFile, DiskLock};
 
-/// The machine's own disk, through `std::fs`.
+/// The machine's file system, accessed through `std::fs`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealDisk;
 
@@ -65,7 +65,8 @@
             return Err(io::ErrorKind::FileTooLarge.into());
         }
         let mut content = Vec::with_capacity(usize::try_from(length).unwrap_or(0));
-        // A file that grows under the reader (`inspect` takes no lock) stays within the limit.
+        // The file may grow while it is read, since `inspect` does not acquire the lock. `take`
+        // enforces the limit in that case too.
         file.take(limit).read_to_end(&mut content)?;
         Ok(content)
     }
@@ -102,7 +103,7 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        // `fdatasync`: it covers the length too, and spares the write of the time stamps.
+        // `fdatasync` also makes the file's length durable, but does not write its timestamps.
         self.0.sync_data()
     }
 }
--- a/crates/sablehaven-storage/src/record.rs
+++ b/crates/sablehaven-storage/src/record.rs
@@ -1,8 +1,9 @@
-//! What the log's records hold, as MessagePack.
+//! The log's records, encoded as MessagePack.
 //!
-//! Commands are encoded as byte strings, which `EntryPayload`'s own encoding (an array of numbers)
-//! is not; everything else keeps the encoding of the consensus types. A change to either is a new
-//! format version; `tests/format.rs` reads a folder of version 1 byte by byte.
+//! The types here mirror consensus types so that commands are encoded as byte strings;
+//! `EntryPayload` itself would encode a command as an array of numbers. Everything else uses the
+//! encoding of the consensus types. Any change to the encoding requires a new format version.
+//! `tests/format.rs` checks the bytes of version 1.
 
 use std::borrow::Cow;
 
@@ -11,30 +12,31 @@
 };
 use serde::{Deserialize, Serialize, Serializer};
 
-/// The first frame of a segment.
+/// The header of a segment, stored in its first frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SegmentHeader {
-    /// The disk that wrote it.
+    /// The replica that wrote the segment.
     pub(crate) replica: ReplicaId,
-    /// Segments are numbered from 1 without gaps.
+    /// The segment's number. Segments are numbered from 1 without gaps.
     pub(crate) number: u64,
-    /// The sequence number of its first record; records are numbered through all segments.
+    /// The sequence number of the segment's first record. The numbering of records continues across
+    /// segments.
     pub(crate) first_sequence: u64,
-    /// Where every group stood, so that earlier segments can go.
+    /// The state of every group, so that earlier segments can be removed.
     pub(crate) groups: Vec<GroupCheckpoint>,
 }
 
-/// Where a group stood when a segment began.
+/// The state of a group when a segment was created.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GroupCheckpoint {
     pub(crate) group: u32,
     pub(crate) hard_state: HardState,
     pub(crate) snapshot: Option<SnapshotReference>,
-    /// The last entry's index; the entries themselves are in earlier segments.
+    /// The index of the last entry. The entries themselves are in earlier segments.
     pub(crate) last_index: u64,
 }
 
-/// Which snapshot file must exist, and what must be in it.
+/// Identifies a snapshot file that must exist, with the size and checksum of its data.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SnapshotReference {
     pub(crate) metadata: SnapshotMetadata,
@@ -42,14 +44,14 @@
     pub(crate) data_checksum: u32,
 }
 
-/// One batch; the payload of one frame.
+/// A batch of writes, stored as the payload of one frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Record<'a> {
     #[serde(borrow)]
     pub(crate) writes: Vec<RecordWrite<'a>>,
 }
 
-/// One group's part of a batch.
+/// The writes for one group in a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RecordWrite<'a> {
     pub(crate) group: u32,
@@ -59,15 +61,15 @@
     pub(crate) entries: Vec<RecordEntry<'a>>,
 }
 
-/// A snapshot that comes into force.
+/// A snapshot that replaces a group's previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RecordSnapshot {
     pub(crate) reference: SnapshotReference,
-    /// Whether the stored entries after the snapshot's index stay.
+    /// Whether the stored entries after the snapshot's index are kept.
     pub(crate) keeps_later_entries: bool,
 }
 
-/// One entry.
+/// An entry of a group's log, encoded like [`Entry`] except for its payload.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RecordEntry<'a> {
     pub(crate) index: u64,
@@ -76,7 +78,7 @@
     pub(crate) payload: RecordPayload<'a>,
 }
 
-/// What an entry holds.
+/// The payload of an entry, with a command as a byte string.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RecordPayload<'a> {
     Empty,
--- a/crates/sablehaven-storage/src/recovery.rs
+++ b/crates/sablehaven-storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Formatting an empty folder, and bringing a used one to a state that can be written on.
+//! Formats an empty data folder, and recovers a used one so that it can be written to again.
 
 use std::collections::BTreeMap;
 
@@ -16,12 +16,12 @@
     storage::RestoredGroup,
 };
 
-/// The number of the first segment.
 const FIRST_SEGMENT: u64 = 1;
-/// The sequence number of the first record.
+/// The sequence number of the log's first record.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// The identity of the folder, and whether it was made just now.
+/// Returns the identity of the folder and whether it was newly created. A folder without an
+/// identity is formatted.
 pub(crate) fn load_or_create_identity(
     folder: &Folder,
     options: &Options,
@@ -41,7 +41,7 @@
     Ok((identity, false))
 }
 
-/// Reads everything and checks it, without changing anything.
+/// Reads and checks the manifest and the log without modifying the folder.
 pub(crate) fn scan_folder(folder: &Folder, identity: Identity) -> Result<FolderScan, StorageError> {
     let manifest = Manifest::read(folder, identity.replica)?;
     let mut scan = FolderScan::new(folder, identity, manifest);
@@ -50,7 +50,7 @@
     Ok(scan)
 }
 
-/// Checks that no segment beyond the manifest holds records.
+/// Checks that no segment after the last one in the manifest contains records.
 pub(crate) fn check_unlisted_segments(
     folder: &Folder,
     scan: &FolderScan,
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-/// What is handed to the replicas; reads the snapshots.
+/// Reads the snapshots and returns the state from which the replicas start, by group.
 pub(crate) fn restore(
     folder: &Folder,
     scan: &mut FolderScan,
@@ -84,7 +84,8 @@
     Ok(restored)
 }
 
-/// Cuts the torn tail, makes what was read durable, and returns the last segment's file.
+/// Truncates the torn tail, makes everything that was read durable, and returns the last segment's
+/// file.
 pub(crate) fn make_durable(folder: &Folder, scan: &FolderScan) -> Result<FolderFile, StorageError> {
     let name = names::segment(scan.manifest.last_segment);
     let mut file = folder.open_file(&name)?;
@@ -92,9 +93,10 @@
         file.truncate(tail.offset)?;
     }
     if let Some(last) = &scan.last_record {
-        // The last record may have been read from memory only: its sync may have failed, or never
-        // have come. A sync alone would not help, for after a failed one the system takes the pages
-        // for written; writing the same bytes again makes the next sync write them.
+        // The last record may have been read from the page cache without being on the disk, if its
+        // sync failed or never happened. Another sync alone would not write it, since the operating
+        // system marks pages as clean after a failed sync. Writing the same bytes again marks them
+        // dirty, so that the next sync writes them.
         file.write_at(last.offset, &last.bytes)?;
     }
     file.sync()?;
@@ -102,7 +104,7 @@
     Ok(file)
 }
 
-/// Removes files that were never finished or are no longer needed.
+/// Removes files that were never finished or are no longer referenced.
 pub(crate) fn remove_leftovers(folder: &Folder, scan: &FolderScan) -> Result<(), StorageError> {
     let mut list = folder.list()?;
     list.retain(|name| is_leftover(name, scan));
@@ -112,7 +114,8 @@
     Ok(())
 }
 
-/// Whether the file is a segment or a snapshot that is part of what is stored.
+/// Returns whether the file is a segment that the manifest lists or a snapshot that the log refers
+/// to.
 pub(crate) fn is_referenced(name: &str, scan: &FolderScan) -> bool {
     if let Some(number) = names::segment_number(name) {
         return scan.manifest.contains(number);
@@ -128,8 +131,8 @@
     names::is_temporary(name) || is_storage_file && !is_referenced(name, scan)
 }
 
-/// Gives the folder an identity and an empty log. The identity comes last: a folder without one
-/// never acknowledged anything, and can be formatted again.
+/// Formats a folder with an empty log and an identity. The identity is written last: a folder
+/// without one has never acknowledged a write, so it can safely be formatted again.
 fn format(folder: &Folder, deployment: &str) -> Result<Identity, StorageError> {
     let identity = Identity::random(deployment);
     let header = SegmentHeader {
@@ -149,7 +152,7 @@
     Ok(identity)
 }
 
-/// Removes what an interrupted formatting left.
+/// Removes the files that an interrupted formatting has left.
 fn clear_unfinished_format(folder: &Folder) -> Result<(), StorageError> {
     check_unformatted(folder)?;
     for name in folder.list()? {
@@ -161,14 +164,14 @@
     Ok(())
 }
 
-/// Checks that a folder without an identity holds no more than an interrupted formatting leaves.
-/// Anything more means that the identity was lost.
+/// Checks that a folder without an identity contains nothing that an interrupted formatting could
+/// not have left. Any other storage file means that the identity was lost.
 pub(crate) fn check_unformatted(folder: &Folder) -> Result<(), StorageError> {
     for name in folder.list()? {
         let is_snapshot = names::is_snapshot(&name);
         let is_later_segment = names::segment_number(&name).is_some_and(|n| n != FIRST_SEGMENT);
         if is_snapshot || is_later_segment || name == names::SYNCED_POSITION {
-            let reason = format!("the file is missing, but there is {name}");
+            let reason = format!("the file is missing, but {name} exists");
             return Err(folder.damaged(names::IDENTITY, 0, reason));
         }
     }
@@ -184,6 +187,6 @@
     if checked.map_err(|error| folder.format_error(name, error))? {
         return Ok(());
     }
-    let reason = format!("the file is missing, but {name} holds records");
+    let reason = format!("the file is missing, but {name} contains records");
     Err(folder.damaged(names::IDENTITY, 0, reason))
 }
--- a/crates/sablehaven-storage/src/replay.rs
+++ b/crates/sablehaven-storage/src/replay.rs
@@ -1,4 +1,4 @@
-//! Building each group's state from the log's records.
+//! Rebuilds the state of each group from the log's records.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,23 @@
     record::{Record, RecordWrite, SegmentHeader},
 };
 
-/// The groups as the records read so far leave them.
+/// The state of all groups after the records read so far.
 #[derive(Debug, Default)]
 pub(crate) struct Replay {
     pub(crate) groups: BTreeMap<u32, ReplayedGroup>,
 }
 
-/// One group.
+/// The state and entries of one group.
 #[derive(Debug, Default)]
 pub(crate) struct ReplayedGroup {
     pub(crate) state: GroupState,
-    /// The stored entries, without gaps. Entries before the first of them may be in segments that
-    /// were removed; a later snapshot must cover those.
+    /// The stored entries, without gaps. Earlier entries may have been in segments that were
+    /// removed; a snapshot later in the log must cover them.
     pub(crate) entries: Vec<Entry>,
 }
 
 impl Replay {
-    /// The groups as the log's first segment finds them.
+    /// Creates the state from the header of the log's first segment.
     pub(crate) fn new(header: &SegmentHeader) -> Self {
         let mut groups = BTreeMap::new();
         for checkpoint in &header.groups {
@@ -36,7 +36,7 @@
         Self { groups }
     }
 
-    /// Checks that a later segment begins where the records before it end.
+    /// Checks that the header of a later segment matches the state after the records before it.
     pub(crate) fn check_segment_header(&self, header: &SegmentHeader) -> Result<(), String> {
         let replayed = self.groups.iter();
         let expected: Vec<_> = replayed
@@ -45,10 +45,10 @@
         if header.groups == expected {
             return Ok(());
         }
-        Err("the segment's start does not fit the records before it".to_owned())
+        Err("the segment header does not match the records before it".to_owned())
     }
 
-    /// Takes a record.
+    /// Checks a record and applies it.
     pub(crate) fn apply(&mut self, record: &Record<'_>) -> Result<(), String> {
         for write in &record.writes {
             let group = self.groups.entry(write.group).or_default();
@@ -59,7 +59,7 @@
         Ok(())
     }
 
-    /// Checks that no entry is missing, now that all records were read.
+    /// Checks that no entry is missing. Call it after all records were applied.
     pub(crate) fn check_complete(&self) -> Result<(), String> {
         for (group, replayed) in &self.groups {
             let first_needed = replayed.state.snapshot_index() + 1;
@@ -81,7 +81,7 @@
 }
 
 impl ReplayedGroup {
-    /// What a replica starts from; takes the entries out.
+    /// Returns the state from which a replica starts, and moves the entries into it.
     pub(crate) fn take_restored_state(&mut self) -> Restored {
         Restored {
             hard_state: self.state.hard_state,
--- a/crates/sablehaven-storage/src/scan.rs
+++ b/crates/sablehaven-storage/src/scan.rs
@@ -1,4 +1,4 @@
-//! Reading a whole data folder without changing anything; opening and inspecting begin with it.
+//! Reads a data folder without modifying it, as the first step of both opening and inspecting it.
 
 use std::{collections::BTreeMap, path::PathBuf};
 
@@ -14,55 +14,55 @@
     synced_position::SyncedPosition,
 };
 
-/// What was read of a data folder.
+/// The result of reading a data folder.
 #[derive(Debug)]
 pub(crate) struct FolderScan {
     pub(crate) identity: Identity,
     pub(crate) manifest: Manifest,
-    /// The segments that were read to their end, in order.
+    /// The segments that were read completely, in order.
     pub(crate) segments: Vec<SegmentSummary>,
-    /// The groups, as of the last record that was read.
+    /// The state of the groups after the last record that was read.
     pub(crate) replay: Replay,
     pub(crate) torn_tail: Option<TruncatedTail>,
-    /// The log's last record, if the last segment has one.
+    /// The log's last record, if the last segment has any.
     pub(crate) last_record: Option<LastRecord>,
     pub(crate) next_sequence: u64,
-    /// The length of the last segment's file, with the space allocated after the records.
+    /// The length of the last segment's file, including the space allocated after the records.
     pub(crate) file_bytes: u64,
     synced_position: Option<SyncedPosition>,
 }
 
-/// One segment.
+/// The extent and contents of one segment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SegmentSummary {
     pub(crate) number: u64,
-    /// Where its whole records end, in bytes.
+    /// The offset at which the complete records end, in bytes.
     pub(crate) records_end: u64,
     pub(crate) records: u64,
-    /// The highest index of an entry in it, by group.
+    /// The highest index among the segment's entries, by group.
     pub(crate) highest_indexes: BTreeMap<u32, u64>,
 }
 
-/// The log's last record as it stands in the file.
+/// The log's last record, as the bytes in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LastRecord {
     pub(crate) offset: u64,
     pub(crate) bytes: Vec<u8>,
 }
 
-/// An unfinished write at the end of the log that recovery cut; it was never acknowledged.
+/// An unfinished write at the end of the log. It was never acknowledged, and recovery truncates it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TruncatedTail {
     /// The segment file.
     pub path: PathBuf,
-    /// The offset, in bytes, from which it was cut.
+    /// The offset in bytes at which the file is truncated.
     pub offset: u64,
-    /// How many bytes were cut, without zeros at the end.
+    /// The number of truncated bytes, without zeros at the end.
     pub bytes: u64,
 }
 
 impl FolderScan {
-    /// A scan that has read nothing yet.
+    /// Creates a scan that has not read the log yet.
     pub(crate) fn new(folder: &Folder, identity: Identity, manifest: Manifest) -> Self {
         let synced_position = SyncedPosition::read(folder, identity.replica);
         Self {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Reads the log from its first segment to its last, up to the first damage.
+    /// Reads the log in order, and stops with an error at the first damage.
     pub(crate) fn read_log(&mut self, folder: &Folder) -> Result<(), StorageError> {
         self.check_synced_segment(folder)?;
         for number in self.manifest.first_segment..=self.manifest.last_segment {
@@ -89,7 +89,7 @@
         complete.map_err(|reason| folder.damaged(&first, 0, reason))
     }
 
-    /// Checks that a segment beyond the manifest is one that was begun and never used.
+    /// Checks that a segment after the last one in the manifest was created but never written to.
     pub(crate) fn check_unused_segment(
         &self,
         folder: &Folder,
@@ -102,7 +102,7 @@
         if reader.position() == content.len() as u64 {
             return Ok(());
         }
-        let reason = "the segment holds records, but the manifest does not name it";
+        let reason = "the segment contains records, but the manifest does not list it";
         Err(folder.damaged(&name, reader.position(), reason))
     }
 
@@ -111,7 +111,8 @@
         match self.synced_position {
             Some(synced) if synced.segment > last => {
                 let segment = synced.segment;
-                let reason = format!("segment {segment} was in use, the manifest ends at {last}");
+                let reason =
+                    format!("segment {segment} was in use, but the manifest ends at {last}");
                 Err(folder.damaged(names::MANIFEST, 0, reason))
             }
             _ => Ok(()),
@@ -143,7 +144,8 @@
         Ok(())
     }
 
-    /// Checks that a segment begins where the one before it ends.
+    /// Checks that a segment continues where the previous one ends. The first segment initializes
+    /// the replay instead.
     fn apply_segment_header(
         &mut self,
         folder: &Folder,
@@ -158,7 +160,7 @@
         if found > expected {
             let previous_name = names::segment(previous.number);
             let reason = format!(
-                "the records from {expected} on are missing; {name} begins with record {found}"
+                "the records from {expected} on are missing: {name} begins with record {found}"
             );
             return Err(folder.damaged(&previous_name, previous.records_end, reason));
         }
@@ -170,7 +172,8 @@
         checked.map_err(|reason| folder.damaged(name, 0, reason))
     }
 
-    /// Reads a segment's records up to its end or to the first bad one, which is returned.
+    /// Applies a segment's records up to the end of the segment, or up to the first record that
+    /// cannot be read. Returns the error for that record.
     fn read_records(
         &mut self,
         folder: &Folder,
@@ -190,7 +193,7 @@
         Ok(None)
     }
 
-    /// Tells a torn tail from damage at the end of the last segment.
+    /// Determines whether an unreadable record in the last segment is a torn tail or damage.
     fn check_log_end(
         &mut self,
         folder: &Folder,
@@ -228,7 +231,7 @@
             return Ok(());
         }
         let reason = format!(
-            "no whole record from here on, but the file was synced up to byte {}",
+            "no complete record from here on, but the file was synced up to byte {}",
             synced.synced_bytes
         );
         Err(folder.damaged(name, summary.records_end, reason))
@@ -243,7 +246,7 @@
 }
 
 impl SegmentSummary {
-    /// Notes the entries of a record.
+    /// Updates the highest indexes with a record's entries.
     pub(crate) fn add_record(&mut self, record: &Record<'_>) {
         for write in &record.writes {
             if let Some(last) = write.entries.last() {
--- a/crates/sablehaven-storage/src/segment.rs
+++ b/crates/sablehaven-storage/src/segment.rs
@@ -1,4 +1,4 @@
-//! Reading and beginning segments of the log.
+//! Reads and creates segments of the log.
 
 use sablehaven_consensus::ReplicaId;
 
@@ -15,12 +15,12 @@
     record::{Record, SegmentHeader},
 };
 
-/// The largest size of a segment's file, in bytes: a full one, its start and one record more.
+/// The maximum size of a segment file: a full segment, its header and one more record.
 pub(crate) const MAXIMUM_FILE_BYTES: u64 = MAXIMUM_SEGMENT_BYTES + 2 * MAXIMUM_RECORD_BYTES;
-/// The largest size of a record, in bytes.
+/// The maximum size of a record, including its frame header.
 pub(crate) const MAXIMUM_RECORD_BYTES: u64 = (FRAME_HEADER_BYTES + MAXIMUM_PAYLOAD_BYTES) as u64;
 
-/// Reads a segment record by record.
+/// Reads the records of a segment in order.
 #[derive(Debug)]
 pub(crate) struct SegmentReader<'a> {
     bytes: &'a [u8],
@@ -31,24 +31,24 @@
     last_record: Option<usize>,
 }
 
-/// A record and where it stands.
+/// A record with its offset in the segment.
 #[derive(Debug)]
 pub(crate) struct LocatedRecord<'a> {
     pub(crate) offset: u64,
     pub(crate) record: Record<'a>,
 }
 
-/// Why a segment's next record cannot be read.
+/// Why the next record of a segment cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RecordError {
     pub(crate) offset: u64,
     pub(crate) reason: String,
-    /// Whether a write that a crash interrupted can have left it, in the log's last segment.
+    /// Whether a write interrupted by a crash can be the cause, if this is the log's last segment.
     pub(crate) may_be_torn: bool,
 }
 
 impl<'a> SegmentReader<'a> {
-    /// Reads the segment's start; the reader then stands at its first record.
+    /// Decodes and checks the segment header, and returns it with a reader for the records.
     pub(crate) fn new(
         bytes: &'a [u8],
         replica: ReplicaId,
@@ -56,16 +56,16 @@
     ) -> Result<(SegmentHeader, Self), FormatError> {
         let (header, position): (SegmentHeader, usize) = decode_document(FileKind::Segment, bytes)?;
         if header.replica != replica {
-            let reason = format!("the segment is of replica {}", header.replica);
+            let reason = format!("the segment belongs to replica {}", header.replica);
             return Err(FormatError::damaged(0, reason));
         }
         if header.number != number {
-            let reason = format!("the segment has number {} inside", header.number);
+            let reason = format!("the segment header has segment number {}", header.number);
             return Err(FormatError::damaged(0, reason));
         }
         let mut numbers = header.groups.iter().map(|group| group.last_index);
         if header.first_sequence > MAXIMUM_NUMBER || numbers.any(|last| last > MAXIMUM_NUMBER) {
-            let reason = "the segment's start holds a number that is out of range";
+            let reason = "the segment header contains a number that is out of range";
             return Err(FormatError::damaged(0, reason));
         }
         let reader = Self {
@@ -79,13 +79,14 @@
         Ok((header, reader))
     }
 
-    /// Whether a segment of any disk is whole and holds no record.
+    /// Returns whether a segment is intact and contains no records. Accepts a segment of any
+    /// replica.
     pub(crate) fn has_no_records(bytes: &[u8]) -> Result<bool, FormatError> {
         let (_, end): (SegmentHeader, usize) = decode_document(FileKind::Segment, bytes)?;
         Ok(end == bytes.len())
     }
 
-    /// The next record; `None` where only allocated space follows, which is zeros.
+    /// Reads the next record. Returns `None` if only allocated space follows, which is all zeros.
     pub(crate) fn next(&mut self) -> Option<Result<LocatedRecord<'a>, RecordError>> {
         if is_zeros(&self.bytes[self.position..]) {
             return None;
@@ -93,29 +94,30 @@
         Some(self.read_record())
     }
 
-    /// The bytes from the next record on, without the zeros at the end of the file.
+    /// Returns the bytes from the next record on, without the zeros at the end of the file.
     pub(crate) fn unread_bytes(&self) -> &'a [u8] {
         let rest = &self.bytes[self.position..];
         let last = rest.iter().rposition(|byte| *byte != 0);
         &rest[..last.map_or(0, |last| last + 1)]
     }
 
-    /// Where the next record begins, in bytes; after the last one, where the records end.
+    /// Returns the offset of the next record or, after the last record, the offset at which the
+    /// records end.
     pub(crate) fn position(&self) -> u64 {
         self.position as u64
     }
 
-    /// The sequence number that the next record must have.
+    /// Returns the sequence number that the next record must have.
     pub(crate) fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
 
-    /// How many records were read.
+    /// Returns the number of records read so far.
     pub(crate) fn records(&self) -> u64 {
         self.records
     }
 
-    /// The bytes of the last record that was read, and where they begin.
+    /// Returns the offset and the bytes of the last record that was read.
     pub(crate) fn last_record(&self) -> Option<(u64, &'a [u8])> {
         let begin = self.last_record?;
         Some((begin as u64, &self.bytes[begin..self.position]))
@@ -143,13 +145,18 @@
     fn decode(&self, frame: &Frame<'a>) -> Result<Record<'a>, String> {
         if frame.sequence != self.next_sequence {
             let (found, expected) = (frame.sequence, self.next_sequence);
-            return Err(format!("record {found} in place of record {expected}"));
+            return Err(format!(
+                "found record {found} where record {expected} was expected"
+            ));
         }
-        rmp_serde::from_slice(frame.payload).map_err(|error| format!("record: {error}"))
+        rmp_serde::from_slice(frame.payload)
+            .map_err(|error| format!("the record cannot be decoded: {error}"))
     }
 
-    /// A record is written and synced before the next one is begun. So a torn write is the last
-    /// thing in the file, and no longer than one record; anything else is damage.
+    /// Determines whether an unreadable record at the current position may be a torn write.
+    ///
+    /// Each record is written and synced before the next write begins. A torn write is therefore at
+    /// the end of the file and no longer than one record; anything else is damage.
     fn record_error(&self, error: FrameError) -> RecordError {
         let can_begin_torn_write = match error {
             FrameError::PayloadChecksum { end } => is_zeros(&self.bytes[end..]),
@@ -158,7 +165,7 @@
             | FrameError::HeaderChecksum
             | FrameError::TruncatedPayload => true,
         };
-        // Zeros at the end are searched too: a later record may end in some.
+        // The search includes the zeros at the end, because a later record may itself end in zeros.
         let written = &self.bytes[self.position..];
         let may_be_torn = can_begin_torn_write
             && self.unread_bytes().len() as u64 <= MAXIMUM_RECORD_BYTES
@@ -175,7 +182,7 @@
     bytes.iter().all(|byte| *byte == 0)
 }
 
-/// Writes a new segment's file durably, with no record in it; returns its length in bytes.
+/// Creates the file of a segment without records, durably. Returns the file's length in bytes.
 pub(crate) fn create(folder: &Folder, header: &SegmentHeader) -> Result<u64, StorageError> {
     let name = names::segment(header.number);
     let content = encode_document(FileKind::Segment, header)
--- a/crates/sablehaven-storage/src/snapshot_file.rs
+++ b/crates/sablehaven-storage/src/snapshot_file.rs
@@ -1,4 +1,5 @@
-//! Snapshot files: a header that repeats the log's reference, then the state machine's data.
+//! Snapshot files. Each consists of a header, which repeats the reference in the log, and the state
+//! machine's data.
 
 use sablehaven_consensus::{ReplicaId, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -21,7 +22,7 @@
     reference: SnapshotReference,
 }
 
-/// What the log notes of a snapshot.
+/// Returns the reference to a snapshot that is stored in the log.
 pub(crate) fn reference_of(snapshot: &Snapshot) -> SnapshotReference {
     SnapshotReference {
         metadata: snapshot.metadata.clone(),
@@ -30,7 +31,7 @@
     }
 }
 
-/// Writes a snapshot's file durably.
+/// Writes a snapshot file durably.
 pub(crate) fn write(
     folder: &Folder,
     replica: ReplicaId,
@@ -49,7 +50,7 @@
     folder.write_file(&name, &[&header, data])
 }
 
-/// Reads the data of the snapshot that the log refers to.
+/// Reads the data of a snapshot that the log refers to, and checks it against the reference.
 pub(crate) fn read(
     folder: &Folder,
     replica: ReplicaId,
@@ -71,12 +72,12 @@
         let reason = "the file is not the snapshot that the log refers to";
         return Err(folder.damaged(&name, FILE_HEADER_BYTES as u64, reason));
     }
-    // Moves the data to the front in place: a copy would need as much memory again.
+    // Removes the header in place, since a copy of the data would double the memory needed.
     content.drain(..data_begin);
     let data = content;
     if data.len() as u64 != reference.data_bytes {
         let reason = format!(
-            "{} bytes of data in place of {}",
+            "found {} bytes of data where {} were expected",
             data.len(),
             reference.data_bytes
         );
--- a/crates/sablehaven-storage/src/snapshot_writer.rs
+++ b/crates/sablehaven-storage/src/snapshot_writer.rs
@@ -1,4 +1,4 @@
-//! Writing snapshot files apart from the log.
+//! Writes snapshot files independently of the log.
 
 use std::sync::Arc;
 
@@ -12,17 +12,18 @@
     snapshot_file,
 };
 
-/// Writes snapshot files; they count only once [`crate::Storage::compact_to`] has taken them. Keeps
-/// the folder locked, as the storage does.
+/// Writes snapshot files. A file becomes the group's snapshot only when it is passed to
+/// [`crate::Storage::compact_to`]. The data folder stays locked while a writer exists, even after
+/// the [`crate::Storage`] is dropped.
 #[derive(Clone, Debug)]
 pub struct SnapshotWriter {
     folder: Folder,
     replica: ReplicaId,
-    /// The folder stays locked for as long as anything may still be written to it.
+    /// Keeps the folder locked for as long as this writer can still write to it.
     _lock: Arc<dyn DiskLock>,
 }
 
-/// A snapshot whose file is durable and which the log does not refer to yet.
+/// A snapshot whose file is durable, but to which the log does not refer yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PreparedSnapshot {
     pub(crate) group: u32,
@@ -38,10 +39,10 @@
         }
     }
 
-    /// Writes a snapshot's file and syncs it. Use one writer at a time for a group.
+    /// Writes a snapshot file and syncs it. Only one call at a time may write snapshots of a group.
     ///
     /// # Errors
-    /// [`StorageError::Disk`] with step and file; the storage itself stays usable.
+    /// Returns [`StorageError::Disk`] with the operation and file. The storage itself stays usable.
     pub fn write(&self, group: u32, snapshot: &Snapshot) -> Result<PreparedSnapshot, StorageError> {
         let reference = snapshot_file::reference_of(snapshot);
         let data = &snapshot.data;
@@ -51,7 +52,7 @@
 }
 
 impl PreparedSnapshot {
-    /// The record that brings it into force.
+    /// Returns the record that makes this the group's snapshot.
     pub(crate) fn record(&self) -> Record<'static> {
         let snapshot = RecordSnapshot {
             reference: self.reference.clone(),
--- a/crates/sablehaven-storage/src/split.rs
+++ b/crates/sablehaven-storage/src/split.rs
@@ -1,14 +1,15 @@
-//! Splitting batches that are too large for one record.
+//! Splits batches that are too large for one record.
 
 use crate::{error::StorageError, segment::MAXIMUM_RECORD_BYTES, write::GroupWrite};
 
-/// Two batches that together are the given one, in the order in which they must be written.
+/// Splits a batch into two, which must be written in the returned order.
 ///
-/// A group's hard state and snapshot stay with its first entries: entries may never be durable
-/// before the term in which they were received.
+/// A group's hard state and snapshot stay with its first entries, because entries must never become
+/// durable before the term in which they were received.
 ///
 /// # Errors
-/// [`StorageError::EntryTooLarge`] where a single entry takes the `bytes` of the whole batch.
+/// Returns [`StorageError::EntryTooLarge`] if the batch cannot be split, because it has a single
+/// group with at most one entry. `bytes` is the size of the batch's record, reported in the error.
 pub(crate) fn split_batch(
     batch: &[GroupWrite],
     bytes: usize,
--- a/crates/sablehaven-storage/src/storage.rs
+++ b/crates/sablehaven-storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! The open data folder.
+//! An open data folder: recovery on opening, writes, and compaction.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -25,44 +25,44 @@
     write::GroupWrite,
 };
 
-/// What was stored for one group.
+/// The recovered state of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestoredGroup {
-    /// Hard state, snapshot position and the entries after it.
+    /// The hard state, the snapshot's position and the entries after it.
     pub restored: Restored,
-    /// The state machine's data of the snapshot, where there is one.
+    /// The state machine's data in the snapshot, if there is one.
     pub snapshot_data: Option<Vec<u8>>,
 }
 
-/// A data folder after it was opened.
+/// The result of opening a data folder.
 #[derive(Debug)]
 pub struct OpenedStorage {
-    /// Takes the writes.
+    /// The open storage, which accepts writes.
     pub storage: Storage,
-    /// Who the folder belongs to.
+    /// The replica and deployment that the folder belongs to.
     pub identity: Identity,
-    /// What was stored, by group.
+    /// The recovered state, by group.
     pub groups: BTreeMap<u32, RestoredGroup>,
-    /// Whether the folder was empty and has been formatted with a new identity.
+    /// Whether the folder had no identity and was formatted with a new one.
     pub formatted: bool,
-    /// The torn tail, where there was one.
+    /// The unfinished write at the end of the log that recovery truncated, if there was one.
     pub truncated_tail: Option<TruncatedTail>,
 }
 
-/// What storage has done since it was opened.
+/// Counts of the work done since storage was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StorageCounters {
     /// Records written to the log.
     pub records: u64,
     /// Bytes written to the log.
     pub log_bytes: u64,
-    /// Syncs of the log (one a record).
+    /// Syncs of the log, one per record.
     pub log_syncs: u64,
-    /// Snapshots that came into force.
+    /// Snapshots that replaced a group's previous one.
     pub snapshots: u64,
-    /// Segments begun.
+    /// Segments created.
     pub segments_begun: u64,
-    /// Segments removed, since snapshots cover them.
+    /// Segments removed because snapshots cover all their entries.
     pub segments_removed: u64,
 }
 
@@ -76,33 +76,35 @@
     pub(crate) groups: BTreeMap<u32, GroupState>,
     /// The segments before the active one, oldest first.
     pub(crate) closed: VecDeque<SegmentSummary>,
-    /// The segment that is written to.
+    /// The segment that receives new records.
     pub(crate) active: ActiveSegment,
     pub(crate) next_sequence: u64,
     pub(crate) synced_position: SyncedPositionFile,
     pub(crate) counters: StorageCounters,
     pub(crate) failure: Option<String>,
-    /// Held for as long as the storage lives; last, so that it is released last.
+    /// Held for the lifetime of the storage. It is the last field, so that it is dropped last.
     lock: Arc<dyn DiskLock>,
 }
 
-/// The segment that is written to.
+/// The segment that receives new records.
 #[derive(Debug)]
 pub(crate) struct ActiveSegment {
     pub(crate) file: FolderFile,
     pub(crate) summary: SegmentSummary,
-    /// The file's length: the records' end, or more where space was allocated.
+    /// The file's length, which includes the space allocated after the records.
     pub(crate) allocated_bytes: u64,
 }
 
 impl Storage {
-    /// Opens the data folder, formats it if it is empty, and recovers what is stored. A folder that
-    /// cannot be opened because of damage is left as it was found.
+    /// Opens the data folder, formats it if it is empty, and recovers the stored state. A folder
+    /// that cannot be opened because of damage is not modified.
     ///
     /// # Errors
-    /// [`StorageError::InUse`] when another process has it open, [`StorageError::Damaged`] with file
-    /// and offset for any damage other than a torn tail, [`StorageError::UnknownVersion`],
-    /// [`StorageError::WrongDeployment`], [`StorageError::Disk`].
+    /// - [`StorageError::InUse`] if the folder is already open, in this or another process
+    /// - [`StorageError::Damaged`], with file and offset, for any damage other than a torn tail
+    /// - [`StorageError::UnknownVersion`] if a file has another format version
+    /// - [`StorageError::WrongDeployment`] if the folder belongs to another deployment
+    /// - [`StorageError::Disk`] if a file operation fails
     pub fn open(
         folder: &Path,
         disk: Arc<dyn Disk>,
@@ -114,7 +116,7 @@
         let (identity, formatted) = recovery::load_or_create_identity(&folder, &options)?;
         let mut scan = recovery::scan_folder(&folder, identity.clone())?;
         let groups = recovery::restore(&folder, &mut scan)?;
-        // Everything has been read and found right; only now may the folder be changed.
+        // The folder may be modified only now, after everything was read and checked.
         let file = recovery::make_durable(&folder, &scan)?;
         recovery::remove_leftovers(&folder, &scan)?;
         let truncated_tail = scan.torn_tail.clone();
@@ -170,14 +172,15 @@
         })
     }
 
-    /// Writes a batch for many groups as one record: one write, one sync. Durable on `Ok`. After a
-    /// crash an unfinished batch is there whole or not at all. A batch too large for one record is
-    /// written as several, one after the other.
+    /// Writes a batch for many groups as one record, with one write and one sync of the log. The
+    /// batch is durable once this returns `Ok`. A record that a crash interrupts is recovered
+    /// either completely or not at all. A batch too large for one record is written as several
+    /// records in sequence.
     ///
     /// # Errors
-    /// [`StorageError::InvalidWrite`] and [`StorageError::EntryTooLarge`] leave storage as it was.
-    /// After any other error it is unknown whether the batch is durable, and every later call fails
-    /// with [`StorageError::Poisoned`].
+    /// [`StorageError::InvalidWrite`] and [`StorageError::EntryTooLarge`] leave storage unchanged
+    /// and usable. After any other error it is unknown whether the batch is durable, and every
+    /// later call fails with [`StorageError::Poisoned`].
     pub fn write(&mut self, batch: &[GroupWrite]) -> Result<(), StorageError> {
         self.check_usable()?;
         if batch.is_empty() {
@@ -195,11 +198,12 @@
         self.poison_on_error(result)
     }
 
-    /// Stores a snapshot that this replica took of its own state and drops the entries up to it.
-    /// One that is not newer than the stored one changes nothing. Durable on `Ok`.
+    /// Stores a snapshot that this replica took of its own state, and drops the entries that it
+    /// covers. The snapshot is durable once this returns `Ok`. A snapshot that is not newer than
+    /// the stored one changes nothing.
     ///
     /// # Errors
-    /// As [`Self::write`].
+    /// Returns the same errors as [`Self::write`].
     pub fn compact(&mut self, group: u32, snapshot: &Snapshot) -> Result<(), StorageError> {
         self.check_usable()?;
         if snapshot.metadata.index <= self.snapshot_index(group) {
@@ -211,11 +215,12 @@
         self.compact_to(prepared)
     }
 
-    /// Brings a snapshot into force that [`SnapshotWriter::write`] has written, perhaps on another
-    /// thread, and drops the entries up to it. One that is not newer than the stored one is removed.
+    /// Makes a snapshot written by [`SnapshotWriter::write`], possibly on another thread, the
+    /// group's snapshot, and drops the entries that it covers. The file of a snapshot that is not
+    /// newer than the stored one is removed.
     ///
     /// # Errors
-    /// As [`Self::write`].
+    /// Returns the same errors as [`Self::write`].
     pub fn compact_to(&mut self, prepared: PreparedSnapshot) -> Result<(), StorageError> {
         self.check_usable()?;
         let result = if prepared.reference.metadata.index <= self.snapshot_index(prepared.group) {
@@ -229,8 +234,8 @@
         self.poison_on_error(result)
     }
 
-    /// Writes snapshots of this replica's own state without holding up the log: it can be used on
-    /// another thread while the storage takes writes.
+    /// Returns a writer for snapshots of this replica's own state. It can be used on another thread
+    /// while the storage accepts writes, so that a snapshot does not delay the log.
     pub fn snapshot_writer(&self) -> SnapshotWriter {
         SnapshotWriter::new(
             self.folder.clone(),
@@ -239,9 +244,9 @@
         )
     }
 
-    /// The groups that should be compacted since their entries keep the oldest segment from being
-    /// removed, while the log has more closed segments than `Options::closed_segments`. Without it
-    /// one idle group would keep the whole log.
+    /// Returns the groups whose entries prevent the removal of the oldest segment, if the log has
+    /// more closed segments than [`Options::closed_segments`]. The caller should compact these
+    /// groups. Otherwise a single idle group would prevent the removal of any segment.
     pub fn groups_to_compact(&self) -> Vec<u32> {
         let Some(oldest) = self.closed.front() else {
             return Vec::new();
@@ -254,17 +259,17 @@
         holding.map(|(group, _)| *group).collect()
     }
 
-    /// Who the folder belongs to.
+    /// Returns the replica and deployment that the folder belongs to.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// What has been done since the folder was opened.
+    /// Returns counts of the work done since the folder was opened.
     pub fn counters(&self) -> StorageCounters {
         self.counters
     }
 
-    /// The first failed step, after which every call fails.
+    /// Returns the error message of the first failure, after which every call fails.
     pub fn failure(&self) -> Option<&str> {
         self.failure.as_deref()
     }
@@ -278,8 +283,8 @@
         }
     }
 
-    /// After a failed step it is unknown what is on the disk, so nothing more may be acknowledged;
-    /// opening the folder again finds out.
+    /// Makes every later call fail if `result` is an error. After a failed operation the state on
+    /// the disk is unknown until the folder is opened again, so no more writes may be acknowledged.
     fn poison_on_error<T>(&mut self, result: Result<T, StorageError>) -> Result<T, StorageError> {
         if let Err(error) = &result {
             self.failure.get_or_insert_with(|| error.to_string());
--- a/crates/sablehaven-storage/src/synced_position.rs
+++ b/crates/sablehaven-storage/src/synced_position.rs
@@ -1,10 +1,13 @@
-//! How far the log was known to be synced: a lower bound that is itself never synced.
+//! The position up to which the log is known to be synced. It is a lower bound, and its file is
+//! never synced itself.
 //!
-//! A damaged last record looks like a torn write, and cutting it would lose what was acknowledged.
-//! This file tells them apart wherever it can: it is written after each sync of the log, and what
-//! lies before the position in it is damage, not a torn tail. A process that is killed leaves it
-//! current; after a power failure it may be some seconds old or missing, which makes the test
-//! weaker but never wrong.
+//! A damaged last record looks like a torn write, and truncating it would lose acknowledged data.
+//! The synced position distinguishes the two cases where possible: it is written after each sync of
+//! the log, so an unreadable record before it is damage and not a torn tail.
+//!
+//! After the process is killed the position is current. After a power failure it may be some
+//! seconds old or missing. The check then misses some damage, but it never reports a torn tail as
+//! damage.
 
 use sablehaven_consensus::ReplicaId;
 
@@ -18,18 +21,18 @@
     names,
 };
 
-/// The position's size, in bytes: segment, length and checksum.
+/// The size of an encoded position: segment, synced bytes and checksum.
 const POSITION_BYTES: usize = 8 + 8 + 4;
 
 /// A position in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SyncedPosition {
     pub(crate) segment: u64,
-    /// The bytes of the segment that are synced.
+    /// The number of bytes of the segment that are synced.
     pub(crate) synced_bytes: u64,
 }
 
-/// Writes positions.
+/// The file that stores the synced position, opened for writing.
 #[derive(Debug)]
 pub(crate) struct SyncedPositionFile {
     file: FolderFile,
@@ -37,7 +40,8 @@
 }
 
 impl SyncedPosition {
-    /// Reads the position; `None` where it is missing or unreadable, for it is only a bound.
+    /// Reads the position. Returns `None` if it is missing or unreadable, which is no error because
+    /// the position is only a lower bound.
     pub(crate) fn read(folder: &Folder, replica: ReplicaId) -> Option<Self> {
         let limit = (FILE_HEADER_BYTES + POSITION_BYTES) as u64;
         let content = folder.read(names::SYNCED_POSITION, limit).ok()??;
@@ -65,7 +69,7 @@
         Ok(Self { file, seed })
     }
 
-    /// Notes a position; call it only after the sync that made it true.
+    /// Writes a position. Call it only after the log was synced up to there.
     pub(crate) fn write(&mut self, position: SyncedPosition) -> Result<(), StorageError> {
         let mut bytes = [0; POSITION_BYTES];
         bytes[..8].copy_from_slice(&position.segment.to_le_bytes());
--- a/crates/sablehaven-storage/src/write.rs
+++ b/crates/sablehaven-storage/src/write.rs
@@ -1,18 +1,18 @@
-//! What a caller writes.
+//! The writes that a caller passes to storage.
 
 use sablehaven_consensus::{Entry, HardState, Snapshot};
 
-/// The writes for one group in a batch. A batch holds a group at most once.
+/// The writes for one group in a batch. A batch contains each group at most once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupWrite {
-    /// The group.
+    /// The consensus group.
     pub group: u32,
-    /// The new hard state, where it changed.
+    /// The new hard state, if it changed.
     pub hard_state: Option<HardState>,
-    /// Entries without gaps; they replace everything stored from the first one's index on.
+    /// Entries without gaps. They replace all stored entries from the index of the first one on.
     pub entries: Vec<Entry>,
-    /// A snapshot received from the leader, newer than the stored one. It comes before `entries`:
-    /// stored entries up to it are dropped, and the later ones too unless the stored entry at its
-    /// index has its term.
+    /// A snapshot received from the leader, which must be newer than the stored one. It is applied
+    /// before `entries`. The stored entries that it covers are dropped. Later stored entries are
+    /// kept only if the stored entry at the snapshot's index has the snapshot's term.
     pub snapshot: Option<Snapshot>,
 }
--- a/crates/sablehaven-storage/tests/crash.rs
+++ b/crates/sablehaven-storage/tests/crash.rs
@@ -1,5 +1,6 @@
-//! Crashes, failed operations and full disks at every operation of random workloads: what was
-//! acknowledged is recovered, and what was not is there whole or not at all.
+//! Injects a crash or a failed operation at every disk operation of random workloads, and limits
+//! the free space of the disk. After recovery, acknowledged writes must be present, and an
+//! unacknowledged write must be present completely or not at all.
 
 mod support;
 
@@ -7,20 +8,21 @@
 use sablehaven_storage::{OpenedStorage, Options, StorageError};
 use support::{Model, Step, open_with, options, run, workload};
 
-/// How many seeds each test tries unless `STORAGE_SEEDS` says otherwise.
+/// The number of workload seeds per test, unless the environment variable `STORAGE_SEEDS` is set.
 const DEFAULT_SEEDS: u64 = 6;
 const STEPS: usize = 24;
-/// More operations than any of the workloads takes.
+/// More disk operations than any workload performs.
 const MAXIMUM_OPERATIONS: u64 = 4000;
 
-/// A disk, and the settings that storage is opened with on it.
+/// A disk, and the options with which storage on it is opened.
 struct Machine {
     disk: FaultyDisk,
     options: Options,
 }
 
 impl Machine {
-    /// Every other seed lets the log grow record by record.
+    /// Workloads with an even seed run without preallocation, so that the log grows record by
+    /// record.
     fn new(workload_seed: u64, disk_seed: u64) -> Self {
         let mut options = options();
         options.allocation_bytes *= workload_seed % 2;
@@ -33,25 +35,25 @@
     }
 }
 
-/// How a run is disturbed.
+/// The fault that is injected into a run.
 #[derive(Clone, Copy, Debug)]
 enum InjectedFault {
-    /// The power fails.
+    /// A power failure, followed by a restart.
     Crash(UnsyncedLoss),
-    /// An operation fails; the process is killed and started again.
+    /// A failed disk operation, after which the process is killed and restarted.
     FailedOperation,
 }
 
-/// What the checker found.
+/// A violation of the durability guarantees.
 #[derive(Debug)]
-#[allow(dead_code)] // Printed when a test fails.
+#[allow(dead_code)] // The fields are printed when a test fails.
 enum Violation {
     NotRecovered(StorageError),
     WrongState { expected: String },
     AcceptedAfterFailure,
 }
 
-/// Runs the workload and stops at the first error; returns how many steps were acknowledged.
+/// Runs the workload up to the first error, and returns the number of acknowledged steps.
 fn run_until_error(machine: &Machine, workload: &[Step]) -> Result<usize, Violation> {
     let Ok(opened) = machine.open() else {
         return Ok(0);
@@ -59,7 +61,7 @@
     let mut storage = opened.storage;
     for (acknowledged, step) in workload.iter().enumerate() {
         if run(&mut storage, &step.operation).is_err() {
-            // Poisoned: no later call may succeed.
+            // Storage is poisoned, so no later call may succeed.
             return match run(&mut storage, &step.operation) {
                 Err(StorageError::Poisoned { .. }) => Ok(acknowledged),
                 _ => Err(Violation::AcceptedAfterFailure),
@@ -81,7 +83,8 @@
     }
 }
 
-/// Checks what is recovered after `acknowledged` steps; returns how many steps are in it.
+/// Checks the state recovered after `acknowledged` steps, and returns the number of steps it
+/// contains. The step after the acknowledged ones may be included.
 fn check(recovered: &Model, workload: &[Step], acknowledged: usize) -> Result<usize, Violation> {
     if *recovered == state_after(workload, acknowledged) {
         return Ok(acknowledged);
@@ -94,7 +97,8 @@
     Err(Violation::WrongState { expected })
 }
 
-/// One run with one fault at operation `at`; `Ok(false)` when the workload ends before it.
+/// Runs the workload with a fault at operation `at`. Returns `Ok(false)` if the workload ends
+/// before it.
 fn run_with_fault(
     machine: &Machine,
     workload: &[Step],
@@ -112,7 +116,7 @@
         InjectedFault::Crash(loss) => disk.restart(loss),
         InjectedFault::FailedOperation => disk.kill_process(),
     }
-    // A second crash, during the recovery from the first fault or just after it.
+    // Crashes again, during the recovery from the fault or just after it.
     disk.crash_at(disk.counts().all + 1 + at % 6);
     let first_recovery = match machine.open() {
         Ok(opened) => Some(opened.groups),
@@ -126,14 +130,14 @@
     disk.restart(loss);
     let recovered = recover(machine)?;
     let reached = check(&recovered, workload, acknowledged)?;
-    // What a recovery has shown must be durable itself.
+    // State that a recovery has returned must be durable.
     disk.restart(UnsyncedLoss::All);
     let opened = machine.open().map_err(Violation::NotRecovered)?;
     if opened.groups != recovered || first_recovery.is_some_and(|groups| groups != recovered) {
-        let expected = "the state that a former recovery showed".to_owned();
+        let expected = "the state that an earlier recovery returned".to_owned();
         return Err(Violation::WrongState { expected });
     }
-    // The rest of the workload goes on from there.
+    // The rest of the workload must succeed on the recovered state.
     let mut storage = opened.storage;
     for step in &workload[reached..] {
         run(&mut storage, &step.operation).map_err(Violation::NotRecovered)?;
@@ -150,7 +154,8 @@
     seeds.unwrap_or(DEFAULT_SEEDS)
 }
 
-/// Disturbs every operation of every seed's workload; the first violation ends it.
+/// Runs each seed's workload once per disk operation, with the fault at that operation. Returns the
+/// number of runs, or the first violation with its seed and operation.
 fn inject_at_every_operation(
     fault: InjectedFault,
     prepare: impl Fn(&FaultyDisk),
@@ -222,10 +227,11 @@
     for free_bytes in (0..40_000).step_by(97) {
         let machine = Machine::new(7, free_bytes);
         machine.disk.set_free_bytes(Some(free_bytes));
-        let acknowledged = run_until_error(&machine, &workload).expect("stays stopped");
+        let acknowledged =
+            run_until_error(&machine, &workload).expect("no call succeeds after a failure");
         machine.disk.set_free_bytes(None);
         machine.disk.kill_process();
         let recovered = recover(&machine).unwrap_or_else(|found| panic!("{free_bytes}: {found:?}"));
-        check(&recovered, &workload, acknowledged).expect("nothing is lost");
+        check(&recovered, &workload, acknowledged).expect("acknowledged writes are recovered");
     }
 }
--- a/crates/sablehaven-storage/tests/damage.rs
+++ b/crates/sablehaven-storage/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Damage to the files of a data folder: it is reported with file and place, nothing is skipped, and
-//! nothing acknowledged is cut away with a torn tail.
+//! Damages the files of a data folder. The damage must be reported with the file, no record may be
+//! skipped, and no acknowledged record may be truncated as a torn tail.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use support::{Model, entries_write, entry, file, folder, open, options, written_disk};
 
-/// Files whose content decides nothing.
+/// Files whose content does not affect the recovered state of an intact log.
 const ADVISORY: [&str; 2] = ["lock", "synced-position"];
 
 fn segments(disk: &FaultyDisk) -> Vec<String> {
@@ -21,7 +21,8 @@
     disk.content(&file(name)).expect("the file is there")
 }
 
-/// Where a file's stored content ends: a segment's last record, or the end of any other file.
+/// Returns the end of a file's content: the end of the last record for a segment, or the file's
+/// length for any other file.
 fn stored_end(disk: &FaultyDisk, name: &str) -> usize {
     let inspection = inspect_on(Arc::new(disk.clone()), folder()).expect("listed");
     let segment = inspection
@@ -34,7 +35,8 @@
     }
 }
 
-/// Opens a damaged folder: it must be refused with the damaged file's name.
+/// Checks that opening a damaged folder fails with an error that names the damaged file, and that
+/// the inspection reports the file.
 fn assert_refused(disk: &FaultyDisk, name: &str, what: &str) {
     match open(disk) {
         Err(StorageError::Damaged { path, .. } | StorageError::UnknownVersion { path, .. }) => {
@@ -61,11 +63,11 @@
             damaged[offset] ^= 1 << (offset % 8);
             disk.damage(&file(&name), damaged);
             if ADVISORY.contains(&name.as_str()) {
-                let opened = open(&disk).expect("decides nothing");
+                let opened = open(&disk).expect("the file is advisory");
                 assert_eq!(opened.groups, model);
             } else if is_last_segment && offset >= stored_end {
-                // In the space after the last record it is cut like a torn tail.
-                let opened = open(&disk).expect("decides nothing");
+                // Damage in the space after the last record is truncated like a torn tail.
+                let opened = open(&disk).expect("the damage is after the last record");
                 assert_eq!(opened.groups, model);
                 assert_eq!(
                     opened.truncated_tail.expect("cut").offset,
@@ -100,15 +102,15 @@
     assert_eq!(open(&disk).expect("as it was").groups, model);
 }
 
-/// Without the synced position (a power failure may lose it) the log itself must tell a torn tail
-/// from damage, for every record but the last.
+/// A power failure may lose the synced position. Without it, damage to any record before the last
+/// one must still not be treated as a torn tail.
 #[test]
 fn damage_before_the_last_record_is_not_treated_as_a_torn_tail() {
     let (disk, _) = written_disk(5, 24);
     let before = segments(&disk);
     let mut storage = open(&disk).expect("whole").storage;
     let (group, index) = (9, 1);
-    // It ends in zeros, as the space after it does.
+    // The command ends in zeros, like the allocated space after the record.
     let last = [entries_write(group, vec![entry(index, 1, &[1, 0, 0])])];
     let name = segments(&disk).pop().expect("a segment");
     let last_record = stored_end(&disk, &name);
@@ -127,7 +129,7 @@
         disk.damage(&file(&name), damaged);
         assert_refused(&disk, &name, &format!("at {offset}"));
     }
-    // The last record is the one that looks torn.
+    // Damage to the last record is indistinguishable from a torn write.
     disk.damage(&file(&name), original);
     let end = stored_end(&disk, &name);
     let torn = content(&disk, &name)[..end - 1].to_vec();
@@ -137,7 +139,8 @@
     assert_eq!(cut.path, file(&name));
 }
 
-/// The broken variant that cuts wherever the first damage is: the comparison with the model finds it.
+/// Simulates a faulty recovery that truncates the log at the first damage, and checks that the
+/// comparison with the model detects the lost records.
 #[test]
 fn model_comparison_detects_truncation_at_the_first_damage() {
     let disk = FaultyDisk::new(1);
@@ -153,7 +156,7 @@
     let cut = content(&disk, &name)[..first_record].to_vec();
     disk.lose_file(&file("synced-position"));
     disk.damage(&file(&name), cut);
-    assert_ne!(open(&disk).expect("looks whole").groups, model);
+    assert_ne!(open(&disk).expect("looks intact").groups, model);
 }
 
 #[test]
--- a/crates/sablehaven-storage/tests/folder.rs
+++ b/crates/sablehaven-storage/tests/folder.rs
@@ -1,4 +1,5 @@
-//! The life of a data folder: formatting, locking, segments, poisoning, refusals and the report.
+//! The life cycle of a data folder: formatting, locking, segments, poisoning, refused writes and
+//! inspection.
 
 mod support;
 
@@ -75,7 +76,7 @@
     let after = disk.counts();
     assert_eq!(after.file_syncs - before.file_syncs, 1);
     assert_eq!(after.folder_syncs, before.folder_syncs);
-    // The record, and the position that is never synced.
+    // One write for the record and one for the synced position, whose file is never synced.
     assert_eq!(after.writes - before.writes, 2);
     assert_eq!(storage.counters().log_syncs, 1);
     storage.write(&[]).expect("nothing to do");
@@ -134,7 +135,10 @@
     storage
         .compact(0, &snapshot(20, 1, b"0"))
         .expect("compacted");
-    assert!(segments(&disk) > 6, "group 1 still needs them");
+    assert!(
+        segments(&disk) > 6,
+        "group 1 has no snapshot that covers them"
+    );
     assert_eq!(storage.groups_to_compact(), [1]);
     let writer = storage.snapshot_writer();
     let prepared = writer.write(1, &snapshot(20, 1, b"1"));
@@ -148,7 +152,7 @@
     let while_writing = open(&disk);
     assert!(matches!(while_writing, Err(StorageError::InUse { .. })));
     drop(writer);
-    // The vote was in a segment that is gone.
+    // The segment with the record of the vote was removed; the vote must be in a segment header.
     let opened = open(&disk).expect("opened");
     assert_eq!(opened.groups[&2].restored.hard_state, vote);
     assert_eq!(opened.groups[&0].restored.entries.len(), 1);
--- a/crates/sablehaven-storage/tests/format.rs
+++ b/crates/sablehaven-storage/tests/format.rs
@@ -1,5 +1,6 @@
-//! The bytes of format version 1: `tests/data/format-1` was written by the first program that had it
-//! and stays as it is. A program that reads or writes other bytes needs another format version.
+//! Compatibility with format version 1. `tests/data/format-1` was written by the first program that
+//! had this version and must not change. A program that reads or writes other bytes needs a new
+//! format version.
 
 mod support;
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// What the folder was made of, up to its last call.
+/// The operations that produced the sample folder.
 fn sample_operations() -> Vec<Operation> {
     let empty = Entry {
         index: 1,
@@ -68,7 +69,7 @@
     ]
 }
 
-/// The last call; its record is the end of the segment.
+/// The last operation, whose record ends the segment.
 fn last_operation() -> Operation {
     Operation::Write(vec![entries_write(
         0,
@@ -110,7 +111,7 @@
     let report = sablehaven_storage::inspect_on(std::sync::Arc::new(disk.clone()), folder());
     assert_eq!(report.expect("listed").segments[0].records, 3);
     drop(opened);
-    // Without its last record, which is then written again.
+    // Removes the last record and writes it again.
     let last_record = record_offset(&whole, 2);
     disk.damage(&file(SEGMENT), whole[..last_record].to_vec());
     disk.lose_file(&file("synced-position"));
@@ -119,8 +120,8 @@
     assert_eq!(disk.content(&file(SEGMENT)), Some(whole));
 }
 
-/// Where the record with this number, from 0, begins: after the file's header, the segment's start
-/// and the records before it.
+/// Returns the offset of the record with this number, counted from 0. It follows the file header,
+/// the segment header and the records before it.
 fn record_offset(segment: &[u8], number: usize) -> usize {
     let mut begin = 16;
     for _ in 0..=number {
--- a/crates/sablehaven-storage/tests/fuzz.rs
+++ b/crates/sablehaven-storage/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Recovery of mutated, truncated and spliced files: no panic, no memory beyond the files' size, and
-//! either the written state or a clear error.
+//! Recovery from mutated, truncated and spliced files. It must not panic or allocate more memory
+//! than the files' size, and must return either the written state or an error that names a file.
 
 mod support;
 
@@ -14,10 +14,10 @@
 use sablehaven_storage::inspect_on;
 use support::{Model, file, folder, open, written_disk};
 
-/// Files by name.
+/// File names and contents.
 type Files = Vec<(String, Vec<u8>)>;
 
-/// A written folder's files and what they hold.
+/// The files of a written folder and the state that they contain.
 static WRITTEN: LazyLock<(Files, Model)> = LazyLock::new(|| {
     let (disk, model) = written_disk(11, 24);
     let names = disk.names_in(folder()).into_iter();
@@ -28,7 +28,7 @@
     (files.collect(), model)
 });
 
-/// One change to one file; places are scaled to the file's length.
+/// A change to one file. Each position is scaled to the file's length.
 #[derive(Clone, Debug)]
 enum Mutation {
     Overwrite {
@@ -50,7 +50,7 @@
         at: prop::sample::Index,
         length: usize,
     },
-    /// A length or count as large as it can be.
+    /// Overwrites 4 bytes with `0xff`, which makes a length or a count huge.
     HugeNumber {
         at: prop::sample::Index,
     },
@@ -110,7 +110,7 @@
 const FILE_HEADER_BYTES: usize = 16;
 const FRAME_HEADER_BYTES: usize = 20;
 
-/// A frame whose checksums fit, to reach the decoder behind them.
+/// Encodes a frame with valid checksums, so that the payload reaches the decoder.
 fn frame(seed: u32, sequence: u64, payload: &[u8]) -> Vec<u8> {
     let mut frame = (payload.len() as u32).to_le_bytes().to_vec();
     frame.extend_from_slice(&sequence.to_le_bytes());
@@ -126,7 +126,7 @@
     FRAME_HEADER_BYTES + u32::from_le_bytes(length) as usize
 }
 
-/// Opens and inspects; neither may panic.
+/// Inspects and opens the folder. Neither may panic.
 fn try_open(files: &[(String, Vec<u8>)]) -> Result<(), String> {
     let disk = disk_with(files);
     inspect_on(Arc::new(disk.clone()), folder()).expect("listed");
@@ -167,8 +167,8 @@
         let inspection = inspect_on(Arc::new(disk.clone()), folder()).expect("listed");
         match open(&disk) {
             Ok(opened) => {
-                // The synced position is among the files, so nothing can be cut away unnoticed;
-                // unless it is the file that was changed, and then the log is whole.
+                // The synced position exposes any acknowledged record that is missing. If the
+                // mutated file is the synced position itself, the log is intact.
                 prop_assert_eq!(opened.groups, model);
                 prop_assert!(inspection.damage.is_empty(), "{:?}", inspection.damage);
             }
--- a/crates/sablehaven-storage/tests/support/mod.rs
+++ b/crates/sablehaven-storage/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A model of what storage must hold, and random workloads against it.
-#![allow(dead_code)] // Each test binary uses a part.
+//! A model of the state that storage must contain, and random workloads to compare it with.
+#![allow(dead_code)] // Each test binary uses only a part.
 
 use std::{
     collections::BTreeMap,
@@ -17,17 +17,17 @@
     GroupWrite, OpenedStorage, Options, RestoredGroup, Storage, StorageError,
 };
 
-/// What storage must hold, by group.
+/// The state that storage must contain, by group.
 pub type Model = BTreeMap<u32, RestoredGroup>;
 
-/// One call.
+/// A call to storage.
 #[derive(Clone, Debug)]
 pub enum Operation {
     Write(Vec<GroupWrite>),
     Compact(u32, Snapshot),
 }
 
-/// A call and what storage must hold after it.
+/// An operation and the state that storage must contain after it.
 #[derive(Clone, Debug)]
 pub struct Step {
     pub operation: Operation,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A write of entries alone.
+/// Returns a write of entries without a hard state or snapshot.
 pub fn entries_write(group: u32, entries: Vec<Entry>) -> GroupWrite {
     GroupWrite {
         group,
@@ -84,7 +84,7 @@
     }
 }
 
-/// A random sequence of calls; the same for the same seed.
+/// Generates a random sequence of operations, which is the same for the same seed.
 pub fn workload(seed: u64, steps: usize) -> Vec<Step> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut model = Model::new();
@@ -170,7 +170,8 @@
     }
 }
 
-/// The rules of the interface, written apart from the product's code.
+/// Applies an operation to the model. This implements the documented behavior of storage
+/// independently of its code.
 pub fn apply(model: &mut Model, operation: &Operation) {
     match operation {
         Operation::Compact(group, snapshot) => {
@@ -211,13 +212,13 @@
     stored.snapshot_data = Some(snapshot.data.clone());
 }
 
-/// Writes a whole workload to a new disk.
+/// Writes a whole workload to a new disk, and returns the disk and the resulting state.
 pub fn written_disk(seed: u64, steps: usize) -> (FaultyDisk, Model) {
     let disk = FaultyDisk::new(seed);
     let mut storage = open(&disk).expect("empty folder").storage;
     let workload = workload(seed, steps);
     for step in &workload {
-        run(&mut storage, &step.operation).expect("no fault is planned");
+        run(&mut storage, &step.operation).expect("no fault is injected");
     }
     let model = workload.last().map(|step| step.after.clone());
     (disk, model.unwrap_or_default())
