--- a/crates/sablehaven-storage/src/commit.rs
+++ b/crates/sablehaven-storage/src/commit.rs
@@ -1,7 +1,5 @@
-//! Makes a batch durable.
-//!
-//! A batch is checked and encoded as a record, the log moves to a new segment if the active one is
-//! full, the record is appended, and files that are no longer needed are removed.
+//! Makes a batch durable: checks it, encodes it as a record, creates a new segment if the active
+//! one is full, appends the record, and removes the files that the record makes obsolete.
 
 use std::collections::BTreeSet;
 
@@ -178,7 +176,7 @@
         // durable before a record in the segment is acknowledged. Otherwise a crash could leave a
         // manifest that lists a missing file, or acknowledged records in a segment that is not
         // listed.
-        let header_end = segment::create(&self.folder, &header)?;
+        let records_end = segment::create(&self.folder, &header)?;
         let manifest = Manifest {
             last_segment: number,
             ..self.manifest
@@ -187,17 +185,17 @@
         self.manifest = manifest;
         let summary = SegmentSummary {
             number,
-            records_end: header_end,
+            records_end,
             ..SegmentSummary::default()
         };
         let next = ActiveSegment {
             file: self.folder.open_file(&names::segment(number))?,
             summary,
-            allocated_bytes: header_end,
+            allocated_bytes: records_end,
         };
         let closed = std::mem::replace(&mut self.active, next);
         self.closed.push_back(closed.summary);
-        self.counters.segments_begun += 1;
+        self.counters.segments_created += 1;
         Ok(())
     }
 
@@ -229,8 +227,8 @@
         if end <= active.allocated_bytes {
             return;
         }
-        let wanted = end + self.options.allocation_bytes;
-        active.allocated_bytes = wanted.min(self.options.segment_bytes).max(end);
+        let padded_end = end + self.options.allocation_bytes;
+        active.allocated_bytes = padded_end.min(self.options.segment_bytes).max(end);
         let added = active.allocated_bytes - end;
         frame.resize(frame.len() + added as usize, 0);
     }
@@ -242,8 +240,8 @@
             .iter()
             .filter(|write| write.snapshot.is_some());
         let replaced = with_snapshot.filter_map(|write| {
-            let former = self.groups.get(&write.group)?.snapshot.as_ref()?;
-            Some(names::snapshot(write.group, former))
+            let previous = self.groups.get(&write.group)?.snapshot.as_ref()?;
+            Some(names::snapshot(write.group, previous))
         });
         replaced.collect()
     }
--- a/crates/sablehaven-storage/src/folder.rs
+++ b/crates/sablehaven-storage/src/folder.rs
@@ -102,7 +102,7 @@
     }
 
     /// Replaces a whole file atomically and durably. A crash leaves either the previous file or the
-    /// new one, never a part of it.
+    /// complete new one.
     pub(crate) fn write_file(&self, name: &str, parts: &[&[u8]]) -> Result<(), StorageError> {
         let temporary = names::temporary(name);
         let mut file = self.create_file(&temporary)?;
--- a/crates/sablehaven-storage/src/format.rs
+++ b/crates/sablehaven-storage/src/format.rs
@@ -32,7 +32,7 @@
 /// The maximum size of a file that consists of one document.
 pub(crate) const MAXIMUM_DOCUMENT_BYTES: u64 = 1024 * 1024;
 /// The checksum seed of documents. They are read before the replica's identity is known.
-pub(crate) const NO_SEED: u32 = 0;
+pub(crate) const DOCUMENT_SEED: u32 = 0;
 
 /// The kind of a file, identified by the file's first 8 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -201,7 +201,7 @@
     value: &T,
 ) -> Result<Vec<u8>, rmp_serde::encode::Error> {
     let mut bytes = file_header(kind).to_vec();
-    append_frame(&mut bytes, NO_SEED, 0, value)?;
+    append_frame(&mut bytes, DOCUMENT_SEED, 0, value)?;
     Ok(bytes)
 }
 
@@ -212,7 +212,7 @@
     bytes: &[u8],
 ) -> Result<(T, usize), FormatError> {
     check_file_header(kind, bytes)?;
-    let frame = read_frame(bytes, FILE_HEADER_BYTES, NO_SEED)
+    let frame = read_frame(bytes, FILE_HEADER_BYTES, DOCUMENT_SEED)
         .map_err(|error| FormatError::damaged(FILE_HEADER_BYTES, error.to_string()))?;
     let value = rmp_serde::from_slice(frame.payload)
         .map_err(|error| FormatError::damaged(FILE_HEADER_BYTES, error.to_string()))?;
--- a/crates/sablehaven-storage/src/record.rs
+++ b/crates/sablehaven-storage/src/record.rs
@@ -61,7 +61,7 @@
     pub(crate) entries: Vec<RecordEntry<'a>>,
 }
 
-/// A snapshot that replaces a group's previous one.
+/// A snapshot that becomes the current one of its group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RecordSnapshot {
     pub(crate) reference: SnapshotReference,
--- a/crates/sablehaven-storage/src/recovery.rs
+++ b/crates/sablehaven-storage/src/recovery.rs
@@ -27,7 +27,7 @@
     options: &Options,
 ) -> Result<(Identity, bool), StorageError> {
     let Some(identity) = Identity::read(folder)? else {
-        clear_unfinished_format(folder)?;
+        remove_unfinished_format(folder)?;
         let identity = format(folder, &options.deployment)?;
         return Ok((identity, true));
     };
@@ -75,11 +75,11 @@
             Some(reference) => Some(snapshot_file::read(folder, replica, *group, reference)?),
             None => None,
         };
-        let group_restored = RestoredGroup {
+        let restored_group = RestoredGroup {
             restored: replayed.take_restored_state(),
             snapshot_data,
         };
-        restored.insert(*group, group_restored);
+        restored.insert(*group, restored_group);
     }
     Ok(restored)
 }
@@ -153,7 +153,7 @@
 }
 
 /// Removes the files that an interrupted formatting has left.
-fn clear_unfinished_format(folder: &Folder) -> Result<(), StorageError> {
+fn remove_unfinished_format(folder: &Folder) -> Result<(), StorageError> {
     check_unformatted(folder)?;
     for name in folder.list()? {
         let is_segment = names::segment_number(&name).is_some();
@@ -164,8 +164,8 @@
     Ok(())
 }
 
-/// Checks that a folder without an identity contains nothing that an interrupted formatting could
-/// not have left. Any other storage file means that the identity was lost.
+/// Checks that a folder without an identity contains only storage files that an interrupted
+/// formatting can leave. Any other storage file means that the identity was lost.
 pub(crate) fn check_unformatted(folder: &Folder) -> Result<(), StorageError> {
     for name in folder.list()? {
         let is_snapshot = names::is_snapshot(&name);
--- a/crates/sablehaven-storage/src/scan.rs
+++ b/crates/sablehaven-storage/src/scan.rs
@@ -200,7 +200,7 @@
         name: &str,
         summary: &SegmentSummary,
         record_error: Option<RecordError>,
-        rest: &[u8],
+        unread_bytes: &[u8],
     ) -> Result<(), StorageError> {
         if let Some(record_error) = record_error {
             if !record_error.may_be_torn {
@@ -209,7 +209,7 @@
             self.torn_tail = Some(TruncatedTail {
                 path: folder.path_of(name),
                 offset: record_error.offset,
-                bytes: rest.len() as u64,
+                bytes: unread_bytes.len() as u64,
             });
         }
         self.check_synced_length(folder, name, summary)
--- a/crates/sablehaven-storage/src/segment.rs
+++ b/crates/sablehaven-storage/src/segment.rs
@@ -28,7 +28,7 @@
     position: usize,
     next_sequence: u64,
     records: u64,
-    last_record: Option<usize>,
+    last_record_offset: Option<usize>,
 }
 
 /// A record with its offset in the segment.
@@ -74,7 +74,7 @@
             position,
             next_sequence: header.first_sequence,
             records: 0,
-            last_record: None,
+            last_record_offset: None,
         };
         Ok((header, reader))
     }
@@ -119,7 +119,7 @@
 
     /// Returns the offset and the bytes of the last record that was read.
     pub(crate) fn last_record(&self) -> Option<(u64, &'a [u8])> {
-        let begin = self.last_record?;
+        let begin = self.last_record_offset?;
         Some((begin as u64, &self.bytes[begin..self.position]))
     }
 
@@ -135,7 +135,7 @@
         self.position = frame.end;
         self.next_sequence += 1;
         self.records += 1;
-        self.last_record = Some(begin);
+        self.last_record_offset = Some(begin);
         Ok(LocatedRecord {
             offset: begin as u64,
             record,
--- a/crates/sablehaven-storage/src/storage.rs
+++ b/crates/sablehaven-storage/src/storage.rs
@@ -58,10 +58,10 @@
     pub log_bytes: u64,
     /// Syncs of the log, one per record.
     pub log_syncs: u64,
-    /// Snapshots that replaced a group's previous one.
+    /// Snapshots that became the current one of their group.
     pub snapshots: u64,
     /// Segments created.
-    pub segments_begun: u64,
+    pub segments_created: u64,
     /// Segments removed because snapshots cover all their entries.
     pub segments_removed: u64,
 }
@@ -254,9 +254,10 @@
         if self.closed.len() <= self.options.closed_segments as usize {
             return Vec::new();
         }
-        let holding = oldest.highest_indexes.iter();
-        let holding = holding.filter(|(group, highest)| self.snapshot_index(**group) < **highest);
-        holding.map(|(group, _)| *group).collect()
+        let uncovered = oldest.highest_indexes.iter();
+        let uncovered =
+            uncovered.filter(|(group, highest)| self.snapshot_index(**group) < **highest);
+        uncovered.map(|(group, _)| *group).collect()
     }
 
     /// Returns the replica and deployment that the folder belongs to.
--- a/crates/sablehaven-storage/tests/damage.rs
+++ b/crates/sablehaven-storage/tests/damage.rs
@@ -18,7 +18,7 @@
 }
 
 fn content(disk: &FaultyDisk, name: &str) -> Vec<u8> {
-    disk.content(&file(name)).expect("the file is there")
+    disk.content(&file(name)).expect("the file exists")
 }
 
 /// Returns the end of a file's content: the end of the last record for a segment, or the file's
@@ -37,17 +37,17 @@
 
 /// Checks that opening a damaged folder fails with an error that names the damaged file, and that
 /// the inspection reports the file.
-fn assert_refused(disk: &FaultyDisk, name: &str, what: &str) {
+fn assert_refused(disk: &FaultyDisk, name: &str, case: &str) {
     match open(disk) {
         Err(StorageError::Damaged { path, .. } | StorageError::UnknownVersion { path, .. }) => {
-            assert_eq!(path, file(name), "{what}");
+            assert_eq!(path, file(name), "{case}");
         }
-        Err(error) => panic!("{what}: {error}"),
-        Ok(_) => panic!("{what}: accepted"),
+        Err(error) => panic!("{case}: {error}"),
+        Ok(_) => panic!("{case}: accepted"),
     }
     let inspection = inspect_on(Arc::new(disk.clone()), folder()).expect("listed");
     let reported = inspection.damage.iter().any(|damage| damage.file == name);
-    assert!(reported, "{what}: {:?}", inspection.damage);
+    assert!(reported, "{case}: {:?}", inspection.damage);
 }
 
 #[test]
@@ -70,7 +70,7 @@
                 let opened = open(&disk).expect("the damage is after the last record");
                 assert_eq!(opened.groups, model);
                 assert_eq!(
-                    opened.truncated_tail.expect("cut").offset,
+                    opened.truncated_tail.expect("a tail was truncated").offset,
                     stored_end as u64
                 );
             } else {
@@ -79,7 +79,7 @@
         }
         disk.damage(&file(&name), original);
     }
-    assert_eq!(open(&disk).expect("as it was").groups, model);
+    assert_eq!(open(&disk).expect("the original files").groups, model);
 }
 
 #[test]
@@ -93,13 +93,13 @@
         let original = content(&disk, &name);
         for length in 0..stored_end(&disk, &name) {
             disk.damage(&file(&name), original[..length].to_vec());
-            assert_refused(&disk, &name, &format!("{name} cut to {length}"));
+            assert_refused(&disk, &name, &format!("{name} truncated to {length}"));
         }
         disk.lose_file(&file(&name));
         assert_refused(&disk, &name, &format!("{name} lost"));
         disk.damage(&file(&name), original);
     }
-    assert_eq!(open(&disk).expect("as it was").groups, model);
+    assert_eq!(open(&disk).expect("the original files").groups, model);
 }
 
 /// A power failure may lose the synced position. Without it, damage to any record before the last
@@ -108,12 +108,12 @@
 fn damage_before_the_last_record_is_not_treated_as_a_torn_tail() {
     let (disk, _) = written_disk(5, 24);
     let before = segments(&disk);
-    let mut storage = open(&disk).expect("whole").storage;
+    let mut storage = open(&disk).expect("intact").storage;
     let (group, index) = (9, 1);
     // The command ends in zeros, like the allocated space after the record.
     let last = [entries_write(group, vec![entry(index, 1, &[1, 0, 0])])];
     let name = segments(&disk).pop().expect("a segment");
-    let last_record = stored_end(&disk, &name);
+    let last_record_offset = stored_end(&disk, &name);
     storage.write(&last).expect("written");
     drop(storage);
     assert_eq!(
@@ -123,7 +123,7 @@
     );
     disk.lose_file(&file("synced-position"));
     let original = content(&disk, &name);
-    for offset in 0..last_record {
+    for offset in 0..last_record_offset {
         let mut damaged = original.clone();
         damaged[offset] ^= 0x40;
         disk.damage(&file(&name), damaged);
@@ -134,9 +134,12 @@
     let end = stored_end(&disk, &name);
     let torn = content(&disk, &name)[..end - 1].to_vec();
     disk.damage(&file(&name), torn);
-    let cut = open(&disk).expect("torn").truncated_tail.expect("cut");
-    assert_eq!(cut.offset, last_record as u64);
-    assert_eq!(cut.path, file(&name));
+    let tail = open(&disk)
+        .expect("a torn tail is accepted")
+        .truncated_tail
+        .expect("a tail was truncated");
+    assert_eq!(tail.offset, last_record_offset as u64);
+    assert_eq!(tail.path, file(&name));
 }
 
 /// Simulates a faulty recovery that truncates the log at the first damage, and checks that the
@@ -146,16 +149,16 @@
     let disk = FaultyDisk::new(1);
     let mut storage = open(&disk).expect("empty").storage;
     let name = segments(&disk).pop().expect("a segment");
-    let first_record = stored_end(&disk, &name);
+    let first_record_offset = stored_end(&disk, &name);
     for index in 1..4 {
         let batch = [entries_write(0, vec![entry(index, 1, b"command")])];
         storage.write(&batch).expect("written");
     }
     drop(storage);
-    let model: Model = open(&disk).expect("whole").groups;
-    let cut = content(&disk, &name)[..first_record].to_vec();
+    let model: Model = open(&disk).expect("intact").groups;
+    let truncated = content(&disk, &name)[..first_record_offset].to_vec();
     disk.lose_file(&file("synced-position"));
-    disk.damage(&file(&name), cut);
+    disk.damage(&file(&name), truncated);
     assert_ne!(open(&disk).expect("looks intact").groups, model);
 }
 
@@ -170,14 +173,14 @@
     torn.extend_from_slice(&whole[whole.len() - 60..]);
     torn.extend_from_slice(&[0; 700]);
     disk.damage(&file(&name), torn);
-    let opened = open(&disk).expect("torn");
-    let cut = opened.truncated_tail.expect("cut");
-    assert_eq!((cut.offset, cut.bytes), (whole.len() as u64, 60));
+    let opened = open(&disk).expect("a torn tail is accepted");
+    let tail = opened.truncated_tail.expect("a tail was truncated");
+    assert_eq!((tail.offset, tail.bytes), (whole.len() as u64, 60));
     assert_eq!(opened.groups, model);
     drop(opened.storage);
     disk.restart(UnsyncedLoss::All);
     assert_eq!(content(&disk, &name), whole);
-    assert_eq!(open(&disk).expect("whole").truncated_tail, None);
+    assert_eq!(open(&disk).expect("intact").truncated_tail, None);
 }
 
 #[test]
--- a/crates/sablehaven-storage/tests/folder.rs
+++ b/crates/sablehaven-storage/tests/folder.rs
@@ -152,7 +152,7 @@
     let while_writing = open(&disk);
     assert!(matches!(while_writing, Err(StorageError::InUse { .. })));
     drop(writer);
-    // The segment with the record of the vote was removed; the vote must be in a segment header.
+    // The segment with the record of the vote was removed, so the vote comes from a segment header.
     let opened = open(&disk).expect("opened");
     assert_eq!(opened.groups[&2].restored.hard_state, vote);
     assert_eq!(opened.groups[&0].restored.entries.len(), 1);
@@ -287,10 +287,10 @@
     write_round(&mut storage, 1, 1);
     drop(storage);
     let segment = "segment-00000000000000000001";
-    let mut content = disk.content(&file(segment)).expect("there");
+    let mut content = disk.content(&file(segment)).expect("the segment");
     let report = inspect_on(Arc::new(disk.clone()), folder()).expect("listed");
-    let whole = report.segments[0].bytes;
-    let end = usize::try_from(whole).expect("small");
+    let records_end = report.segments[0].bytes;
+    let end = usize::try_from(records_end).expect("small");
     content[end..end + 3].copy_from_slice(&[1, 2, 3]);
     disk.damage(&file(segment), content);
     disk.damage(&file("notes.txt"), vec![]);
@@ -298,33 +298,36 @@
     let operations = disk.counts();
     let report = inspect_on(Arc::new(disk.clone()), folder()).expect("listed");
     assert_eq!(disk.counts(), operations);
-    let tail = report.torn_tail.expect("torn");
+    let tail = report.torn_tail.expect("a torn tail");
     assert_eq!(
         (tail.file.as_str(), tail.offset, tail.bytes),
-        (segment, whole, 3)
+        (segment, records_end, 3)
     );
     assert_eq!(report.other_files, ["manifest.temporary", "notes.txt"]);
     assert_eq!(report.damage, []);
     assert_eq!(report.segments[0].records, 1);
     drop(open(&disk).expect("opened"));
-    let left: Vec<PathBuf> = disk.names_in(folder()).iter().map(PathBuf::from).collect();
-    assert!(left.contains(&PathBuf::from("notes.txt")));
-    assert!(!left.contains(&PathBuf::from("manifest.temporary")));
+    let remaining: Vec<PathBuf> = disk.names_in(folder()).iter().map(PathBuf::from).collect();
+    assert!(remaining.contains(&PathBuf::from("notes.txt")));
+    assert!(!remaining.contains(&PathBuf::from("manifest.temporary")));
 }
 
 #[test]
 fn settings_out_of_range_are_reported_with_their_keys() {
-    let wrong = Options {
+    let invalid = Options {
         segment_bytes: 1,
         allocation_bytes: u64::MAX,
         ..Options::default()
     };
-    let keys: Vec<_> = wrong
+    let keys: Vec<_> = invalid
         .validate("control.storage")
         .into_iter()
         .map(|e| e.key)
         .collect();
-    let wrong_keys = ["deployment", "segment_bytes", "allocation_bytes"];
-    assert_eq!(keys, wrong_keys.map(|key| format!("control.storage.{key}")));
+    let invalid_keys = ["deployment", "segment_bytes", "allocation_bytes"];
+    assert_eq!(
+        keys,
+        invalid_keys.map(|key| format!("control.storage.{key}"))
+    );
     assert_eq!(options().validate("storage"), []);
 }
--- a/crates/sablehaven-storage/tests/format.rs
+++ b/crates/sablehaven-storage/tests/format.rs
@@ -112,10 +112,12 @@
     assert_eq!(report.expect("listed").segments[0].records, 3);
     drop(opened);
     // Removes the last record and writes it again.
-    let last_record = record_offset(&whole, 2);
-    disk.damage(&file(SEGMENT), whole[..last_record].to_vec());
+    let last_record_offset = record_offset(&whole, 2);
+    disk.damage(&file(SEGMENT), whole[..last_record_offset].to_vec());
     disk.lose_file(&file("synced-position"));
-    let mut storage: Storage = open_with(&disk, sample_options()).expect("shorter").storage;
+    let mut storage: Storage = open_with(&disk, sample_options())
+        .expect("intact without the last record")
+        .storage;
     support::run(&mut storage, &last_operation()).expect("written");
     assert_eq!(disk.content(&file(SEGMENT)), Some(whole));
 }
--- a/crates/sablehaven-storage/tests/fuzz.rs
+++ b/crates/sablehaven-storage/tests/fuzz.rs
@@ -74,27 +74,27 @@
 
 fn mutate(content: &mut Vec<u8>, mutation: &Mutation) {
     let length = content.len();
-    let place = |at: &prop::sample::Index| if length == 0 { 0 } else { at.index(length) };
+    let position = |at: &prop::sample::Index| if length == 0 { 0 } else { at.index(length) };
     match mutation {
-        Mutation::Overwrite { at, bytes } => overwrite(content, place(at), bytes),
-        Mutation::HugeNumber { at } => overwrite(content, place(at), &[0xff; 4]),
+        Mutation::Overwrite { at, bytes } => overwrite(content, position(at), bytes),
+        Mutation::HugeNumber { at } => overwrite(content, position(at), &[0xff; 4]),
         Mutation::Insert { at, bytes } => {
-            content.splice(place(at)..place(at), bytes.iter().copied());
+            content.splice(position(at)..position(at), bytes.iter().copied());
         }
         Mutation::Remove {
             at,
             length: removed,
         } => {
-            let end = (place(at) + removed).min(length);
-            content.drain(place(at)..end);
+            let end = (position(at) + removed).min(length);
+            content.drain(position(at)..end);
         }
-        Mutation::Truncate { at } => content.truncate(place(at)),
+        Mutation::Truncate { at } => content.truncate(position(at)),
         Mutation::Repeat {
             at,
             length: repeated,
         } => {
-            let end = (place(at) + repeated).min(length);
-            let part = content[place(at)..end].to_vec();
+            let end = (position(at) + repeated).min(length);
+            let part = content[position(at)..end].to_vec();
             content.splice(end..end, part);
         }
         Mutation::Replace { bytes } => *content = bytes.clone(),
@@ -155,13 +155,13 @@
 
     #[test]
     fn mutated_files_yield_the_written_state_or_an_error(
-        which in any::<prop::sample::Index>(),
+        which_file in any::<prop::sample::Index>(),
         mutations in vec(mutation(), 1..4),
     ) {
         let (mut files, model) = WRITTEN.clone();
-        let which = which.index(files.len());
+        let file_index = which_file.index(files.len());
         for mutation in &mutations {
-            mutate(&mut files[which].1, mutation);
+            mutate(&mut files[file_index].1, mutation);
         }
         let disk = disk_with(&files);
         let inspection = inspect_on(Arc::new(disk.clone()), folder()).expect("listed");
@@ -181,13 +181,13 @@
 
     #[test]
     fn any_payload_with_valid_checksums_is_decoded_or_refused(
-        which in any::<prop::sample::Index>(),
+        which_file in any::<prop::sample::Index>(),
         payload in vec(any::<u8>(), 0..120),
     ) {
         let (mut files, _) = WRITTEN.clone();
-        let which = which.index(files.len());
-        files[which].1.truncate(FILE_HEADER_BYTES);
-        files[which].1.extend(frame(0, 0, &payload));
+        let file_index = which_file.index(files.len());
+        files[file_index].1.truncate(FILE_HEADER_BYTES);
+        files[file_index].1.extend(frame(0, 0, &payload));
         if let Err(error) = try_open(&files) {
             prop_assert!(error.contains("/data/"), "{}", error);
         }
@@ -199,7 +199,7 @@
         mutations in vec(mutation(), 1..3),
     ) {
         let (mut files, _) = WRITTEN.clone();
-        let replica = open(&disk_with(&files)).expect("whole").identity.replica;
+        let replica = open(&disk_with(&files)).expect("intact").identity.replica;
         let segment = files.iter_mut().find(|(name, _)| name.starts_with("segment-"));
         let content = &mut segment.expect("a segment").1;
         let header_end = FILE_HEADER_BYTES + frame_length(&content[FILE_HEADER_BYTES..]);
@@ -210,7 +210,7 @@
             mutate(&mut payload, mutation);
         }
         let seed = if in_header { 0 } else { crc32c::crc32c(&replica.0.to_le_bytes()) };
-        let sequence = u64::from_le_bytes(content[begin + 4..begin + 12].try_into().expect("8"));
+        let sequence = u64::from_le_bytes(content[begin + 4..begin + 12].try_into().expect("8 bytes"));
         content.splice(begin..end, frame(seed, sequence, &payload));
         if let Err(error) = try_open(&files) {
             prop_assert!(error.contains("/data/"), "{}", error);
