--- a/crates/sablehaven-storage/src/commit.rs
+++ b/crates/sablehaven-storage/src/commit.rs
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Removes the oldest segments. Stops at the first one with an entry that no snapshot covers.
+    /// Removes the oldest segments, as long as snapshots cover all entries of each removed one.
     fn remove_covered_segments(&mut self) -> Result<(), StorageError> {
         let covered = self
             .closed
--- a/crates/sablehaven-storage/src/format.rs
+++ b/crates/sablehaven-storage/src/format.rs
@@ -11,11 +11,11 @@
 //! search for frames after a damaged one computes no payload checksum at offsets where no frame
 //! begins.
 //!
-//! Both checksums start from a seed that is derived from the replica's identity. A frame that
-//! another replica wrote, or that a caller embedded in a command, is therefore not recognized as a
-//! frame.
+//! Both checksums of a record's frame start from a seed that is derived from the replica's id. A
+//! frame that another replica wrote, or that a caller embedded in a command, is therefore not
+//! recognized as a frame.
 //!
-//! A document is a file header followed by one frame.
+//! A document is a file header followed by one frame, whose checksums start from a fixed seed.
 
 use sablehaven_consensus::ReplicaId;
 use serde::{Serialize, de::DeserializeOwned};
--- a/crates/sablehaven-storage/src/snapshot_file.rs
+++ b/crates/sablehaven-storage/src/snapshot_file.rs
@@ -22,7 +22,7 @@
     reference: SnapshotReference,
 }
 
-/// Returns the reference to a snapshot that is stored in the log.
+/// Creates the reference by which the log identifies a snapshot.
 pub(crate) fn reference_of(snapshot: &Snapshot) -> SnapshotReference {
     SnapshotReference {
         metadata: snapshot.metadata.clone(),
--- a/crates/sablehaven-storage/src/snapshot_writer.rs
+++ b/crates/sablehaven-storage/src/snapshot_writer.rs
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Writes a snapshot file and syncs it. Only one call at a time may write snapshots of a group.
+    /// Writes a snapshot file and syncs it. At most one call at a time may write a snapshot of
+    /// the same group.
     ///
     /// # Errors
     /// Returns [`StorageError::Disk`] with the operation and file. The storage itself stays usable.
--- a/crates/sablehaven-storage/tests/crash.rs
+++ b/crates/sablehaven-storage/tests/crash.rs
@@ -231,7 +231,8 @@
             run_until_error(&machine, &workload).expect("no call succeeds after a failure");
         machine.disk.set_free_bytes(None);
         machine.disk.kill_process();
-        let recovered = recover(&machine).unwrap_or_else(|found| panic!("{free_bytes}: {found:?}"));
+        let recovered =
+            recover(&machine).unwrap_or_else(|violation| panic!("{free_bytes}: {violation:?}"));
         check(&recovered, &workload, acknowledged).expect("acknowledged writes are recovered");
     }
 }
