--- a/crates/sablehaven-storage/src/commit.rs
+++ b/crates/sablehaven-storage/src/commit.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     error::StorageError,
-    format::{FRAME_HEADER_BYTES, MAXIMUM_PAYLOAD_BYTES, append_frame, checksum_seed},
+    format::{FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES, append_frame, checksum_seed},
     group_state::GroupState,
     manifest::Manifest,
     names,
@@ -22,7 +22,7 @@
 
 /// The largest command: a record's maximum payload minus 1 MiB, which is ample for the other fields
 /// of the record.
-const MAXIMUM_COMMAND_BYTES: usize = MAXIMUM_PAYLOAD_BYTES - 1024 * 1024;
+const MAX_COMMAND_BYTES: usize = MAX_PAYLOAD_BYTES - 1024 * 1024;
 
 impl Storage {
     /// Checks a batch against the stored state and converts it to a record.
@@ -293,12 +293,12 @@
         let EntryPayload::Command(command) = &entry.payload else {
             continue;
         };
-        if command.len() > MAXIMUM_COMMAND_BYTES {
+        if command.len() > MAX_COMMAND_BYTES {
             return Err(StorageError::EntryTooLarge {
                 group: write.group,
                 index: entry.index,
                 bytes: command.len() as u64,
-                allowed: MAXIMUM_COMMAND_BYTES as u64,
+                allowed: MAX_COMMAND_BYTES as u64,
             });
         }
     }
--- a/crates/sablehaven-storage/src/format.rs
+++ b/crates/sablehaven-storage/src/format.rs
@@ -28,9 +28,9 @@
 /// The size of a frame header.
 pub(crate) const FRAME_HEADER_BYTES: usize = 20;
 /// The maximum size of a frame's payload.
-pub(crate) const MAXIMUM_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
+pub(crate) const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
 /// The maximum size of a file that consists of one document.
-pub(crate) const MAXIMUM_DOCUMENT_BYTES: u64 = 1024 * 1024;
+pub(crate) const MAX_DOCUMENT_BYTES: u64 = 1024 * 1024;
 /// The checksum seed of documents. They are read before the replica's identity is known.
 pub(crate) const DOCUMENT_SEED: u32 = 0;
 
@@ -168,7 +168,7 @@
         return Err(FrameError::HeaderChecksum);
     }
     let length = read_u32(header) as usize;
-    if length > MAXIMUM_PAYLOAD_BYTES {
+    if length > MAX_PAYLOAD_BYTES {
         return Err(FrameError::TooLong);
     }
     let Some(payload) = rest.get(..length) else {
--- a/crates/sablehaven-storage/src/group_state.rs
+++ b/crates/sablehaven-storage/src/group_state.rs
@@ -8,7 +8,7 @@
 
 /// The largest index, sequence number or segment number that is accepted. The limit prevents an
 /// arithmetic overflow with a number that was decoded from damaged bytes.
-pub(crate) const MAXIMUM_NUMBER: u64 = u64::MAX / 2;
+pub(crate) const MAX_NUMBER: u64 = u64::MAX / 2;
 
 /// The stored state of a group, without the entries' payloads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -68,7 +68,7 @@
         let mut last_index = self.last_index;
         if let Some(snapshot) = &write.snapshot {
             let index = snapshot.reference.metadata.index;
-            if index > MAXIMUM_NUMBER {
+            if index > MAX_NUMBER {
                 return Err(format!("snapshot at {index} is out of range"));
             }
             if index <= snapshot_index {
@@ -88,7 +88,7 @@
         let Some(first) = write.entries.first() else {
             return Ok(());
         };
-        if first.index > MAXIMUM_NUMBER {
+        if first.index > MAX_NUMBER {
             return Err(format!("entry {} is out of range", first.index));
         }
         if first.index <= snapshot_index {
--- a/crates/sablehaven-storage/src/identity.rs
+++ b/crates/sablehaven-storage/src/identity.rs
@@ -7,7 +7,7 @@
     error::StorageError,
     folder::Folder,
     format::{
-        FORMAT_VERSION, FileKind, MAXIMUM_DOCUMENT_BYTES, decode_whole_document, encode_document,
+        FORMAT_VERSION, FileKind, MAX_DOCUMENT_BYTES, decode_whole_document, encode_document,
     },
     names,
 };
@@ -36,7 +36,7 @@
 
     /// Reads the identity, or returns `None` if the folder has none.
     pub(crate) fn read(folder: &Folder) -> Result<Option<Self>, StorageError> {
-        let Some(content) = folder.read(names::IDENTITY, MAXIMUM_DOCUMENT_BYTES)? else {
+        let Some(content) = folder.read(names::IDENTITY, MAX_DOCUMENT_BYTES)? else {
             return Ok(None);
         };
         let identity = decode_whole_document(FileKind::Identity, &content)
--- a/crates/sablehaven-storage/src/manifest.rs
+++ b/crates/sablehaven-storage/src/manifest.rs
@@ -8,8 +8,8 @@
 use crate::{
     error::StorageError,
     folder::Folder,
-    format::{FileKind, MAXIMUM_DOCUMENT_BYTES, decode_whole_document, encode_document},
-    group_state::MAXIMUM_NUMBER,
+    format::{FileKind, MAX_DOCUMENT_BYTES, decode_whole_document, encode_document},
+    group_state::MAX_NUMBER,
     names,
 };
 
@@ -28,7 +28,7 @@
     }
 
     pub(crate) fn read(folder: &Folder, replica: ReplicaId) -> Result<Self, StorageError> {
-        let content = folder.read_existing(names::MANIFEST, MAXIMUM_DOCUMENT_BYTES)?;
+        let content = folder.read_existing(names::MANIFEST, MAX_DOCUMENT_BYTES)?;
         let manifest: Self = decode_whole_document(FileKind::Manifest, &content)
             .map_err(|error| folder.format_error(names::MANIFEST, error))?;
         if manifest.replica != replica {
@@ -36,7 +36,7 @@
             return Err(folder.damaged(names::MANIFEST, 0, reason));
         }
         let (first, last) = (manifest.first_segment, manifest.last_segment);
-        if first == 0 || first > last || last > MAXIMUM_NUMBER {
+        if first == 0 || first > last || last > MAX_NUMBER {
             let reason = format!("the segment range {first} to {last} is invalid");
             return Err(folder.damaged(names::MANIFEST, 0, reason));
         }
--- a/crates/sablehaven-storage/src/options.rs
+++ b/crates/sablehaven-storage/src/options.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 
 /// The smallest allowed value of [`Options::segment_bytes`].
-const MINIMUM_SEGMENT_BYTES: u64 = 4 * 1024;
+const MIN_SEGMENT_BYTES: u64 = 4 * 1024;
 /// The largest allowed value of [`Options::segment_bytes`].
-pub(crate) const MAXIMUM_SEGMENT_BYTES: u64 = 256 * 1024 * 1024;
+pub(crate) const MAX_SEGMENT_BYTES: u64 = 256 * 1024 * 1024;
 
 /// The largest allowed value of [`Options::allocation_bytes`].
-const MAXIMUM_ALLOCATION_BYTES: u64 = 16 * 1024 * 1024;
+const MAX_ALLOCATION_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Storage settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,14 +48,14 @@
             let key = format!("{prefix}.deployment");
             errors.push(SettingError::new(&key, "empty", "a name"));
         }
-        if !(MINIMUM_SEGMENT_BYTES..=MAXIMUM_SEGMENT_BYTES).contains(&self.segment_bytes) {
+        if !(MIN_SEGMENT_BYTES..=MAX_SEGMENT_BYTES).contains(&self.segment_bytes) {
             let key = format!("{prefix}.segment_bytes");
-            let allowed = format!("{MINIMUM_SEGMENT_BYTES} to {MAXIMUM_SEGMENT_BYTES}");
+            let allowed = format!("{MIN_SEGMENT_BYTES} to {MAX_SEGMENT_BYTES}");
             errors.push(SettingError::new(&key, self.segment_bytes, &allowed));
         }
-        if self.allocation_bytes > MAXIMUM_ALLOCATION_BYTES {
+        if self.allocation_bytes > MAX_ALLOCATION_BYTES {
             let key = format!("{prefix}.allocation_bytes");
-            let allowed = format!("0 to {MAXIMUM_ALLOCATION_BYTES}");
+            let allowed = format!("0 to {MAX_ALLOCATION_BYTES}");
             errors.push(SettingError::new(&key, self.allocation_bytes, &allowed));
         }
         errors
--- a/crates/sablehaven-storage/src/recovery.rs
+++ b/crates/sablehaven-storage/src/recovery.rs
@@ -11,7 +11,7 @@
     options::Options,
     record::SegmentHeader,
     scan::FolderScan,
-    segment::{self, MAXIMUM_FILE_BYTES, SegmentReader},
+    segment::{self, MAX_FILE_BYTES, SegmentReader},
     snapshot_file,
     storage::RestoredGroup,
 };
@@ -176,7 +176,7 @@
         }
     }
     let first = names::segment(FIRST_SEGMENT);
-    match folder.read(&first, MAXIMUM_FILE_BYTES)? {
+    match folder.read(&first, MAX_FILE_BYTES)? {
         Some(content) => check_no_records(folder, &first, &content),
         None => Ok(()),
     }
--- a/crates/sablehaven-storage/src/scan.rs
+++ b/crates/sablehaven-storage/src/scan.rs
@@ -10,7 +10,7 @@
     names,
     record::{Record, SegmentHeader},
     replay::Replay,
-    segment::{MAXIMUM_FILE_BYTES, RecordError, SegmentReader},
+    segment::{MAX_FILE_BYTES, RecordError, SegmentReader},
     synced_position::SyncedPosition,
 };
 
@@ -96,7 +96,7 @@
         number: u64,
     ) -> Result<(), StorageError> {
         let name = names::segment(number);
-        let content = folder.read_existing(&name, MAXIMUM_FILE_BYTES)?;
+        let content = folder.read_existing(&name, MAX_FILE_BYTES)?;
         let opened = SegmentReader::new(&content, self.identity.replica, number);
         let (_, reader) = opened.map_err(|error| folder.format_error(&name, error))?;
         if reader.position() == content.len() as u64 {
@@ -121,7 +121,7 @@
 
     fn read_segment(&mut self, folder: &Folder, number: u64) -> Result<(), StorageError> {
         let name = names::segment(number);
-        let content = folder.read_existing(&name, MAXIMUM_FILE_BYTES)?;
+        let content = folder.read_existing(&name, MAX_FILE_BYTES)?;
         let opened = SegmentReader::new(&content, self.identity.replica, number);
         let (header, mut reader) = opened.map_err(|error| folder.format_error(&name, error))?;
         self.apply_segment_header(folder, &name, &header)?;
--- a/crates/sablehaven-storage/src/segment.rs
+++ b/crates/sablehaven-storage/src/segment.rs
@@ -6,19 +6,19 @@
     error::StorageError,
     folder::Folder,
     format::{
-        FRAME_HEADER_BYTES, FileKind, FormatError, Frame, FrameError, MAXIMUM_PAYLOAD_BYTES,
+        FRAME_HEADER_BYTES, FileKind, FormatError, Frame, FrameError, MAX_PAYLOAD_BYTES,
         checksum_seed, decode_document, encode_document, later_frame_exists, read_frame,
     },
-    group_state::MAXIMUM_NUMBER,
+    group_state::MAX_NUMBER,
     names,
-    options::MAXIMUM_SEGMENT_BYTES,
+    options::MAX_SEGMENT_BYTES,
     record::{Record, SegmentHeader},
 };
 
 /// The maximum size of a segment file: a full segment, its header and one more record.
-pub(crate) const MAXIMUM_FILE_BYTES: u64 = MAXIMUM_SEGMENT_BYTES + 2 * MAXIMUM_RECORD_BYTES;
+pub(crate) const MAX_FILE_BYTES: u64 = MAX_SEGMENT_BYTES + 2 * MAX_RECORD_BYTES;
 /// The maximum size of a record, including its frame header.
-pub(crate) const MAXIMUM_RECORD_BYTES: u64 = (FRAME_HEADER_BYTES + MAXIMUM_PAYLOAD_BYTES) as u64;
+pub(crate) const MAX_RECORD_BYTES: u64 = (FRAME_HEADER_BYTES + MAX_PAYLOAD_BYTES) as u64;
 
 /// Reads the records of a segment in order.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
             return Err(FormatError::damaged(0, reason));
         }
         let mut numbers = header.groups.iter().map(|group| group.last_index);
-        if header.first_sequence > MAXIMUM_NUMBER || numbers.any(|last| last > MAXIMUM_NUMBER) {
+        if header.first_sequence > MAX_NUMBER || numbers.any(|last| last > MAX_NUMBER) {
             let reason = "the segment header contains a number that is out of range";
             return Err(FormatError::damaged(0, reason));
         }
@@ -168,7 +168,7 @@
         // The search includes the zeros at the end, because a later record may itself end in zeros.
         let written = &self.bytes[self.position..];
         let may_be_torn = can_begin_torn_write
-            && self.unread_bytes().len() as u64 <= MAXIMUM_RECORD_BYTES
+            && self.unread_bytes().len() as u64 <= MAX_RECORD_BYTES
             && !later_frame_exists(written, self.seed, self.next_sequence);
         RecordError {
             offset: self.position as u64,
--- a/crates/sablehaven-storage/src/snapshot_file.rs
+++ b/crates/sablehaven-storage/src/snapshot_file.rs
@@ -8,7 +8,7 @@
     error::StorageError,
     folder::Folder,
     format::{
-        FILE_HEADER_BYTES, FRAME_HEADER_BYTES, FileKind, MAXIMUM_DOCUMENT_BYTES, decode_document,
+        FILE_HEADER_BYTES, FRAME_HEADER_BYTES, FileKind, MAX_DOCUMENT_BYTES, decode_document,
         encode_document,
     },
     names,
@@ -58,7 +58,7 @@
     reference: &SnapshotReference,
 ) -> Result<Vec<u8>, StorageError> {
     let name = names::snapshot(group, reference);
-    let overhead = (FILE_HEADER_BYTES + FRAME_HEADER_BYTES) as u64 + MAXIMUM_DOCUMENT_BYTES;
+    let overhead = (FILE_HEADER_BYTES + FRAME_HEADER_BYTES) as u64 + MAX_DOCUMENT_BYTES;
     let limit = reference.data_bytes.saturating_add(overhead);
     let mut content = folder.read_existing(&name, limit)?;
     let (header, data_begin) = decode_document::<SnapshotHeader>(FileKind::Snapshot, &content)
--- a/crates/sablehaven-storage/src/split.rs
+++ b/crates/sablehaven-storage/src/split.rs
@@ -1,6 +1,6 @@
 //! Splits batches that are too large for one record.
 
-use crate::{error::StorageError, segment::MAXIMUM_RECORD_BYTES, write::GroupWrite};
+use crate::{error::StorageError, segment::MAX_RECORD_BYTES, write::GroupWrite};
 
 /// Splits a batch into two, which must be written in the returned order.
 ///
@@ -27,7 +27,7 @@
         group: write.group,
         index: write.entries.first().map_or(0, |entry| entry.index),
         bytes: bytes as u64,
-        allowed: MAXIMUM_RECORD_BYTES,
+        allowed: MAX_RECORD_BYTES,
     }
 }
 
--- a/crates/sablehaven-storage/src/storage.rs
+++ b/crates/sablehaven-storage/src/storage.rs
@@ -18,7 +18,7 @@
     options::Options,
     recovery,
     scan::{FolderScan, SegmentSummary, TruncatedTail},
-    segment::MAXIMUM_RECORD_BYTES,
+    segment::MAX_RECORD_BYTES,
     snapshot_writer::{PreparedSnapshot, SnapshotWriter},
     split,
     synced_position::{SyncedPosition, SyncedPositionFile},
@@ -189,7 +189,7 @@
         let record = self.record_of_batch(batch)?;
         let encoded = self.encode(&record);
         let frame = self.poison_on_error(encoded)?;
-        if frame.len() as u64 > MAXIMUM_RECORD_BYTES {
+        if frame.len() as u64 > MAX_RECORD_BYTES {
             let [first, second] = split::split_batch(batch, frame.len())?;
             self.write(&first)?;
             return self.write(&second);
--- a/crates/sablehaven-storage/tests/crash.rs
+++ b/crates/sablehaven-storage/tests/crash.rs
@@ -12,7 +12,7 @@
 const DEFAULT_SEEDS: u64 = 6;
 const STEPS: usize = 24;
 /// More disk operations than any workload performs.
-const MAXIMUM_OPERATIONS: u64 = 4000;
+const MAX_OPERATIONS: u64 = 4000;
 
 /// A disk, and the options with which storage on it is opened.
 struct Machine {
@@ -163,8 +163,8 @@
     let mut runs = 0;
     for seed in 0..seeds() {
         let workload = workload(seed, STEPS);
-        for at in 1..MAXIMUM_OPERATIONS {
-            let machine = Machine::new(seed, seed * MAXIMUM_OPERATIONS + at);
+        for at in 1..MAX_OPERATIONS {
+            let machine = Machine::new(seed, seed * MAX_OPERATIONS + at);
             prepare(&machine.disk);
             let result = run_with_fault(&machine, &workload, fault, at);
             runs += 1;
