--- a/crates/sablehaven-consensus/src/durability.rs
+++ b/crates/sablehaven-consensus/src/durability.rs
@@ -83,7 +83,7 @@
     /// Where a snapshot of the state machine stands that has applied everything up to `index`.
     /// None unless the entry at `index` was handed out and is still held.
     pub fn snapshot_metadata(&self, index: u64) -> Option<SnapshotMetadata> {
-        if index > self.log.handed_out() {
+        if index > self.log.delivered_index() {
             return None;
         }
         Some(SnapshotMetadata {
--- a/crates/sablehaven-consensus/src/lib.rs
+++ b/crates/sablehaven-consensus/src/lib.rs
@@ -36,5 +36,6 @@
 pub use replica::Replica;
 pub use status::{PeerStatus, ReplicationState, Role, Status};
 pub use types::{
-    Entry, EntryPayload, HardState, Membership, ReplicaId, Restored, Snapshot, SnapshotMetadata,
+    Entry, EntryPayload, HardState, Membership, PersistentState, ReplicaId, Snapshot,
+    SnapshotMetadata,
 };
--- a/crates/sablehaven-consensus/src/log.rs
+++ b/crates/sablehaven-consensus/src/log.rs
@@ -26,7 +26,7 @@
     base: Position,
     entries: VecDeque<Entry>,
     commit: u64,
-    handed_out: u64,
+    delivered_index: u64,
     /// Synced up to here. Never counts an entry that was replaced after it was written.
     stable: u64,
     /// The first entry that storage was not given yet.
@@ -50,7 +50,7 @@
             base,
             entries: entries.into(),
             commit: base.index,
-            handed_out: base.index,
+            delivered_index: base.index,
             stable: last_index,
             unsaved_from: last_index + 1,
             outstanding: VecDeque::new(),
@@ -79,8 +79,8 @@
         self.commit
     }
 
-    pub(crate) fn handed_out(&self) -> u64 {
-        self.handed_out
+    pub(crate) fn delivered_index(&self) -> u64 {
+        self.delivered_index
     }
 
     pub(crate) fn stable(&self) -> u64 {
@@ -191,19 +191,19 @@
     /// replica's own disk.
     pub(crate) fn take_committed(&mut self, max_bytes: u64) -> Vec<Entry> {
         let to = self.commit.min(self.stable);
-        if to <= self.handed_out {
+        if to <= self.delivered_index {
             return Vec::new();
         }
-        let committed = self.slice(self.handed_out + 1, to, max_bytes);
+        let committed = self.slice(self.delivered_index + 1, to, max_bytes);
         if let Some(entry) = committed.last() {
-            self.handed_out = entry.index;
+            self.delivered_index = entry.index;
         }
         committed
     }
 
     /// Whether [`Self::take_committed`] would hand out more.
     pub(crate) fn has_committed(&self) -> bool {
-        self.commit.min(self.stable) > self.handed_out
+        self.commit.min(self.stable) > self.delivered_index
     }
 
     /// Notes that a write of everything up to the last entry was handed out.
@@ -225,7 +225,7 @@
 
     /// Drops entries up to an index from memory.
     pub(crate) fn compact(&mut self, index: u64) {
-        let index = index.min(self.handed_out);
+        let index = index.min(self.delivered_index);
         while let Some(entry) = self.entries.front()
             && entry.index <= index
         {
@@ -243,7 +243,7 @@
         self.entries.clear();
         self.base = base;
         self.commit = base.index;
-        self.handed_out = base.index;
+        self.delivered_index = base.index;
         self.unsaved_from = base.index + 1;
         self.forget_writes(0);
     }
--- a/crates/sablehaven-consensus/src/log/tests.rs
+++ b/crates/sablehaven-consensus/src/log/tests.rs
@@ -34,7 +34,7 @@
     written: Vec<Entry>,
     writes: Vec<(u64, Vec<Entry>)>,
     synced: Vec<Entry>,
-    handed_out: Vec<Entry>,
+    delivered_index: Vec<Entry>,
 }
 
 fn entry(index: u64, term: u64) -> Entry {
@@ -83,9 +83,9 @@
         Operation::Commit(ahead) => {
             log.commit_to(log.commit() + ahead);
         }
-        Operation::HandOut => model.handed_out.extend(log.take_committed(40)),
+        Operation::HandOut => model.delivered_index.extend(log.take_committed(40)),
         Operation::Compact(back) => {
-            let index = log.handed_out().saturating_sub(*back);
+            let index = log.delivered_index().saturating_sub(*back);
             log.compact(index);
         }
     }
@@ -114,10 +114,10 @@
             let stable = log.stable() as usize;
             prop_assert_eq!(&model.synced[..stable], &model.entries[..stable]);
             // What was handed out is a synced, committed prefix that never changes.
-            let handed_out = model.handed_out.len();
-            prop_assert_eq!(log.handed_out() as usize, handed_out);
-            prop_assert_eq!(&model.handed_out[..], &model.entries[..handed_out]);
-            prop_assert!(log.handed_out() <= log.commit().min(log.stable()));
+            let delivered_index = model.delivered_index.len();
+            prop_assert_eq!(log.delivered_index() as usize, delivered_index);
+            prop_assert_eq!(&model.delivered_index[..], &model.entries[..delivered_index]);
+            prop_assert!(log.delivered_index() <= log.commit().min(log.stable()));
         }
     }
 
--- a/crates/sablehaven-consensus/src/replica.rs
+++ b/crates/sablehaven-consensus/src/replica.rs
@@ -1,8 +1,8 @@
 //! The replica: its state, its clock and the dispatch of messages.
 
 use crate::{
-    Config, Fault, HardState, Message, NotLeader, Position, ReadReady, ReplicaId, Restored, Role,
-    Snapshot, Status,
+    Config, Fault, HardState, Message, NotLeader, PersistentState, Position, ReadReady, ReplicaId,
+    Role, Snapshot, Status,
     broken::Rules,
     election::{Ballot, ElectionClock, ElectionPlace},
     leading::Leading,
@@ -53,7 +53,7 @@
 impl Replica {
     /// A replica that starts from what its disk holds. With nothing restored it waits, as a blank
     /// replica, until a leader that has added it as a learner sends it the log.
-    pub fn new(config: Config, id: ReplicaId, restored: Restored) -> Self {
+    pub fn new(config: Config, id: ReplicaId, restored: PersistentState) -> Self {
         let base = Position {
             index: restored.snapshot.index,
             term: restored.snapshot.term,
@@ -281,7 +281,7 @@
             leader: self.leader,
             leader_silent_ticks: self.leader_silent_ticks,
             commit: self.log.commit(),
-            handed_out: self.log.handed_out(),
+            delivered_index: self.log.delivered_index(),
             last_index: self.log.last().index,
             first_index: self.log.first_index(),
             membership: self.memberships.current().clone(),
--- a/crates/sablehaven-consensus/src/status.rs
+++ b/crates/sablehaven-consensus/src/status.rs
@@ -57,7 +57,7 @@
     /// The last entry that is known to be committed.
     pub commit: u64,
     /// The last entry handed out in [`crate::Ready::committed`].
-    pub handed_out: u64,
+    pub delivered_index: u64,
     /// The last entry of the log.
     pub last_index: u64,
     /// The first entry held in memory.
--- a/crates/sablehaven-consensus/src/types.rs
+++ b/crates/sablehaven-consensus/src/types.rs
@@ -92,7 +92,7 @@
 
 /// What storage gives back when a replica starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Restored {
+pub struct PersistentState {
     /// The durable state.
     pub hard_state: HardState,
     /// The latest snapshot's position; the default one where there is none.
@@ -101,7 +101,7 @@
     pub entries: Vec<Entry>,
 }
 
-impl Restored {
+impl PersistentState {
     /// What every initial voter of a new group starts with: one entry that names them all.
     ///
     /// The caller writes and syncs the hard state and the entry before the replica starts.
--- a/crates/sablehaven-consensus/tests/election.rs
+++ b/crates/sablehaven-consensus/tests/election.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use sablehaven_consensus::{
-    Config, HardState, Message, Position, Replica, ReplicaId, Restored, Role,
+    Config, HardState, Message, PersistentState, Position, Replica, ReplicaId, Role,
 };
 use support::{Cluster, id, ids};
 
@@ -22,7 +22,11 @@
 
 #[test]
 fn a_group_of_one_leads_once_its_own_vote_is_synced() {
-    let mut replica = Replica::new(Config::default(), id(1), Restored::bootstrap(ids(&[1])));
+    let mut replica = Replica::new(
+        Config::default(),
+        id(1),
+        PersistentState::bootstrap(ids(&[1])),
+    );
     while replica.status().role != Role::Candidate {
         replica.tick();
     }
@@ -35,7 +39,7 @@
 
 #[test]
 fn requests_for_votes_and_votes_wait_for_the_sync() {
-    let bootstrap = Restored::bootstrap(ids(&[1, 2]));
+    let bootstrap = PersistentState::bootstrap(ids(&[1, 2]));
     let mut candidate = Replica::new(Config::default(), id(1), bootstrap.clone());
     while candidate.status().role != Role::PreCandidate {
         candidate.tick();
@@ -177,7 +181,7 @@
 
 #[test]
 fn a_blank_replica_neither_stands_nor_votes() {
-    let mut blank = Replica::new(Config::default(), id(4), Restored::default());
+    let mut blank = Replica::new(Config::default(), id(4), PersistentState::default());
     for _ in 0..100 {
         blank.tick();
     }
@@ -261,7 +265,7 @@
 
 #[test]
 fn a_candidate_with_a_shorter_log_gets_no_vote() {
-    let bootstrap = Restored::bootstrap(ids(&[1, 2, 3]));
+    let bootstrap = PersistentState::bootstrap(ids(&[1, 2, 3]));
     let mut voter = Replica::new(Config::default(), id(2), bootstrap);
     let vote = Message::Vote {
         term: 5,
@@ -288,7 +292,7 @@
         ..Config::default()
     };
     let voters = [1, 2, 3].map(ReplicaId).into();
-    let mut replica = Replica::new(config, ReplicaId(1), Restored::bootstrap(voters));
+    let mut replica = Replica::new(config, ReplicaId(1), PersistentState::bootstrap(voters));
     let mut rounds = Vec::new();
     for tick in 0..200 {
         replica.tick();
@@ -316,7 +320,7 @@
     };
     let stands_at = |own: u64| {
         let voters = [1, 2, 3].map(ReplicaId).into();
-        let restored = Restored::bootstrap(voters);
+        let restored = PersistentState::bootstrap(voters);
         let mut replica = Replica::new(config.clone(), ReplicaId(own), restored);
         (1..100).find(|_| {
             replica.tick();
--- a/crates/sablehaven-consensus/tests/membership.rs
+++ b/crates/sablehaven-consensus/tests/membership.rs
@@ -5,7 +5,7 @@
 use sablehaven_consensus::{
     Config,
     MembershipChange::{AddLearner, Promote, Remove},
-    MembershipError, Replica, Restored, Role,
+    MembershipError, PersistentState, Replica, Role,
 };
 use support::{Cluster, commands, id, ids, win};
 
@@ -15,7 +15,7 @@
     cluster.elect(1);
     cluster.propose(1, "early");
     cluster.settle();
-    cluster.start(4, Restored::default());
+    cluster.start(4, PersistentState::default());
     cluster
 }
 
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_leader_changes_nothing_before_it_has_committed_an_entry_of_its_term() {
-    let bootstrap = Restored::bootstrap(ids(&[1, 2, 3]));
+    let bootstrap = PersistentState::bootstrap(ids(&[1, 2, 3]));
     let mut replica = Replica::new(Config::default(), id(2), bootstrap);
     win(&mut replica, 3);
     let refused = replica.change_membership(Remove(id(1)));
@@ -206,8 +206,8 @@
         cluster.replica(2).status().membership.voters,
         ids(&[1, 2, 3, 4])
     );
-    let handed_out = cluster.replica(1).status().handed_out;
-    let metadata = cluster.replica(1).snapshot_metadata(handed_out);
+    let delivered_index = cluster.replica(1).status().delivered_index;
+    let metadata = cluster.replica(1).snapshot_metadata(delivered_index);
     let metadata = metadata.expect("is handed out");
     assert_eq!(metadata.membership.voters, ids(&[1, 2, 3, 4]));
 }
--- a/crates/sablehaven-consensus/tests/read_index.rs
+++ b/crates/sablehaven-consensus/tests/read_index.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use sablehaven_consensus::{Config, Message, Replica, Restored};
+use sablehaven_consensus::{Config, Message, PersistentState, Replica};
 use support::{Cluster, id, ids, win};
 
 #[test]
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_confirmed_round_does_not_answer_a_read_before_the_terms_first_entry_is_committed() {
-    let bootstrap = Restored::bootstrap(ids(&[1, 2, 3]));
+    let bootstrap = PersistentState::bootstrap(ids(&[1, 2, 3]));
     let mut replica = Replica::new(Config::default(), id(1), bootstrap);
     win(&mut replica, 2);
     let term = replica.term();
--- a/crates/sablehaven-consensus/tests/replication.rs
+++ b/crates/sablehaven-consensus/tests/replication.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use sablehaven_consensus::{
-    AppendResult, Config, Entry, EntryPayload, Fault, HardState, Message, Position, Replica,
-    ReplicationState, Restored,
+    AppendResult, Config, Entry, EntryPayload, Fault, HardState, Message, PersistentState,
+    Position, Replica, ReplicationState,
 };
 use support::{Cluster, commands, id, ids, win};
 
@@ -32,7 +32,7 @@
     Replica::new(
         Config::default(),
         id(1),
-        Restored::bootstrap(ids(&[1, 2, 3])),
+        PersistentState::bootstrap(ids(&[1, 2, 3])),
     )
 }
 
@@ -196,16 +196,16 @@
 #[test]
 fn an_entry_of_an_older_term_is_not_committed_by_count_alone() {
     // Figure 8 of the Raft paper: replica 1 leads term 4 with an entry of term 2 that a majority has.
-    let disk = Restored {
+    let disk = PersistentState {
         hard_state: HardState {
             term: 3,
             voted_for: None,
         },
         entries: vec![
-            Restored::bootstrap(ids(&[1, 2, 3])).entries[0].clone(),
+            PersistentState::bootstrap(ids(&[1, 2, 3])).entries[0].clone(),
             entry(2, 2, "older term"),
         ],
-        ..Restored::default()
+        ..PersistentState::default()
     };
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.start(1, disk.clone());
@@ -270,18 +270,18 @@
         max_committed_bytes: 1000,
         ..Config::default()
     };
-    let mut replica = Replica::new(config, id(1), Restored::bootstrap(ids(&[1, 2, 3])));
+    let mut replica = Replica::new(config, id(1), PersistentState::bootstrap(ids(&[1, 2, 3])));
     let entries: Vec<Entry> = (2..102)
         .map(|index| entry(index, 2, "0123456789"))
         .collect();
     replica.receive(id(2), append(2, (1, 1), &entries, 101));
     let ready = replica.take_ready();
     replica.persisted(ready.number);
-    let mut handed_out = ready.committed.len();
+    let mut delivered_index = ready.committed.len();
     while replica.has_committed() {
         let committed = replica.take_ready().committed;
         assert!(committed.len() <= 24);
-        handed_out += committed.len();
+        delivered_index += committed.len();
     }
-    assert_eq!(handed_out, 101);
+    assert_eq!(delivered_index, 101);
 }
--- a/crates/sablehaven-consensus/tests/snapshot.rs
+++ b/crates/sablehaven-consensus/tests/snapshot.rs
@@ -27,16 +27,16 @@
 }
 
 fn compact(cluster: &mut Cluster) -> SnapshotMetadata {
-    let handed_out = cluster.replica(1).status().handed_out;
-    let metadata = cluster.replica(1).snapshot_metadata(handed_out);
+    let delivered_index = cluster.replica(1).status().delivered_index;
+    let metadata = cluster.replica(1).snapshot_metadata(delivered_index);
     let metadata = metadata.expect("is handed out");
     cluster.replica(1).compacted(&metadata);
     metadata
 }
 
 fn provide(cluster: &mut Cluster) {
-    let handed_out = cluster.replica(1).status().handed_out;
-    let metadata = cluster.replica(1).snapshot_metadata(handed_out);
+    let delivered_index = cluster.replica(1).status().delivered_index;
+    let metadata = cluster.replica(1).snapshot_metadata(delivered_index);
     let snapshot = Snapshot {
         metadata: metadata.expect("is handed out"),
         data: DATA.to_vec(),
@@ -74,7 +74,7 @@
     let mut cluster = with_compacted_leader();
     cluster.heal();
     cluster.ticks(6);
-    let metadata = cluster.replica(1).status().handed_out;
+    let metadata = cluster.replica(1).status().delivered_index;
     let metadata = cluster
         .replica(1)
         .snapshot_metadata(metadata)
@@ -187,7 +187,7 @@
     let mut cluster = with_compacted_leader();
     cluster.heal();
     cluster.ticks(6);
-    let start = cluster.replica(1).status().handed_out;
+    let start = cluster.replica(1).status().delivered_index;
     let metadata = cluster.replica(1).snapshot_metadata(start).expect("held");
     let data = DATA.to_vec();
     cluster
--- a/crates/sablehaven-consensus/tests/support/mod.rs
+++ b/crates/sablehaven-consensus/tests/support/mod.rs
@@ -5,12 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use sablehaven_consensus::{
-    Config, Entry, EntryPayload, Message, Ready, Replica, ReplicaId, Restored, Role, Snapshot,
+    Config, Entry, EntryPayload, Message, PersistentState, Ready, Replica, ReplicaId, Role,
+    Snapshot,
 };
 
 pub struct Node {
     pub replica: Replica,
-    pub disk: Restored,
+    pub disk: PersistentState,
     pub snapshot_data: Vec<u8>,
     pub applied: Vec<Entry>,
     pub reads: Vec<(u64, u64)>,
@@ -42,7 +43,7 @@
 }
 
 /// Writes a ready to a disk as storage does.
-pub fn write(disk: &mut Restored, ready: &Ready) {
+pub fn write(disk: &mut PersistentState, ready: &Ready) {
     if let Some(hard_state) = ready.hard_state {
         disk.hard_state = hard_state;
     }
@@ -57,7 +58,7 @@
 }
 
 impl Node {
-    pub fn new(config: &Config, id: ReplicaId, disk: Restored) -> Self {
+    pub fn new(config: &Config, id: ReplicaId, disk: PersistentState) -> Self {
         Self {
             replica: Replica::new(config.clone(), id, disk.clone()),
             disk,
@@ -107,12 +108,12 @@
             sent: Vec::new(),
         };
         for voter in voters {
-            cluster.start(*voter, Restored::bootstrap(ids(voters)));
+            cluster.start(*voter, PersistentState::bootstrap(ids(voters)));
         }
         cluster
     }
 
-    pub fn start(&mut self, number: u64, disk: Restored) {
+    pub fn start(&mut self, number: u64, disk: PersistentState) {
         let node = Node::new(&self.config, id(number), disk);
         self.nodes.insert(id(number), node);
     }
--- a/crates/sablehaven-control/src/driver/run.rs
+++ b/crates/sablehaven-control/src/driver/run.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use sablehaven_consensus::{Ready, Replica, ReplicaId, Restored};
+use sablehaven_consensus::{PersistentState, Ready, Replica, ReplicaId};
 use sablehaven_storage::{GroupWrite, Opened, SnapshotWriter};
 use sablehaven_wire::SuspensionClock;
 use tokio::{
@@ -390,7 +390,7 @@
         if !is_blank || !voters.contains(&self.id) {
             return Ok(());
         }
-        let start = Restored::bootstrap(voters);
+        let start = PersistentState::bootstrap(voters);
         let writes = self.groups.iter().map(|group| GroupWrite {
             group: group.number,
             hard_state: Some(start.hard_state),
--- a/crates/sablehaven-control/src/quotas/lease/tests/simulation.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests/simulation.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeSet;
 
-use sablehaven_consensus::{EntryPayload, Membership, ReplicaId, Restored};
+use sablehaven_consensus::{EntryPayload, Membership, PersistentState, ReplicaId};
 
 use self::node::*;
 use super::*;
@@ -59,9 +59,9 @@
         for number in 1..=NODE_COUNT {
             let id = ReplicaId(number);
             let disk = if voters.contains(&id) {
-                Restored::bootstrap(voters.clone())
+                PersistentState::bootstrap(voters.clone())
             } else {
-                Restored::default()
+                PersistentState::default()
             };
             let first_probe_number = simulation.next_random();
             simulation
--- a/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
+++ b/crates/sablehaven-control/src/quotas/lease/tests/simulation/node.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use sablehaven_consensus::{
-    Config, Entry, EntryPayload, MembershipChange, Message, Ready, Replica, Restored, Role,
+    Config, Entry, EntryPayload, MembershipChange, Message, PersistentState, Ready, Replica, Role,
 };
 
 use super::super::*;
@@ -62,7 +62,7 @@
 pub(super) struct Node {
     pub(super) id: ReplicaId,
     pub(super) replica: Replica,
-    pub(super) disk: Restored,
+    pub(super) disk: PersistentState,
     pub(super) state: ReplicasState,
     /// The index of the last applied entry.
     pub(super) applied: u64,
@@ -105,7 +105,7 @@
     matches!(decode(command), ReplicasCommand::Begin { .. })
 }
 
-pub(super) fn persist(disk: &mut Restored, ready: &Ready) {
+pub(super) fn persist(disk: &mut PersistentState, ready: &Ready) {
     if let Some(hard_state) = ready.hard_state {
         disk.hard_state = hard_state;
     }
@@ -127,7 +127,7 @@
 impl Node {
     pub(super) fn new(
         id: ReplicaId,
-        disk: Restored,
+        disk: PersistentState,
         broken: BrokenRule,
         first_probe_number: u64,
     ) -> Self {
--- a/crates/sablehaven-control/src/quotas/lease_renewal/tests.rs
+++ b/crates/sablehaven-control/src/quotas/lease_renewal/tests.rs
@@ -22,7 +22,7 @@
         leader: None,
         leader_silent_ticks: ELECTION_TICKS,
         commit: 9,
-        handed_out: 9,
+        delivered_index: 9,
         last_index: 9,
         first_index: 1,
         membership,
--- a/crates/sablehaven-storage/src/replay.rs
+++ b/crates/sablehaven-storage/src/replay.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use sablehaven_consensus::{Entry, Restored, SnapshotMetadata};
+use sablehaven_consensus::{Entry, PersistentState, SnapshotMetadata};
 
 use crate::{
     group_state::GroupState,
@@ -82,8 +82,8 @@
 
 impl ReplayedGroup {
     /// What a replica starts from; takes the entries out.
-    pub(crate) fn take_restored(&mut self) -> Restored {
-        Restored {
+    pub(crate) fn take_restored(&mut self) -> PersistentState {
+        PersistentState {
             hard_state: self.state.hard_state,
             snapshot: self.snapshot_metadata(),
             entries: std::mem::take(&mut self.entries),
--- a/crates/sablehaven-storage/src/storage.rs
+++ b/crates/sablehaven-storage/src/storage.rs
@@ -6,7 +6,7 @@
     sync::Arc,
 };
 
-use sablehaven_consensus::{Restored, Snapshot};
+use sablehaven_consensus::{PersistentState, Snapshot};
 
 use crate::{
     disk::{Disk, DiskLock},
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestoredGroup {
     /// Hard state, snapshot position and the entries after it.
-    pub restored: Restored,
+    pub restored: PersistentState,
     /// The state machine's data of the snapshot, where there is one.
     pub snapshot_data: Option<Vec<u8>>,
 }
--- a/testing/sablehaven-simulator/src/control_machines.rs
+++ b/testing/sablehaven-simulator/src/control_machines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sablehaven_consensus::{ReplicaId, Restored, Status};
+use sablehaven_consensus::{PersistentState, ReplicaId, Status};
 
 use crate::{
     disk::Disk,
@@ -44,7 +44,7 @@
         let mut disk = Disk::formatted(*id);
         for group in 0..=settings.ledger_groups {
             if members.contains(id) {
-                disk.prepare(group, Restored::bootstrap(members.clone()));
+                disk.prepare(group, PersistentState::bootstrap(members.clone()));
             }
         }
         let drift = settings.tick_drift;
--- a/testing/sablehaven-simulator/src/disk.rs
+++ b/testing/sablehaven-simulator/src/disk.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use sablehaven_consensus::{Entry, HardState, ReplicaId, Restored, SnapshotMetadata};
+use sablehaven_consensus::{Entry, HardState, PersistentState, ReplicaId, SnapshotMetadata};
 
 use crate::random::Random;
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct GroupFiles {
     /// What the replica starts from.
-    pub restored: Restored,
+    pub restored: PersistentState,
     /// The state machine at `restored.snapshot`.
     pub snapshot_data: Vec<u8>,
 }
@@ -70,7 +70,7 @@
     }
 
     /// Writes and syncs at once, before the simulation starts.
-    pub fn prepare(&mut self, group: u32, restored: Restored) {
+    pub fn prepare(&mut self, group: u32, restored: PersistentState) {
         let files = GroupFiles {
             restored,
             snapshot_data: Vec::new(),
