--- a/crates/sablehaven-consensus/src/broken.rs
+++ b/crates/sablehaven-consensus/src/broken.rs
@@ -1,17 +1,17 @@
-//! Rules of the algorithm that a test may switch off, to show that the simulator's checkers find it.
+//! Rules of the algorithm that tests can break, to show that the simulator's checkers detect it.
 
-/// A rule that is broken on purpose; only with the feature `broken-variants`.
+/// A rule to break on purpose. Public only with the feature `broken-variants`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenVariant {
-    /// Votes leave before they are synced.
+    /// Votes are sent before they are synced.
     VoteWithoutSync,
-    /// A leader commits an older term's entry as soon as a quorum has it.
+    /// A leader commits an entry of an older term as soon as a quorum has it.
     CommitOlderTermByCount,
-    /// A learner's acknowledgement counts like a voter's.
+    /// A learner's acknowledgement counts as a voter's.
     LearnerCountsAsVoter,
 }
 
-/// Which rule is broken, if any. Without the feature it is empty and nothing can be broken.
+/// The rule that is broken, if any. Without the feature `broken-variants`, no rule can be broken.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rules {
     #[cfg(feature = "broken-variants")]
@@ -20,20 +20,20 @@
 
 #[cfg(feature = "broken-variants")]
 impl Rules {
-    pub(crate) fn breaking(variant: BrokenVariant) -> Self {
+    pub(crate) fn with_broken(variant: BrokenVariant) -> Self {
         Self {
             broken: Some(variant),
         }
     }
 
-    pub(crate) fn are_broken_by(self, variant: BrokenVariant) -> bool {
+    pub(crate) fn is_broken(self, variant: BrokenVariant) -> bool {
         self.broken == Some(variant)
     }
 }
 
 #[cfg(not(feature = "broken-variants"))]
 impl Rules {
-    pub(crate) fn are_broken_by(self, _variant: BrokenVariant) -> bool {
+    pub(crate) fn is_broken(self, _variant: BrokenVariant) -> bool {
         false
     }
 }
--- a/crates/sablehaven-consensus/src/config.rs
+++ b/crates/sablehaven-consensus/src/config.rs
@@ -1,38 +1,43 @@
-//! Settings of one replica.
+//! Configuration of a replica.
 
 use sablehaven_types::SettingError;
 use serde::{Deserialize, Serialize};
 
 const MEBIBYTE: u64 = 1024 * 1024;
 
-/// Settings of one replica; durations count in calls of [`crate::Replica::tick`].
+/// The configuration of a replica. Durations are in ticks, that is, calls of
+/// [`crate::Replica::tick`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// Ticks without a leader's message after which a replica may vote for another one; it stands
-    /// for election itself after a random time of one to two times this.
+    /// Ticks without a message from a leader after which a replica may vote for a new one. The
+    /// replica itself starts an election after a random time of one to two times this value.
     pub election_timeout_ticks: u32,
-    /// The same for a replica that has just started and has heard no leader yet. Shorter, so that a
-    /// group whose replicas were all stopped leads again soon: nobody can be deposed by it, since
-    /// voters that hear a leader do not listen.
+    /// The election timeout of a replica that has just started and has not heard from a leader yet.
+    /// It is shorter so that a group whose replicas were all stopped soon has a leader again. It
+    /// cannot depose a leader, because voters that are in contact with one ignore vote requests.
     pub first_election_timeout_ticks: u32,
     /// Ticks between two heartbeats of a leader.
     pub heartbeat_ticks: u32,
-    /// Entries' bytes in one append message; a single larger entry is still sent.
+    /// Maximum total size of the entries in one append message, in bytes. A single larger entry is
+    /// still sent.
     pub max_append_bytes: u64,
-    /// Append messages on their way to one follower.
+    /// Maximum number of unacknowledged append messages per follower.
     pub max_inflight_appends: usize,
-    /// Entries' bytes on their way to one follower; one message is always allowed.
+    /// Maximum total size of unacknowledged entries per follower, in bytes. One message is always
+    /// allowed.
     pub max_inflight_bytes: u64,
-    /// Entries' bytes in one [`crate::Ready::committed`]; a single larger entry is still handed out.
+    /// Maximum total size of the entries in one [`crate::Ready::committed`], in bytes. A single
+    /// larger entry is still delivered.
     pub max_committed_bytes: u64,
-    /// Bytes of a snapshot in one message.
+    /// Maximum size of the snapshot data in one message, in bytes.
     pub snapshot_chunk_bytes: u64,
-    /// Entries kept in memory before a snapshot, for followers that are a little behind.
+    /// Number of entries before a snapshot that stay in memory, for followers that lag slightly.
     pub retained_entries: u64,
-    /// Entries by which a learner may lag behind the commit index when it is promoted.
+    /// Maximum number of entries by which a learner may lag behind the commit index to be promoted.
     pub promote_lag_entries: u64,
-    /// Seed of the random part of the election timeout; mixed with the replica's identifier.
+    /// Seed of the random part of the election timeout. It is combined with the replica's
+    /// identifier.
     pub election_seed: u64,
 }
 
@@ -55,7 +60,7 @@
 }
 
 impl Config {
-    /// Every setting that cannot be used; `prefix` is put before each key.
+    /// Returns an error for every invalid setting. `prefix` is put before each key.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
         let mut errors = Vec::new();
         let mut require = |allowed: bool, key: &str, value: u64, range: &str| {
--- a/crates/sablehaven-consensus/src/durability.rs
+++ b/crates/sablehaven-consensus/src/durability.rs
@@ -1,9 +1,10 @@
-//! Readies, and what follows from their writes being synced.
+//! Creates readies and handles the completion of their writes.
 
 use crate::{HardState, Ready, Replica, SnapshotMetadata, replica::RoleState};
 
 impl Replica {
-    /// What is to be done now; see [`Ready`] for the order. Call it after every input.
+    /// Returns the work that is due; see [`Ready`] for the order in which to do it. Call this after
+    /// every input.
     pub fn take_ready(&mut self) -> Ready {
         if self.fault.is_some() {
             return self.faulted_ready();
@@ -36,7 +37,8 @@
         ready
     }
 
-    /// Nothing but the fault: whatever else was to be done may rest on it.
+    /// Returns a ready that contains only the fault. All other pending work is withheld because it
+    /// may depend on the broken invariant.
     fn faulted_ready(&mut self) -> Ready {
         self.ready_count += 1;
         Ready {
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Whether committed entries are left that did not fit in the last ready: take another one.
+    /// Returns whether committed entries remain that did not fit in the last ready. If so, take
+    /// another ready.
     pub fn has_committed(&self) -> bool {
         self.log.has_committed()
     }
@@ -56,21 +59,21 @@
             return None;
         }
         self.saved_hard_state = self.hard_state;
-        if let RoleState::Candidate(ballot) = &mut self.role {
-            ballot.own_vote_ready.get_or_insert(number);
+        if let RoleState::Candidate(tally) = &mut self.role {
+            tally.own_vote_ready.get_or_insert(number);
         }
         Some(self.hard_state)
     }
 
     fn needs_snapshot(&self) -> bool {
         match &self.role {
-            RoleState::Leader(leading) => leading.needs_snapshot(),
+            RoleState::Leader(leader_state) => leader_state.needs_snapshot(),
             _ => false,
         }
     }
 
-    /// The writes of every ready up to this number are synced. Only then does this replica count
-    /// itself: its own vote, and its own copy of an entry.
+    /// Records that the writes of every ready up to `number` are synced. Only then does this
+    /// replica count its own vote and its own copies of entries towards a quorum.
     pub fn persisted(&mut self, number: u64) {
         if self.fault.is_some() {
             return;
@@ -80,8 +83,8 @@
         self.advance_commit();
     }
 
-    /// Where a snapshot of the state machine stands that has applied everything up to `index`.
-    /// None unless the entry at `index` was handed out and is still held.
+    /// Returns the metadata of a state machine snapshot in which all entries up to `index` are
+    /// applied. Returns `None` unless the entry at `index` was delivered and is still held.
     pub fn snapshot_metadata(&self, index: u64) -> Option<SnapshotMetadata> {
         if index > self.log.delivered_index() {
             return None;
@@ -93,8 +96,8 @@
         })
     }
 
-    /// A snapshot is synced: drops the entries before it from memory, except for the last
-    /// [`crate::Config::retained_entries`].
+    /// Records that a snapshot is synced, and drops the entries before it from memory, except for
+    /// the last [`crate::Config::retained_entries`].
     pub fn compacted(&mut self, metadata: &SnapshotMetadata) {
         let retained = self.config.retained_entries;
         let index = metadata.index.saturating_sub(retained);
--- a/crates/sablehaven-consensus/src/error.rs
+++ b/crates/sablehaven-consensus/src/error.rs
@@ -1,32 +1,32 @@
-//! Why a request to a replica was refused, and the faults that stop a replica.
+//! Errors of requests to a replica, and the faults that stop a replica.
 
 use crate::ReplicaId;
 
 /// this replica does not lead
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct NotLeader {
-    /// The leader, where known. None also while leadership is handed over.
+    /// The leader, if known. `None` also while a leadership transfer is in progress.
     pub leader: Option<ReplicaId>,
 }
 
-/// Why a change of the members was refused.
+/// The error of a refused membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum MembershipError {
     /// change of members: this replica does not lead
     NotLeader {
-        /// The leader, where known.
+        /// The leader, if known.
         leader: Option<ReplicaId>,
     },
     /// change of members: the leader has committed no entry of its term yet
     LeaderNotReady,
     /// change of members: the change at index {index} is not committed yet
     ChangePending {
-        /// Where the earlier change stands in the log.
+        /// Index of the entry with the earlier change.
         index: u64,
     },
     /// change of members: learner {learner} must be promoted or removed first
     LearnerPending {
-        /// The learner that has not caught up yet.
+        /// The learner, which was neither promoted nor removed yet.
         learner: ReplicaId,
     },
     /// change of members: replica {replica} is a member already
@@ -48,24 +48,26 @@
     NotCaughtUp {
         /// The learner.
         learner: ReplicaId,
-        /// Entries between the learner's last acknowledged one and the commit index.
+        /// Number of entries between the last one that the learner acknowledged and the commit
+        /// index.
         lag: u64,
     },
     /// change of members: only {active} of the new voters answer, {quorum} are needed
     WouldLoseQuorum {
-        /// New voters that answered within the last election timeout, the leader included.
+        /// Number of new voters that responded within the last election timeout, including the
+        /// leader.
         active: usize,
-        /// The new voters' quorum.
+        /// The quorum of the new voters.
         quorum: usize,
     },
 }
 
-/// Why leadership cannot be handed over.
+/// The error of a refused leadership transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum TransferError {
     /// transfer of leadership: this replica does not lead
     NotLeader {
-        /// The leader, where known.
+        /// The leader, if known.
         leader: Option<ReplicaId>,
     },
     /// transfer of leadership: replica {to} is no other voter
@@ -75,25 +77,25 @@
     },
     /// transfer of leadership: a transfer to replica {to} is under way
     Pending {
-        /// The replica that the earlier transfer names.
+        /// The target of the earlier transfer.
         to: ReplicaId,
     },
 }
 
-/// A broken invariant of the group. The replica stops taking part: going on could destroy committed
-/// entries.
+/// A broken invariant of the group. The replica stops participating, because continuing could
+/// destroy committed entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum Fault {
-    /// append from {leader} in term {term}: entry {index} contradicts a committed one
+    /// append from {leader} in term {term} conflicts with committed entry {index}
     CommittedConflict {
         /// The sender.
         leader: ReplicaId,
-        /// Its term.
+        /// The sender's term.
         term: u64,
-        /// The entry.
+        /// Index of the entry.
         index: u64,
     },
-    /// message from {other}: it also leads term {term}
+    /// message from {other}, a second leader of term {term}
     TwoLeaders {
         /// The sender.
         other: ReplicaId,
--- a/crates/sablehaven-consensus/src/lib.rs
+++ b/crates/sablehaven-consensus/src/lib.rs
@@ -1,8 +1,9 @@
-//! A replicated log as a pure state machine: messages and ticks in, messages and durable writes out.
+//! A replicated log as a pure state machine: its inputs are messages and ticks, its outputs are
+//! messages and durable writes.
 //!
-//! The algorithm is Raft (Ongaro and Ousterhout, 2014) with pre-vote, quorum check, read index and
-//! one-at-a-time membership change from Ongaro's thesis. Nothing here has a clock, a socket or a
-//! global, so many groups can share a process and a simulator can run the same code.
+//! The algorithm is Raft (Ongaro and Ousterhout, 2014) with pre-vote, check quorum, read index and
+//! single-server membership changes from Ongaro's thesis. The crate uses no clock, sockets or
+//! global state, so many groups can share a process, and a simulator can run the same code.
 
 mod broken;
 mod config;
--- a/crates/sablehaven-consensus/src/log.rs
+++ b/crates/sablehaven-consensus/src/log.rs
@@ -1,19 +1,20 @@
-//! The entries that a replica holds in memory, and how far they are synced, committed and handed out.
+//! The entries that a replica holds in memory, and how far they are synced, committed and
+//! delivered.
 
 use std::collections::VecDeque;
 
 use crate::{Entry, EntryPayload, Position};
 
-/// Counted for each entry besides its command, in bytes.
+/// Size that counts for each entry in addition to its command, in bytes.
 const ENTRY_OVERHEAD_BYTES: u64 = 32;
 
-/// A committed entry that a leader's message contradicts.
+/// A committed entry that conflicts with a message from a leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CommittedConflict {
     pub(crate) index: u64,
 }
 
-/// A write that was handed to storage and is not synced yet.
+/// A write that was passed to storage and is not synced yet.
 #[derive(Clone, Copy, Debug)]
 struct OutstandingWrite {
     number: u64,
@@ -22,14 +23,15 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Log {
-    /// The entry before the first one held.
+    /// Position of the entry before the first one held.
     base: Position,
     entries: VecDeque<Entry>,
     commit: u64,
     delivered_index: u64,
-    /// Synced up to here. Never counts an entry that was replaced after it was written.
+    /// Index of the last synced entry. An entry that was replaced after it was written does not
+    /// count.
     stable: u64,
-    /// The first entry that storage was not given yet.
+    /// Index of the first entry that was not yet passed to storage.
     unsaved_from: u64,
     outstanding: VecDeque<OutstandingWrite>,
 }
@@ -43,7 +45,8 @@
 }
 
 impl Log {
-    /// The log as the disk holds it: everything is synced, only the snapshot is known committed.
+    /// Creates a log with the contents of the disk. All entries are synced, but only the snapshot
+    /// is known to be committed.
     pub(crate) fn restored(base: Position, entries: Vec<Entry>) -> Self {
         let last_index = entries.last().map_or(base.index, |entry| entry.index);
         Self {
@@ -87,7 +90,7 @@
         self.stable
     }
 
-    /// The term at an index, from the base on.
+    /// Returns the term at an index, which may be the base or a held entry.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -104,7 +107,8 @@
         self.entries.get(offset as usize)
     }
 
-    /// Entries from an index on, at least one where there is one, at most `max_bytes` of them.
+    /// Returns the entries with indexes `from` to `to`, up to a total size of `max_bytes`. The
+    /// first entry is returned even if it is larger.
     pub(crate) fn slice(&self, from: u64, to: u64, max_bytes: u64) -> Vec<Entry> {
         let offset = from.saturating_sub(self.first_index()) as usize;
         let mut bytes = 0;
@@ -120,37 +124,42 @@
         slice
     }
 
-    /// Appends one entry; its index must be the next one.
+    /// Appends an entry, whose index must be the next one.
     pub(crate) fn append(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
         self.entries.push_back(entry);
     }
 
-    /// Drops entries from an index on; the index lies after the commit index.
+    /// Drops the entries from index `from` on, which must be after the commit index.
     pub(crate) fn truncate(&mut self, from: u64) {
         let keep = from.saturating_sub(self.first_index()) as usize;
         self.entries.truncate(keep);
         self.unsaved_from = self.unsaved_from.min(from);
-        self.forget_writes(from - 1);
+        self.cap_synced_index(from - 1);
     }
 
-    /// A write under way that ends after `last_index` wrote entries that are no longer in the log;
-    /// its sync must not count for the ones that replace them.
-    fn forget_writes(&mut self, last_index: u64) {
+    /// Lowers the synced index, and the last index of outstanding writes, to at most `last_index`.
+    /// The entries after it are no longer in the log, and the sync of a write that contains them
+    /// must not count for the entries that replace them.
+    fn cap_synced_index(&mut self, last_index: u64) {
         self.stable = self.stable.min(last_index);
         for write in &mut self.outstanding {
             write.last_index = write.last_index.min(last_index);
         }
     }
 
-    /// The first of these entries that the log lacks or contradicts.
-    pub(crate) fn first_new(&self, entries: &[Entry]) -> Result<Option<usize>, CommittedConflict> {
+    /// Returns the offset of the first of these entries that the log lacks or conflicts with. A
+    /// conflict with a committed entry is an error.
+    pub(crate) fn first_new_entry(
+        &self,
+        entries: &[Entry],
+    ) -> Result<Option<usize>, CommittedConflict> {
         let is_new = |entry: &Entry| self.term_at(entry.index) != Some(entry.term);
-        // What lies before the base is committed and equal by the log's invariant.
-        let known = |entry: &Entry| entry.index <= self.base.index;
+        // Entries up to the base are committed and therefore equal, by the log's invariant.
+        let is_compacted = |entry: &Entry| entry.index <= self.base.index;
         let found = entries
             .iter()
-            .position(|entry| !known(entry) && is_new(entry));
+            .position(|entry| !is_compacted(entry) && is_new(entry));
         match found {
             Some(offset) if entries[offset].index <= self.commit => Err(CommittedConflict {
                 index: entries[offset].index,
@@ -159,13 +168,14 @@
         }
     }
 
-    /// The last place at or before `place` that may be shared with a log that has `place`: terms
-    /// never fall along a log, so an entry of a later term cannot be. None if it is compacted away.
-    pub(crate) fn last_shared_candidate(&self, place: Position) -> Option<Position> {
-        let mut index = place.index.min(self.last().index);
+    /// Returns the last position at or before `position` that this log may share with a log that
+    /// contains `position`. Terms never decrease along a log, so an entry of a later term cannot be
+    /// shared. Returns `None` if the position is compacted.
+    pub(crate) fn last_possible_match(&self, position: Position) -> Option<Position> {
+        let mut index = position.index.min(self.last().index);
         loop {
             let term = self.term_at(index)?;
-            if term <= place.term {
+            if term <= position.term {
                 return Some(Position { index, term });
             }
             index = index.checked_sub(1)?;
@@ -174,12 +184,13 @@
 
     pub(crate) fn commit_to(&mut self, index: u64) -> bool {
         let index = index.min(self.last().index);
-        let moved = index > self.commit;
+        let advanced = index > self.commit;
         self.commit = self.commit.max(index);
-        moved
+        advanced
     }
 
-    /// Entries that storage must write, replacing what it holds from the first one's index on.
+    /// Returns the entries to write. They replace everything in storage from the first one's index
+    /// on.
     pub(crate) fn take_unsaved(&mut self) -> Vec<Entry> {
         let last = self.last().index;
         let unsaved = self.slice(self.unsaved_from, last, u64::MAX);
@@ -187,8 +198,8 @@
         unsaved
     }
 
-    /// Entries to be applied. Only synced ones, so that what was applied can be rebuilt from this
-    /// replica's own disk.
+    /// Returns the next committed entries to apply. Only synced entries are returned, so that the
+    /// applied state can be rebuilt from this replica's own disk.
     pub(crate) fn take_committed(&mut self, max_bytes: u64) -> Vec<Entry> {
         let to = self.commit.min(self.stable);
         if to <= self.delivered_index {
@@ -201,19 +212,19 @@
         committed
     }
 
-    /// Whether [`Self::take_committed`] would hand out more.
+    /// Returns whether [`Self::take_committed`] would return more entries.
     pub(crate) fn has_committed(&self) -> bool {
         self.commit.min(self.stable) > self.delivered_index
     }
 
-    /// Notes that a write of everything up to the last entry was handed out.
+    /// Records that a write of all entries up to the last one was passed to storage.
     pub(crate) fn record_write(&mut self, number: u64) {
         let last_index = self.last().index;
         self.outstanding
             .push_back(OutstandingWrite { number, last_index });
     }
 
-    /// The writes up to this number are synced.
+    /// Records that the writes up to this number are synced.
     pub(crate) fn persisted(&mut self, number: u64) {
         while let Some(write) = self.outstanding.front()
             && write.number <= number
@@ -223,7 +234,7 @@
         }
     }
 
-    /// Drops entries up to an index from memory.
+    /// Drops the entries up to `index` from memory, except for those that were not delivered yet.
     pub(crate) fn compact(&mut self, index: u64) {
         let index = index.min(self.delivered_index);
         while let Some(entry) = self.entries.front()
@@ -237,15 +248,15 @@
         }
     }
 
-    /// Replaces everything by a snapshot that stands at `base`. It counts as synced only when the
-    /// write that carries it is.
+    /// Replaces the whole log by a snapshot at `base`. The snapshot counts as synced only once the
+    /// write that contains it is synced.
     pub(crate) fn reset(&mut self, base: Position) {
         self.entries.clear();
         self.base = base;
         self.commit = base.index;
         self.delivered_index = base.index;
         self.unsaved_from = base.index + 1;
-        self.forget_writes(0);
+        self.cap_synced_index(0);
     }
 }
 
--- a/crates/sablehaven-consensus/src/log/tests.rs
+++ b/crates/sablehaven-consensus/src/log/tests.rs
@@ -1,4 +1,4 @@
-//! The log against a model that keeps every entry, under random operations.
+//! Compares the log with a model that keeps every entry, under random operations.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 
@@ -8,10 +8,10 @@
 enum Operation {
     Append(u64),
     Truncate(u64),
-    Take,
+    TakeUnsaved,
     Sync,
     Commit(u64),
-    HandOut,
+    TakeCommitted,
     Compact(u64),
 }
 
@@ -19,22 +19,22 @@
     prop_oneof![
         (0..3_u64).prop_map(Operation::Append),
         (1..8_u64).prop_map(Operation::Truncate),
-        Just(Operation::Take),
+        Just(Operation::TakeUnsaved),
         Just(Operation::Sync),
         (0..6_u64).prop_map(Operation::Commit),
-        Just(Operation::HandOut),
+        Just(Operation::TakeCommitted),
         (0..4_u64).prop_map(Operation::Compact),
     ]
 }
 
-/// What the log should hold, and what a disk would hold that gets its writes.
+/// The expected contents of the log, and of a disk that receives its writes.
 #[derive(Default)]
 struct Model {
     entries: Vec<Entry>,
     written: Vec<Entry>,
     writes: Vec<(u64, Vec<Entry>)>,
     synced: Vec<Entry>,
-    delivered_index: Vec<Entry>,
+    delivered: Vec<Entry>,
 }
 
 fn entry(index: u64, term: u64) -> Entry {
@@ -63,7 +63,7 @@
                 *term += 1;
             }
         }
-        Operation::Take => {
+        Operation::TakeUnsaved => {
             *number += 1;
             let unsaved = log.take_unsaved();
             if let Some(first) = unsaved.first() {
@@ -83,7 +83,7 @@
         Operation::Commit(ahead) => {
             log.commit_to(log.commit() + ahead);
         }
-        Operation::HandOut => model.delivered_index.extend(log.take_committed(40)),
+        Operation::TakeCommitted => model.delivered.extend(log.take_committed(40)),
         Operation::Compact(back) => {
             let index = log.delivered_index().saturating_sub(*back);
             log.compact(index);
@@ -110,42 +110,42 @@
             prop_assert_eq!(log.last().index, last);
             let held = log.slice(log.first_index(), last, u64::MAX);
             prop_assert_eq!(&held[..], &model.entries[log.base().index as usize..]);
-            // Nothing counts as synced that a crash now would lose or turn into something else.
+            // No entry counts as synced that a crash at this point would lose or replace.
             let stable = log.stable() as usize;
             prop_assert_eq!(&model.synced[..stable], &model.entries[..stable]);
-            // What was handed out is a synced, committed prefix that never changes.
-            let delivered_index = model.delivered_index.len();
-            prop_assert_eq!(log.delivered_index() as usize, delivered_index);
-            prop_assert_eq!(&model.delivered_index[..], &model.entries[..delivered_index]);
+            // The delivered entries are a synced and committed prefix that never changes.
+            let delivered_count = model.delivered.len();
+            prop_assert_eq!(log.delivered_index() as usize, delivered_count);
+            prop_assert_eq!(&model.delivered[..], &model.entries[..delivered_count]);
             prop_assert!(log.delivered_index() <= log.commit().min(log.stable()));
         }
     }
 
     #[test]
-    fn the_candidate_for_a_shared_place_is_never_before_the_last_shared_one(
+    fn the_last_possible_match_is_never_before_the_last_shared_entry(
         terms in prop::collection::vec(0..3_u64, 0..30),
         other_terms in prop::collection::vec(0..3_u64, 0..30),
-        shared in 0..30_usize,
+        shared_count in 0..30_usize,
     ) {
-        let shared = shared.min(terms.len());
-        let rising = |steps: &[u64], mut term: u64, from: u64| -> Vec<Entry> {
-            let number = |(offset, step): (usize, &u64)| {
+        let shared_count = shared_count.min(terms.len());
+        let rising_terms = |steps: &[u64], mut term: u64, from: u64| -> Vec<Entry> {
+            let next_entry = |(offset, step): (usize, &u64)| {
                 term += step;
                 entry(from + offset as u64, term)
             };
-            steps.iter().enumerate().map(number).collect()
+            steps.iter().enumerate().map(next_entry).collect()
         };
-        let own = rising(&terms, 1, 1);
-        let mut theirs: Vec<Entry> = own[..shared].to_vec();
+        let own = rising_terms(&terms, 1, 1);
+        let mut theirs: Vec<Entry> = own[..shared_count].to_vec();
         let shared_term = theirs.last().map_or(0, |entry| entry.term);
-        // Odd steps keep later terms apart, as two leaders' are.
-        theirs.extend(rising(&other_terms, shared_term + 100, shared as u64 + 1));
+        // The offset keeps the later terms of the two logs distinct, as those of two leaders are.
+        theirs.extend(rising_terms(&other_terms, shared_term + 100, shared_count as u64 + 1));
         let log = Log::restored(Position::default(), own);
         let last = theirs.last().map_or(Position::default(), |entry| Position {
             index: entry.index,
             term: entry.term,
         });
-        let candidate = log.last_shared_candidate(last).expect("nothing is compacted");
-        prop_assert!(candidate.index >= (shared as u64).min(last.index));
+        let candidate = log.last_possible_match(last).expect("nothing is compacted");
+        prop_assert!(candidate.index >= (shared_count as u64).min(last.index));
     }
 }
--- a/crates/sablehaven-consensus/src/membership_change.rs
+++ b/crates/sablehaven-consensus/src/membership_change.rs
@@ -1,8 +1,8 @@
-//! Changes of the members, one at a time.
+//! Membership changes, one at a time.
 //!
-//! With one replica added or removed at a time, every quorum before a change shares a replica with
-//! every quorum after it, so a change may be in force as soon as it is appended (Ongaro's thesis,
-//! 4.1; with the correction that a leader first commits an entry of its own term).
+//! If one replica is added or removed at a time, every quorum before a change shares a replica with
+//! every quorum after it. A change can therefore take effect as soon as it is appended (Ongaro's
+//! thesis, section 4.1, with the correction that a leader first commits an entry of its own term).
 
 use serde::{Deserialize, Serialize};
 
@@ -10,45 +10,48 @@
     EntryPayload, Membership, MembershipError, Position, Replica, ReplicaId, replica::RoleState,
 };
 
-/// A change of the members.
+/// A membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Adds a replica that receives the log but does not count. One learner at a time.
+    /// Adds a replica that receives the log but does not count towards a quorum. There can be only
+    /// one learner at a time.
     AddLearner(ReplicaId),
-    /// Makes a learner that has caught up a voter.
+    /// Turns a learner that has caught up into a voter.
     Promote(ReplicaId),
-    /// Removes a voter or a learner. A leader that removes itself leads until that is committed.
+    /// Removes a voter or a learner. A leader that removes itself keeps leading until the removal
+    /// is committed.
     Remove(ReplicaId),
 }
 
 impl Replica {
-    /// Starts a change of the members; it is done once the entry at the returned place is committed.
+    /// Starts a membership change. It is complete once the entry at the returned position is
+    /// committed.
     pub fn change_membership(
         &mut self,
         change: MembershipChange,
     ) -> Result<Position, MembershipError> {
         self.check_no_change_pending()?;
         let membership = self.changed_membership(change)?;
-        self.check_quorum_answers(&membership)?;
+        self.check_quorum_active(&membership)?;
         let position = self.append_as_leader(EntryPayload::Membership(membership));
         let peers = self.other_members();
-        if let RoleState::Leader(leading) = &mut self.role {
-            leading.set_peers(&peers, position.index);
+        if let RoleState::Leader(leader_state) = &mut self.role {
+            leader_state.set_peers(&peers, position.index);
         }
-        // With fewer voters, what is there may be enough.
+        // With fewer voters, the existing acknowledgements may be a quorum.
         self.advance_commit();
         Ok(position)
     }
 
     fn check_no_change_pending(&self) -> Result<(), MembershipError> {
-        let RoleState::Leader(leading) = &self.role else {
+        let RoleState::Leader(leader_state) = &self.role else {
             let leader = self.leader;
             return Err(MembershipError::NotLeader { leader });
         };
-        if leading.transfer.is_some() {
+        if leader_state.transfer.is_some() {
             return Err(MembershipError::NotLeader { leader: None });
         }
-        if self.log.commit() < leading.term_start {
+        if self.log.commit() < leader_state.term_start {
             return Err(MembershipError::LeaderNotReady);
         }
         let index = self.memberships.current_index();
@@ -90,23 +93,24 @@
 
     fn check_caught_up(&self, learner: ReplicaId) -> Result<(), MembershipError> {
         let match_index = match &self.role {
-            RoleState::Leader(leading) => leading.peers.get(&learner),
+            RoleState::Leader(leader_state) => leader_state.peers.get(&learner),
             _ => None,
         }
         .map_or(0, |progress| progress.match_index);
         let lag = self.log.commit().saturating_sub(match_index);
-        // A blank learner may lag little in a short log; it must have acknowledged something.
+        // If the log is short, even a blank learner lags by few entries, so it must also have
+        // acknowledged an entry.
         let is_behind = match_index == 0 || lag > self.config.promote_lag_entries;
-        if is_behind || !self.is_answering(learner) {
+        if is_behind || !self.is_active(learner) {
             return Err(MembershipError::NotCaughtUp { learner, lag });
         }
         Ok(())
     }
 
-    /// A change that leaves a quorum which does not answer could never be committed, nor undone.
-    fn check_quorum_answers(&self, membership: &Membership) -> Result<(), MembershipError> {
+    /// Refuses a change after which no quorum responds. It could be neither committed nor reverted.
+    fn check_quorum_active(&self, membership: &Membership) -> Result<(), MembershipError> {
         let voters = membership.voters.iter();
-        let active = voters.filter(|voter| self.is_answering(**voter)).count();
+        let active = voters.filter(|voter| self.is_active(**voter)).count();
         let quorum = membership.quorum();
         if active < quorum {
             return Err(MembershipError::WouldLoseQuorum { active, quorum });
@@ -114,13 +118,14 @@
         Ok(())
     }
 
-    /// Whether a replica is this one, or answered this leader within the last election timeout.
-    pub(crate) fn is_answering(&self, replica: ReplicaId) -> bool {
-        let RoleState::Leader(leading) = &self.role else {
+    /// Returns whether `replica` is this one or has responded to this leader within the last
+    /// election timeout.
+    pub(crate) fn is_active(&self, replica: ReplicaId) -> bool {
+        let RoleState::Leader(leader_state) = &self.role else {
             return false;
         };
         let timeout = self.config.election_timeout_ticks;
-        let peer = leading.peers.get(&replica);
+        let peer = leader_state.peers.get(&replica);
         replica == self.id || peer.is_some_and(|progress| progress.is_active(timeout))
     }
 }
--- a/crates/sablehaven-consensus/src/membership_history.rs
+++ b/crates/sablehaven-consensus/src/membership_history.rs
@@ -1,24 +1,24 @@
-//! The members at each point of the log that is still held.
+//! The membership at each index of the log that is still held.
 
 use crate::{Entry, EntryPayload, Membership};
 
 #[derive(Clone, Debug)]
-struct Since {
+struct MembershipAt {
     index: u64,
     membership: Membership,
 }
 
-/// The members at the log's base and after each later entry that changes them.
+/// The membership at the log's base, and after each later entry that changes it.
 #[derive(Clone, Debug)]
 pub(crate) struct MembershipHistory {
-    base: Since,
-    changes: Vec<Since>,
+    base: MembershipAt,
+    changes: Vec<MembershipAt>,
 }
 
 impl MembershipHistory {
     pub(crate) fn new(base_index: u64, membership: Membership) -> Self {
         Self {
-            base: Since {
+            base: MembershipAt {
                 index: base_index,
                 membership,
             },
@@ -26,44 +26,49 @@
         }
     }
 
-    /// The members in force: the last ones in the log, committed or not.
+    /// Returns the membership in effect: the last one in the log, committed or not.
     pub(crate) fn current(&self) -> &Membership {
         &self.latest().membership
     }
 
-    /// Where the members in force stand, or an index before that where it was compacted.
+    /// Returns the index of the entry with the membership in effect. If the replica started from a
+    /// snapshot that already contained it, returns the snapshot's index instead.
     pub(crate) fn current_index(&self) -> u64 {
         self.latest().index
     }
 
-    fn latest(&self) -> &Since {
+    fn latest(&self) -> &MembershipAt {
         self.changes.last().unwrap_or(&self.base)
     }
 
-    /// The members at an index from the base on.
+    /// Returns the membership at an index, which must not be before the base.
     pub(crate) fn at(&self, index: u64) -> &Membership {
-        let change = self.changes.iter().rev().find(|since| since.index <= index);
+        let change = self
+            .changes
+            .iter()
+            .rev()
+            .find(|change| change.index <= index);
         &change.unwrap_or(&self.base).membership
     }
 
-    /// Takes the members out of an entry that was appended.
-    pub(crate) fn appended(&mut self, entry: &Entry) {
+    /// Records the membership of an appended entry, if it contains one.
+    pub(crate) fn record_entry(&mut self, entry: &Entry) {
         if let EntryPayload::Membership(membership) = &entry.payload {
-            self.changes.push(Since {
+            self.changes.push(MembershipAt {
                 index: entry.index,
                 membership: membership.clone(),
             });
         }
     }
 
-    /// The entries from an index on were dropped.
+    /// Drops the memberships of the entries from index `from` on.
     pub(crate) fn truncate(&mut self, from: u64) {
-        self.changes.retain(|since| since.index < from);
+        self.changes.retain(|change| change.index < from);
     }
 
-    /// The entries up to an index were compacted.
+    /// Drops the memberships up to `index`, except for the last one, which becomes the base.
     pub(crate) fn compact(&mut self, index: u64) {
-        let compacted = self.changes.partition_point(|since| since.index <= index);
+        let compacted = self.changes.partition_point(|change| change.index <= index);
         if let Some(last) = self.changes.drain(..compacted).next_back() {
             self.base = last;
         }
--- a/crates/sablehaven-consensus/src/message.rs
+++ b/crates/sablehaven-consensus/src/message.rs
@@ -1,28 +1,28 @@
 //! Messages between the replicas of one group.
 //!
-//! Every message may be lost, repeated, delayed or overtaken; none does harm when it is.
+//! Any message may be lost, repeated, delayed or reordered without harm.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Entry, SnapshotMetadata};
 
-/// A place in the log: an index with the term of its entry.
+/// A position in the log: an index and the term of its entry.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// The index; 0 is the place before the first entry.
+    /// The index; 0 is the position before the first entry.
     pub index: u64,
-    /// The term of the entry there.
+    /// The term of the entry at this index.
     pub term: u64,
 }
 
 /// A message from one replica to another of the same group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me? Changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender. Changes no state of the receiver.
     PreVote {
-        /// The term that the sender would stand in.
+        /// The term in which the sender would be a candidate.
         next_term: u64,
         /// The sender's last entry.
         last: Position,
@@ -36,14 +36,15 @@
         /// Whether the sender would vote for the receiver.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote.
     Vote {
         /// The candidate's term.
         term: u64,
         /// The candidate's last entry.
         last: Position,
-        /// Whether the leader itself asked the candidate to stand ([`Message::TimeoutNow`]); voters
-        /// then do not wait until they have lost contact with the leader.
+        /// Whether the leader itself asked the candidate to start the election
+        /// ([`Message::TimeoutNow`]). Voters then accept the request even if they are in contact
+        /// with the leader.
         transfer: bool,
     },
     /// Answers [`Message::Vote`].
@@ -53,72 +54,73 @@
         /// Whether the sender voted for the receiver in this term.
         granted: bool,
     },
-    /// Append these entries.
+    /// Appends entries to the receiver's log.
     Append {
         /// The leader's term.
         term: u64,
-        /// The entry before the first of `entries`.
+        /// The position before the first of `entries`.
         previous: Position,
-        /// Entries without gaps; may be empty.
+        /// Consecutive entries; may be empty.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: u64,
     },
-    /// Answers [`Message::Append`], and a snapshot that was installed.
+    /// Answers [`Message::Append`], and the last chunk of a snapshot.
     AppendReply {
         /// The sender's term.
         term: u64,
-        /// Whether the entries fitted.
+        /// Whether the entries were appended.
         result: AppendResult,
     },
-    /// The leader is there; also a round of the read index.
+    /// Shows that the leader is alive, and asks for confirmation of a read index round.
     Heartbeat {
         /// The leader's term.
         term: u64,
-        /// Commit index, at most what the receiver has acknowledged.
+        /// The commit index, but at most the last index that the receiver has acknowledged.
         commit: u64,
-        /// The leader's latest round of the read index.
+        /// The leader's latest read index round.
         round: u64,
     },
     /// Answers [`Message::Heartbeat`].
     HeartbeatReply {
         /// The sender's term.
         term: u64,
-        /// Echoes the request.
+        /// The round of the heartbeat.
         round: u64,
     },
     /// A part of a snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// Answers [`Message::SnapshotChunk`] until the last one, which [`Message::AppendReply`] answers
-    /// after the snapshot's sync.
+    /// Answers every [`Message::SnapshotChunk`] but the last one, which [`Message::AppendReply`]
+    /// answers after the snapshot is synced.
     SnapshotChunkReply {
         /// The sender's term.
         term: u64,
-        /// Echoes the chunk.
+        /// The transfer of the chunk.
         transfer: u64,
-        /// Bytes that the sender has from the start without a gap: where to go on.
+        /// Number of consecutive bytes that the sender has from the start. The next chunk starts
+        /// there.
         received: u64,
     },
-    /// The leader asks the receiver to stand for election at once.
+    /// Asks the receiver, on behalf of the leader, to start an election at once.
     TimeoutNow {
         /// The leader's term.
         term: u64,
     },
 }
 
-/// What became of an append.
+/// The result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendResult {
-    /// The sender's log equals the leader's up to this index, and is synced up to it.
+    /// The sender's log is synced, and equal to the leader's, up to this index.
     Matched {
         /// The index.
         index: u64,
     },
-    /// The sender has no such entry before the appended ones.
+    /// The sender's log does not contain the position before the appended entries.
     Mismatch {
-        /// Index of [`Message::Append`]'s `previous`.
+        /// The index of `previous` in [`Message::Append`].
         rejected: u64,
-        /// The last place at which the sender's log may equal the leader's.
+        /// The last position at which the sender's log may be equal to the leader's.
         hint: Position,
     },
 }
@@ -128,20 +130,22 @@
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: u64,
-    /// Names the snapshot among those that this leader sends in this term.
+    /// Number of the transfer, which identifies the snapshot among those of this leader in this
+    /// term.
     pub transfer: u64,
-    /// Where the snapshot stands.
+    /// The metadata of the snapshot.
     pub metadata: SnapshotMetadata,
-    /// The whole snapshot's length, in bytes.
+    /// The size of the whole snapshot, in bytes.
     pub total_bytes: u64,
-    /// Where `data` starts, in bytes.
+    /// The offset of `data` in the snapshot, in bytes.
     pub offset: u64,
-    /// The part.
+    /// The bytes of this part.
     pub data: Vec<u8>,
 }
 
 impl Message {
-    /// The sender's term; the term before the one asked for in [`Message::PreVote`].
+    /// Returns the sender's term. For [`Message::PreVote`], returns the term before the requested
+    /// one.
     pub fn term(&self) -> u64 {
         match self {
             Self::PreVote { next_term, .. } => next_term.saturating_sub(1),
--- a/crates/sablehaven-consensus/src/outbox.rs
+++ b/crates/sablehaven-consensus/src/outbox.rs
@@ -1,8 +1,8 @@
-//! Messages that wait for the next ready.
+//! Messages queued for the next ready.
 
 use crate::{Message, ReplicaId};
 
-/// Messages by whether they promise something that must be synced first.
+/// The queued messages, divided by whether they depend on a write that must be synced first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outbox {
     before_sync: Vec<(ReplicaId, Message)>,
@@ -10,13 +10,14 @@
 }
 
 impl Outbox {
-    /// Queues a message that may leave at once.
-    pub(crate) fn before_sync(&mut self, to: ReplicaId, message: Message) {
+    /// Queues a message that may be sent before the sync.
+    pub(crate) fn send_before_sync(&mut self, to: ReplicaId, message: Message) {
         self.before_sync.push((to, message));
     }
 
-    /// Queues a vote, an acknowledgement or a request for votes.
-    pub(crate) fn after_sync(&mut self, to: ReplicaId, message: Message) {
+    /// Queues a message that must be sent after the sync: a vote, an acknowledgement or a vote
+    /// request.
+    pub(crate) fn send_after_sync(&mut self, to: ReplicaId, message: Message) {
         self.after_sync.push((to, message));
     }
 
--- a/crates/sablehaven-consensus/src/progress.rs
+++ b/crates/sablehaven-consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! How far a leader has replicated its log to one peer.
+//! The replication progress of one peer, as tracked by the leader.
 
 use std::collections::VecDeque;
 
@@ -11,28 +11,28 @@
     bytes: u64,
 }
 
-/// Where the transfer of a snapshot to one peer stands.
+/// The progress of a snapshot transfer to one peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SnapshotProgress {
-    /// The snapshot; 0 before there is one.
+    /// Number of the transfer; 0 before the first chunk is sent.
     pub(crate) transfer: u64,
-    /// Bytes that the peer has.
+    /// Bytes that the peer has received.
     pub(crate) offset: u64,
-    /// Whether a chunk is under way.
-    pub(crate) is_waiting: bool,
+    /// Whether a chunk is not acknowledged yet.
+    pub(crate) is_awaiting_reply: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Replicating {
-    /// One append at a time, until the logs' last shared entry is found.
-    Probe { is_waiting: bool },
+pub(crate) enum ProgressState {
+    /// One append is sent at a time, until the last entry that both logs share is found.
+    Probe { is_awaiting_reply: bool },
     /// Appends are sent without waiting for the acknowledgement of earlier ones.
-    Pipeline,
-    /// The entries that the peer needs are compacted.
+    Replicate,
+    /// The entries that the peer needs are compacted, so it receives a snapshot.
     Snapshot(SnapshotProgress),
 }
 
-/// Limits on what may be on its way to one peer.
+/// Limits on the unacknowledged appends to one peer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InflightLimits {
     pub(crate) appends: usize,
@@ -43,15 +43,15 @@
 pub(crate) struct Progress {
     pub(crate) match_index: u64,
     pub(crate) next_index: u64,
-    pub(crate) state: Replicating,
-    /// The latest round of the read index that the peer confirmed.
+    pub(crate) state: ProgressState,
+    /// The latest read index round that the peer confirmed.
     pub(crate) confirmed_round: u64,
-    /// Ticks since the peer's last answer.
+    /// Ticks since the peer's last reply.
     pub(crate) silent_ticks: u32,
     inflight: VecDeque<InflightAppend>,
     inflight_bytes: u64,
-    /// Ticks for which something has been under way and nothing was answered.
-    waiting_ticks: u32,
+    /// Ticks without an acknowledgement while a message is in flight.
+    unanswered_ticks: u32,
 }
 
 impl Progress {
@@ -59,12 +59,14 @@
         Self {
             match_index: 0,
             next_index: last_index + 1,
-            state: Replicating::Probe { is_waiting: false },
+            state: ProgressState::Probe {
+                is_awaiting_reply: false,
+            },
             confirmed_round: 0,
             silent_ticks: 0,
             inflight: VecDeque::new(),
             inflight_bytes: 0,
-            waiting_ticks: 0,
+            unanswered_ticks: 0,
         }
     }
 
@@ -73,9 +75,9 @@
             match_index: self.match_index,
             next_index: self.next_index,
             state: match self.state {
-                Replicating::Probe { .. } => ReplicationState::Probe,
-                Replicating::Pipeline => ReplicationState::Replicate,
-                Replicating::Snapshot(_) => ReplicationState::Snapshot,
+                ProgressState::Probe { .. } => ReplicationState::Probe,
+                ProgressState::Replicate => ReplicationState::Replicate,
+                ProgressState::Snapshot(_) => ReplicationState::Snapshot,
             },
             active: self.is_active(election_timeout_ticks),
         }
@@ -85,37 +87,37 @@
         self.silent_ticks < election_timeout_ticks
     }
 
-    /// Whether one more append may be sent now.
-    pub(crate) fn may_append(&self, limits: InflightLimits) -> bool {
+    /// Returns whether another append may be sent now.
+    pub(crate) fn can_append(&self, limits: InflightLimits) -> bool {
         match self.state {
-            Replicating::Probe { is_waiting } => !is_waiting,
-            Replicating::Pipeline => {
+            ProgressState::Probe { is_awaiting_reply } => !is_awaiting_reply,
+            ProgressState::Replicate => {
                 let has_room = self.inflight_bytes < limits.bytes;
                 self.inflight.is_empty() || (has_room && self.inflight.len() < limits.appends)
             }
-            Replicating::Snapshot(_) => false,
+            ProgressState::Snapshot(_) => false,
         }
     }
 
-    /// An append that ends at `last_index` was sent.
-    pub(crate) fn appended(&mut self, last_index: u64, bytes: u64) {
+    /// Records that an append up to `last_index` was sent.
+    pub(crate) fn append_sent(&mut self, last_index: u64, bytes: u64) {
         match &mut self.state {
-            Replicating::Probe { is_waiting } => *is_waiting = true,
-            Replicating::Pipeline => {
+            ProgressState::Probe { is_awaiting_reply } => *is_awaiting_reply = true,
+            ProgressState::Replicate => {
                 self.next_index = last_index + 1;
                 self.inflight_bytes += bytes;
                 self.inflight
                     .push_back(InflightAppend { last_index, bytes });
             }
-            Replicating::Snapshot(_) => {}
+            ProgressState::Snapshot(_) => {}
         }
     }
 
-    /// The peer has everything up to `index`.
-    pub(crate) fn matched(&mut self, index: u64, base_index: u64) {
+    /// Records that the peer has all entries up to `index`.
+    pub(crate) fn acknowledged(&mut self, index: u64, base_index: u64) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
-        self.waiting_ticks = 0;
+        self.unanswered_ticks = 0;
         while let Some(append) = self.inflight.front()
             && append.last_index <= index
         {
@@ -123,73 +125,76 @@
             self.inflight.pop_front();
         }
         match self.state {
-            Replicating::Pipeline => {}
-            Replicating::Snapshot(_) if self.match_index < base_index => {}
-            Replicating::Probe { .. } | Replicating::Snapshot(_) => self.pipeline(),
+            ProgressState::Replicate => {}
+            ProgressState::Snapshot(_) if self.match_index < base_index => {}
+            ProgressState::Probe { .. } | ProgressState::Snapshot(_) => self.become_replicate(),
         }
     }
 
-    fn pipeline(&mut self) {
+    fn become_replicate(&mut self) {
         self.clear_inflight();
-        self.state = Replicating::Pipeline;
+        self.state = ProgressState::Replicate;
         self.next_index = self.match_index + 1;
     }
 
-    /// Goes back to sending one append at a time, from `next_index` on.
-    pub(crate) fn probe(&mut self, next_index: u64) {
+    /// Returns to sending one append at a time, from `next_index` on.
+    pub(crate) fn become_probe(&mut self, next_index: u64) {
         self.clear_inflight();
-        self.state = Replicating::Probe { is_waiting: false };
+        self.state = ProgressState::Probe {
+            is_awaiting_reply: false,
+        };
         self.next_index = next_index.max(self.match_index + 1);
     }
 
-    pub(crate) fn start_snapshot(&mut self) {
+    pub(crate) fn become_snapshot(&mut self) {
         self.clear_inflight();
-        self.state = Replicating::Snapshot(SnapshotProgress::default());
+        self.state = ProgressState::Snapshot(SnapshotProgress::default());
     }
 
     fn clear_inflight(&mut self) {
         self.inflight.clear();
         self.inflight_bytes = 0;
-        self.waiting_ticks = 0;
+        self.unanswered_ticks = 0;
     }
 
-    fn is_waiting(&self) -> bool {
+    fn is_awaiting_reply(&self) -> bool {
         match self.state {
-            Replicating::Probe { is_waiting } => is_waiting,
-            Replicating::Snapshot(snapshot) => snapshot.is_waiting,
-            Replicating::Pipeline => !self.inflight.is_empty(),
+            ProgressState::Probe { is_awaiting_reply } => is_awaiting_reply,
+            ProgressState::Snapshot(snapshot) => snapshot.is_awaiting_reply,
+            ProgressState::Replicate => !self.inflight.is_empty(),
         }
     }
 
     pub(crate) fn tick(&mut self) {
         self.silent_ticks = self.silent_ticks.saturating_add(1);
-        if self.is_waiting() {
-            self.waiting_ticks = self.waiting_ticks.saturating_add(1);
+        if self.is_awaiting_reply() {
+            self.unanswered_ticks = self.unanswered_ticks.saturating_add(1);
         }
     }
 
-    /// The peer is there, so what has been unanswered for `resend_ticks` was lost: it is sent again.
-    pub(crate) fn heartbeat_answered(&mut self, resend_ticks: u32) {
+    /// Records a heartbeat reply. The peer is reachable, so messages that were unanswered for
+    /// `resend_ticks` are assumed lost and are sent again.
+    pub(crate) fn heartbeat_acknowledged(&mut self, resend_ticks: u32) {
         self.silent_ticks = 0;
-        if self.waiting_ticks < resend_ticks {
+        if self.unanswered_ticks < resend_ticks {
             return;
         }
-        self.waiting_ticks = 0;
+        self.unanswered_ticks = 0;
         match &mut self.state {
-            Replicating::Probe { is_waiting } => *is_waiting = false,
-            Replicating::Snapshot(snapshot) => snapshot.is_waiting = false,
-            Replicating::Pipeline => self.probe(self.match_index + 1),
+            ProgressState::Probe { is_awaiting_reply } => *is_awaiting_reply = false,
+            ProgressState::Snapshot(snapshot) => snapshot.is_awaiting_reply = false,
+            ProgressState::Replicate => self.become_probe(self.match_index + 1),
         }
     }
 
-    /// The peer has `received` bytes of the snapshot.
-    pub(crate) fn chunk_answered(&mut self, transfer: u64, received: u64) {
-        if let Replicating::Snapshot(snapshot) = &mut self.state
+    /// Records that the peer has `received` bytes of the snapshot.
+    pub(crate) fn chunk_acknowledged(&mut self, transfer: u64, received: u64) {
+        if let ProgressState::Snapshot(snapshot) = &mut self.state
             && snapshot.transfer == transfer
         {
             snapshot.offset = received;
-            snapshot.is_waiting = false;
-            self.waiting_ticks = 0;
+            snapshot.is_awaiting_reply = false;
+            self.unanswered_ticks = 0;
         }
     }
 }
--- a/crates/sablehaven-consensus/src/read_index.rs
+++ b/crates/sablehaven-consensus/src/read_index.rs
@@ -1,12 +1,13 @@
-//! Linearizable reads without a log entry: the leader notes its commit index and has a quorum
-//! confirm, by a round of heartbeats, that it still led when it did (Ongaro's thesis, 6.4).
+//! Linearizable reads without a log entry: the leader records its commit index, and a quorum
+//! confirms in a round of heartbeats that it was still the leader at that time (Ongaro's thesis,
+//! section 6.4).
 
 use std::collections::VecDeque;
 
 use crate::{Message, NotLeader, ReadReady, Replica, ReplicaId, replica::RoleState};
 
-/// Heartbeats after which an unanswered append is sent again.
-const RESEND_HEARTBEATS: u32 = 2;
+/// Heartbeat intervals after which an unanswered append is sent again.
+const RESEND_HEARTBEAT_INTERVALS: u32 = 2;
 
 /// Reads that wait for the same round of heartbeats.
 #[derive(Clone, Debug)]
@@ -18,7 +19,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReadQueue {
-    /// Reads without a round yet.
+    /// Reads that are not in a round yet.
     waiting: Vec<u64>,
     rounds: VecDeque<ReadRound>,
     latest_round: u64,
@@ -39,9 +40,9 @@
         self.latest_round
     }
 
-    fn confirmed(&mut self, round: u64) -> Vec<ReadReady> {
-        let confirmed = self.rounds.partition_point(|read| read.round <= round);
-        let rounds = self.rounds.drain(..confirmed);
+    fn take_confirmed(&mut self, round: u64) -> Vec<ReadReady> {
+        let confirmed_count = self.rounds.partition_point(|read| read.round <= round);
+        let rounds = self.rounds.drain(..confirmed_count);
         rounds
             .flat_map(|read| {
                 let index = read.index;
@@ -51,7 +52,7 @@
             .collect()
     }
 
-    /// Every read that is not answered yet.
+    /// Removes all unanswered reads and returns their tokens.
     pub(crate) fn take_tokens(&mut self) -> Vec<u64> {
         let rounds = std::mem::take(&mut self.rounds);
         let mut tokens: Vec<u64> = rounds.into_iter().flat_map(|read| read.tokens).collect();
@@ -61,60 +62,62 @@
 }
 
 impl Replica {
-    /// Asks for a linearizable read. The token comes back in [`crate::Ready::reads`] once a quorum
-    /// has confirmed that this replica led after the call, or in [`crate::Ready::refused_reads`]
-    /// when it stops leading first.
+    /// Requests a linearizable read. The token is returned in [`crate::Ready::reads`] once a quorum
+    /// has confirmed that this replica led after the call, or in [`crate::Ready::refused_reads`] if
+    /// it stops leading first.
     pub fn read_index(&mut self, token: u64) -> Result<(), NotLeader> {
         match &mut self.role {
-            RoleState::Leader(leading) => {
-                leading.reads.waiting.push(token);
+            RoleState::Leader(leader_state) => {
+                leader_state.reads.waiting.push(token);
                 Ok(())
             }
             _ => Err(self.not_leader()),
         }
     }
 
-    /// Starts a round for the reads that wait. Before the leader has committed an entry of its term
-    /// its commit index may lie behind what an earlier leader has answered, so they wait on.
+    /// Starts a round for the waiting reads. Until the leader has committed an entry of its term,
+    /// its commit index may be lower than the state that an earlier leader has already returned to
+    /// clients, so the reads keep waiting.
     pub(crate) fn start_read_round(&mut self) {
         let commit = self.log.commit();
-        let RoleState::Leader(leading) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        if leading.reads.waiting.is_empty() || commit < leading.term_start {
+        if leader_state.reads.waiting.is_empty() || commit < leader_state.term_start {
             return;
         }
-        leading.reads.start_round(commit);
+        leader_state.reads.start_round(commit);
         self.broadcast_heartbeat();
-        self.finish_reads();
+        self.complete_confirmed_reads();
     }
 
-    /// Answers the reads whose round a quorum has confirmed.
-    pub(crate) fn finish_reads(&mut self) {
-        let RoleState::Leader(leading) = &self.role else {
+    /// Completes the reads whose round a quorum has confirmed.
+    pub(crate) fn complete_confirmed_reads(&mut self) {
+        let RoleState::Leader(leader_state) = &self.role else {
             return;
         };
-        let own = leading.reads.latest_round();
-        let confirmed = self.quorum_value(own, |progress| progress.confirmed_round, false);
-        if let RoleState::Leader(leading) = &mut self.role {
-            let finished = leading.reads.confirmed(confirmed);
+        let latest_round = leader_state.reads.latest_round();
+        let confirmed_round =
+            self.quorum_value(latest_round, |progress| progress.confirmed_round, false);
+        if let RoleState::Leader(leader_state) = &mut self.role {
+            let finished = leader_state.reads.take_confirmed(confirmed_round);
             self.finished_reads.extend(finished);
         }
     }
 
     pub(crate) fn broadcast_heartbeat(&mut self) {
-        let RoleState::Leader(leading) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        leading.heartbeat_elapsed_ticks = 0;
-        for (peer, progress) in &leading.peers {
+        leader_state.heartbeat_elapsed_ticks = 0;
+        for (peer, progress) in &leader_state.peers {
             let message = Message::Heartbeat {
                 term: self.hard_state.term,
-                // Only what the peer has acknowledged is sure to be equal in its log.
+                // Only entries that the peer has acknowledged are known to be equal in its log.
                 commit: self.log.commit().min(progress.match_index),
-                round: leading.reads.latest_round(),
+                round: leader_state.reads.latest_round(),
             };
-            self.outbox.before_sync(*peer, message);
+            self.outbox.send_before_sync(*peer, message);
         }
     }
 
@@ -122,18 +125,18 @@
         self.log.commit_to(commit);
         let term = self.hard_state.term;
         let reply = Message::HeartbeatReply { term, round };
-        self.outbox.after_sync(from, reply);
+        self.outbox.send_after_sync(from, reply);
     }
 
     pub(crate) fn receive_heartbeat_reply(&mut self, from: ReplicaId, round: u64) {
-        let RoleState::Leader(leading) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let Some(progress) = leading.peers.get_mut(&from) else {
+        let Some(progress) = leader_state.peers.get_mut(&from) else {
             return;
         };
         progress.confirmed_round = progress.confirmed_round.max(round);
-        progress.heartbeat_answered(self.config.heartbeat_ticks * RESEND_HEARTBEATS);
-        self.finish_reads();
+        progress.heartbeat_acknowledged(self.config.heartbeat_ticks * RESEND_HEARTBEAT_INTERVALS);
+        self.complete_confirmed_reads();
     }
 }
--- a/crates/sablehaven-consensus/src/ready.rs
+++ b/crates/sablehaven-consensus/src/ready.rs
@@ -1,8 +1,8 @@
-//! What a replica wants done.
+//! The work that a replica hands to its caller.
 
 use crate::{Entry, Fault, HardState, Message, ReplicaId, Snapshot};
 
-/// A read that is ready.
+/// A read that was confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadReady {
     /// The caller's token.
@@ -11,51 +11,53 @@
     pub index: u64,
 }
 
-/// What a replica wants done, in this order:
+/// The work that a replica hands to its caller, to be done in this order:
 ///
-/// 1. send `messages_before_sync` (any time);
+/// 1. send `messages_before_sync` (allowed at any time);
 /// 2. write `hard_state`, `snapshot` and `entries`, and sync them;
 /// 3. call [`crate::Replica::persisted`] with `number`;
 /// 4. send `messages_after_sync`;
 /// 5. apply `snapshot`, or `committed`, to the state machine; answer reads.
 ///
-/// Later readies may be taken before an earlier one is synced, but writes must reach the disk in
-/// order, and messages after a sync wait for the sync of their own and of every earlier ready.
-/// Otherwise a vote or an acknowledgement could be forgotten in a crash, and a committed entry lost.
+/// Later readies may be taken before an earlier one is synced. However, writes must reach the disk
+/// in order, and `messages_after_sync` must wait until their own ready and every earlier one are
+/// synced. Otherwise a crash could lose a vote or an acknowledgement that was already sent, and
+/// with it a committed entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// Counts the readies of this replica, from 1.
+    /// The number of this ready, counted from 1 for each replica.
     pub number: u64,
-    /// Messages that promise nothing about this replica's disk.
+    /// Messages that do not depend on this replica's disk.
     pub messages_before_sync: Vec<(ReplicaId, Message)>,
-    /// To be written, where it changed.
+    /// The hard state to write, if it changed.
     pub hard_state: Option<HardState>,
-    /// To be installed: replaces the whole log and the state machine. `entries` follow it, and
-    /// `committed` is empty.
+    /// The snapshot to install, which replaces the whole log and the state machine. `entries`
+    /// follow it, and `committed` is empty.
     pub snapshot: Option<Snapshot>,
-    /// To be written; replace what the log holds from the first one's index on.
+    /// The entries to write. They replace the entries in the log from the first one's index on.
     pub entries: Vec<Entry>,
-    /// Votes, acknowledgements and requests for votes.
+    /// Votes, acknowledgements and vote requests.
     pub messages_after_sync: Vec<(ReplicaId, Message)>,
-    /// Entries to be applied, in order; all are committed and synced on this replica.
+    /// The entries to apply, in order. All are committed, and synced on this replica.
     pub committed: Vec<Entry>,
     /// Reads that may be answered once their index is applied.
     pub reads: Vec<ReadReady>,
-    /// Tokens of reads that were refused because this replica stopped leading.
+    /// Tokens of reads that were refused because this replica is no longer the leader.
     pub refused_reads: Vec<u64>,
-    /// Whether a follower needs a snapshot: call [`crate::Replica::provide_snapshot`].
+    /// Whether a follower needs a snapshot, which the caller provides with
+    /// [`crate::Replica::provide_snapshot`].
     pub needs_snapshot: bool,
-    /// A broken invariant; the replica takes no further part and must be stopped.
+    /// A broken invariant. The replica no longer participates and must be stopped.
     pub fault: Option<Fault>,
 }
 
 impl Ready {
-    /// Whether there is something to write and sync.
+    /// Returns whether there is something to write and sync.
     pub fn must_sync(&self) -> bool {
         self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
 
-    /// Whether nothing is to be done.
+    /// Returns whether there is nothing to do.
     pub fn is_empty(&self) -> bool {
         let nothing_new = Self {
             number: self.number,
--- a/crates/sablehaven-consensus/src/replica.rs
+++ b/crates/sablehaven-consensus/src/replica.rs
@@ -1,11 +1,11 @@
-//! The replica: its state, its clock and the dispatch of messages.
+//! The replica: its state, its timers and the dispatch of messages.
 
 use crate::{
     Config, Fault, HardState, Message, NotLeader, PersistentState, Position, ReadReady, ReplicaId,
     Role, Snapshot, Status,
     broken::Rules,
-    election::{Ballot, ElectionClock, ElectionPlace},
-    leading::Leading,
+    election::{ElectionTimer, VoteTally, VoterRank},
+    leading::LeaderState,
     log::Log,
     membership_history::MembershipHistory,
     outbox::Outbox,
@@ -13,32 +13,33 @@
     snapshot_transfer::IncomingSnapshot,
 };
 
-/// A replica's role with what it keeps for it.
+/// A replica's role, with the state that it keeps in that role.
 #[derive(Clone, Debug)]
 pub(crate) enum RoleState {
     Follower,
-    PreCandidate(Ballot),
-    Candidate(Ballot),
-    Leader(Box<Leading>),
+    PreCandidate(VoteTally),
+    Candidate(VoteTally),
+    Leader(Box<LeaderState>),
 }
 
-/// One replica of one group: a state machine without clock, socket or disk.
+/// One replica of one group: a state machine without a clock, sockets or a disk.
 ///
-/// Feed it with [`Self::tick`], [`Self::receive`] and requests, and do after each what
-/// [`Self::take_ready`] asks for. See [`crate::Ready`] for the order that must hold.
+/// Its inputs are [`Self::tick`], [`Self::receive`] and requests. After each input, the caller does
+/// the work that [`Self::take_ready`] returns, in the order that [`crate::Ready`] requires.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) config: Config,
     pub(crate) id: ReplicaId,
     pub(crate) rules: Rules,
     pub(crate) hard_state: HardState,
-    /// The hard state of the last ready.
+    /// The hard state of the last ready that contained one.
     pub(crate) saved_hard_state: HardState,
     pub(crate) role: RoleState,
     pub(crate) leader: Option<ReplicaId>,
-    /// Ticks since a message of another replica that led, or since the start. Decides nothing here.
+    /// Ticks since the last message from another replica that led, or since the start. This crate
+    /// only reports it.
     pub(crate) leader_silent_ticks: u32,
-    pub(crate) clock: ElectionClock,
+    pub(crate) election_timer: ElectionTimer,
     pub(crate) log: Log,
     pub(crate) memberships: MembershipHistory,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
@@ -51,8 +52,8 @@
 }
 
 impl Replica {
-    /// A replica that starts from what its disk holds. With nothing restored it waits, as a blank
-    /// replica, until a leader that has added it as a learner sends it the log.
+    /// Creates a replica from the contents of its disk. If the disk is blank, the replica waits
+    /// until a leader that has added it as a learner sends it the log.
     pub fn new(config: Config, id: ReplicaId, restored: PersistentState) -> Self {
         let base = Position {
             index: restored.snapshot.index,
@@ -60,15 +61,15 @@
         };
         let mut memberships = MembershipHistory::new(base.index, restored.snapshot.membership);
         for entry in &restored.entries {
-            memberships.appended(entry);
+            memberships.record_entry(entry);
         }
         let seed = config.election_seed ^ id.0;
-        let place = ElectionPlace::of(id, memberships.current());
+        let voter_rank = VoterRank::of(id, memberships.current());
         Self {
-            clock: ElectionClock::new(
+            election_timer: ElectionTimer::new(
                 config.election_timeout_ticks,
                 config.first_election_timeout_ticks,
-                place,
+                voter_rank,
                 seed,
             ),
             config,
@@ -91,14 +92,14 @@
         }
     }
 
-    /// The same replica with one rule broken, for tests of the checkers.
+    /// Returns this replica with one rule broken, to test the checkers.
     #[cfg(feature = "broken-variants")]
     pub fn with_broken_rule(mut self, variant: crate::BrokenVariant) -> Self {
-        self.rules = Rules::breaking(variant);
+        self.rules = Rules::with_broken(variant);
         self
     }
 
-    /// Lets one tick pass. The durations of [`Config`] count in ticks.
+    /// Advances the time by one tick, the unit of the durations in [`Config`].
     pub fn tick(&mut self) {
         if self.fault.is_some() {
             return;
@@ -111,15 +112,15 @@
     }
 
     fn tick_leader(&mut self) {
-        let RoleState::Leader(leading) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        for progress in leading.peers.values_mut() {
+        for progress in leader_state.peers.values_mut() {
             progress.tick();
         }
-        leading.heartbeat_elapsed_ticks += 1;
-        let is_due = leading.heartbeat_elapsed_ticks >= self.config.heartbeat_ticks;
-        if !self.has_answering_quorum() {
+        leader_state.heartbeat_elapsed_ticks += 1;
+        let is_due = leader_state.heartbeat_elapsed_ticks >= self.config.heartbeat_ticks;
+        if !self.has_active_quorum() {
             self.become_follower(self.hard_state.term, None);
             return;
         }
@@ -129,16 +130,17 @@
         }
     }
 
-    /// Whether a quorum answered within the last election timeout. A leader without one steps down:
-    /// the others may have elected another, and its callers must look for that one.
-    fn has_answering_quorum(&self) -> bool {
+    /// Returns whether a quorum responded within the last election timeout. A leader without one
+    /// steps down: the others may have elected a new leader, and its callers must look for that
+    /// one.
+    fn has_active_quorum(&self) -> bool {
         let membership = self.memberships.current();
         let voters = membership.voters.iter();
-        let answering = voters.filter(|voter| self.is_answering(**voter)).count();
-        answering >= membership.quorum()
+        let active = voters.filter(|voter| self.is_active(**voter)).count();
+        active >= membership.quorum()
     }
 
-    /// Takes a message of another replica. Late, repeated and reordered ones do no harm.
+    /// Handles a message from another replica. Late, repeated and reordered messages do no harm.
     pub fn receive(&mut self, from: ReplicaId, message: Message) {
         if self.fault.is_some() || from == self.id {
             return;
@@ -157,7 +159,7 @@
     fn receive_in_term(&mut self, from: ReplicaId, message: Message) {
         let term = message.term();
         if term < self.hard_state.term {
-            self.answer_old_term(from, &message);
+            self.reply_to_stale_term(from, &message);
             return;
         }
         if term > self.hard_state.term {
@@ -172,13 +174,14 @@
         self.dispatch(from, message);
     }
 
-    /// Whether a message may raise this replica's term. Only a replica that won an election can
-    /// lead, but anyone can ask for votes or answer with a high term: removed replicas, and ones
-    /// that have lost contact, must not depose a leader that works.
+    /// Returns whether a message may raise this replica's term. A message from a leader may,
+    /// because only a replica that won an election can lead. Vote requests and replies with a high
+    /// term, however, can come from any replica. Those that were removed or have lost contact must
+    /// not depose a working leader.
     fn accepts_newer_term(&self, from: ReplicaId, message: &Message) -> bool {
         match message {
             Message::Append { .. } | Message::Heartbeat { .. } | Message::SnapshotChunk(_) => true,
-            Message::Vote { transfer, .. } => self.listens_to_candidate(*transfer),
+            Message::Vote { transfer, .. } => self.accepts_candidate(*transfer),
             Message::VoteReply { .. }
             | Message::AppendReply { .. }
             | Message::HeartbeatReply { .. }
@@ -189,24 +192,26 @@
         }
     }
 
-    /// Tells a leader or candidate of an old term about the newer one.
-    fn answer_old_term(&mut self, from: ReplicaId, message: &Message) {
+    /// Tells a leader or candidate of an old term about the newer term.
+    fn reply_to_stale_term(&mut self, from: ReplicaId, message: &Message) {
         let term = self.hard_state.term;
         if is_from_leader(message) {
-            // The round is of another leader's term; the receiver steps down on seeing the term.
+            // The heartbeat's round belongs to another leader's term. The receiver steps down
+            // because of the newer term.
             let reply = Message::HeartbeatReply { term, round: 0 };
-            self.outbox.after_sync(from, reply);
+            self.outbox.send_after_sync(from, reply);
         } else if matches!(message, Message::Vote { .. }) {
             let granted = false;
             let reply = Message::VoteReply { term, granted };
-            self.outbox.after_sync(from, reply);
+            self.outbox.send_after_sync(from, reply);
         }
     }
 
-    /// Follows the leader of this term; false if there is another one.
+    /// Follows the leader of the current term. Returns false if the term already has another
+    /// leader.
     fn follow(&mut self, leader: ReplicaId) -> bool {
-        let other_leader = self.leader.is_some_and(|known| known != leader);
-        if other_leader || matches!(self.role, RoleState::Leader(_)) {
+        let has_other_leader = self.leader.is_some_and(|known| known != leader);
+        if has_other_leader || matches!(self.role, RoleState::Leader(_)) {
             self.fault = Some(Fault::TwoLeaders {
                 other: leader,
                 term: self.hard_state.term,
@@ -218,7 +223,7 @@
         }
         self.leader = Some(leader);
         self.leader_silent_ticks = 0;
-        self.clock.heard();
+        self.election_timer.record_contact();
         true
     }
 
@@ -244,36 +249,39 @@
         }
     }
 
-    /// This replica.
+    /// Returns the identifier of this replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// The latest term seen.
+    /// Returns the latest term seen.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// The leader of the term, where known; this replica itself where it leads.
+    /// Returns the leader of the current term, if known. This may be the replica itself.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// Whether this replica leads, as far as it knows; another one may lead a later term.
+    /// Returns whether this replica is the leader as far as it knows. Another one may lead a later
+    /// term.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, RoleState::Leader(_))
     }
 
-    /// The replica's state.
+    /// Returns the state of the replica.
     pub fn status(&self) -> Status {
         let timeout = self.config.election_timeout_ticks;
-        let (role, leading) = match &self.role {
+        let (role, leader_state) = match &self.role {
             RoleState::Follower => (Role::Follower, None),
             RoleState::PreCandidate(_) => (Role::PreCandidate, None),
             RoleState::Candidate(_) => (Role::Candidate, None),
-            RoleState::Leader(leading) => (Role::Leader, Some(leading)),
+            RoleState::Leader(leader_state) => (Role::Leader, Some(leader_state)),
         };
-        let peers = leading.iter().flat_map(|leading| &leading.peers);
+        let peers = leader_state
+            .iter()
+            .flat_map(|leader_state| &leader_state.peers);
         Status {
             id: self.id,
             role,
@@ -289,7 +297,8 @@
             peers: peers
                 .map(|(peer, progress)| (*peer, progress.status(timeout)))
                 .collect(),
-            transfer: leading.and_then(|leading| leading.transfer.map(|transfer| transfer.to)),
+            transfer: leader_state
+                .and_then(|leader_state| leader_state.transfer.map(|transfer| transfer.to)),
             fault: self.fault,
         }
     }
@@ -318,7 +327,7 @@
 
     pub(crate) fn progress_mut(&mut self, peer: ReplicaId) -> Option<&mut Progress> {
         match &mut self.role {
-            RoleState::Leader(leading) => leading.peers.get_mut(&peer),
+            RoleState::Leader(leader_state) => leader_state.peers.get_mut(&peer),
             _ => None,
         }
     }
--- a/crates/sablehaven-consensus/src/replication.rs
+++ b/crates/sablehaven-consensus/src/replication.rs
@@ -1,20 +1,20 @@
-//! Replication: the leader's appends, the followers' answers, and what is committed.
+//! Log replication: the leader's appends, the followers' replies and the commit index.
 
 use crate::{
     AppendResult, Entry, EntryPayload, Fault, Message, NotLeader, Position, Replica, ReplicaId,
     broken::BrokenVariant,
     log::{CommittedConflict, entry_bytes},
-    progress::{InflightLimits, Progress, Replicating},
+    progress::{InflightLimits, Progress, ProgressState},
     replica::RoleState,
 };
 
 impl Replica {
-    /// Appends commands; answers where the last one stands. It is committed if an entry with this
-    /// index and term comes out of [`crate::Ready::committed`]; if another one comes at this index,
-    /// it is lost.
+    /// Appends commands and returns the position of the last one. A command is committed if an
+    /// entry with its index and term appears in [`crate::Ready::committed`]. If another entry
+    /// appears at its index, it is lost.
     pub fn propose(&mut self, commands: Vec<Vec<u8>>) -> Result<Position, NotLeader> {
         match &self.role {
-            RoleState::Leader(leading) if leading.transfer.is_none() => {}
+            RoleState::Leader(leader_state) if leader_state.transfer.is_none() => {}
             RoleState::Leader(_) => return Err(NotLeader { leader: None }),
             _ => return Err(self.not_leader()),
         }
@@ -30,18 +30,18 @@
             term: self.hard_state.term,
             payload,
         };
-        self.memberships.appended(&entry);
+        self.memberships.record_entry(&entry);
         self.log.append(entry);
         self.log.last()
     }
 
-    /// Sends each peer what it may get now. Called once a ready, so that everything proposed since
-    /// the last one shares a message.
+    /// Sends each peer the messages that are due. Called once per ready, so that all commands
+    /// proposed since the last ready share a message.
     pub(crate) fn replicate(&mut self) {
-        let RoleState::Leader(leading) = &self.role else {
+        let RoleState::Leader(leader_state) = &self.role else {
             return;
         };
-        let peers: Vec<ReplicaId> = leading.peers.keys().copied().collect();
+        let peers: Vec<ReplicaId> = leader_state.peers.keys().copied().collect();
         for peer in peers {
             while self.send_append(peer) {}
             self.send_chunk(peer);
@@ -49,7 +49,7 @@
         self.drop_unused_snapshot();
     }
 
-    /// Sends one append, if one is due; answers whether another one may be.
+    /// Sends one append if one is due, and returns whether another one may follow.
     fn send_append(&mut self, peer: ReplicaId) -> bool {
         let limits = InflightLimits {
             appends: self.config.max_inflight_appends,
@@ -59,12 +59,12 @@
         let Some(progress) = self.progress_mut(peer) else {
             return false;
         };
-        let is_probe = matches!(progress.state, Replicating::Probe { .. });
+        let is_probe = matches!(progress.state, ProgressState::Probe { .. });
         let is_complete = match is_probe {
             true => progress.match_index == last_index,
             false => progress.next_index > last_index,
         };
-        if is_complete || !progress.may_append(limits) {
+        if is_complete || !progress.can_append(limits) {
             return false;
         }
         let next_index = progress.next_index;
@@ -80,9 +80,9 @@
         let max_bytes = self.config.max_append_bytes;
         let entries = self.log.slice(next_index, last_index, max_bytes);
         let bytes = entries.iter().map(entry_bytes).sum();
-        let sent_to = entries.last().map_or(previous_index, |entry| entry.index);
+        let sent_index = entries.last().map_or(previous_index, |entry| entry.index);
         if let Some(progress) = self.progress_mut(peer) {
-            progress.appended(sent_to, bytes);
+            progress.append_sent(sent_index, bytes);
         }
         let message = Message::Append {
             term: self.hard_state.term,
@@ -90,7 +90,7 @@
             entries,
             commit: self.log.commit(),
         };
-        self.outbox.before_sync(peer, message);
+        self.outbox.send_before_sync(peer, message);
         !is_probe
     }
 
@@ -105,7 +105,7 @@
         match self.try_append(previous, entries, commit) {
             Ok(result) => {
                 let reply = Message::AppendReply { term, result };
-                self.outbox.after_sync(from, reply);
+                self.outbox.send_after_sync(from, reply);
             }
             Err(CommittedConflict { index }) => {
                 let leader = from;
@@ -137,7 +137,8 @@
         Ok(self.mismatch(previous))
     }
 
-    /// What is compacted here is committed, and so equal in both logs.
+    /// Skips the entries that are compacted here. They are committed, and therefore equal in both
+    /// logs.
     fn skip_compacted(
         &mut self,
         entries: Vec<Entry>,
@@ -151,9 +152,10 @@
         self.append_as_follower(base, rest, commit)
     }
 
-    /// The last place that may be shared with the leader, at worst what is committed here.
+    /// Rejects an append. The hint is the last position that may be shared with the leader; if it
+    /// is compacted, the hint is the base, which is committed and therefore shared.
     fn mismatch(&self, previous: Position) -> AppendResult {
-        let hint = self.log.last_shared_candidate(previous);
+        let hint = self.log.last_possible_match(previous);
         AppendResult::Mismatch {
             rejected: previous.index,
             hint: hint.unwrap_or(self.log.base()),
@@ -166,13 +168,15 @@
         mut entries: Vec<Entry>,
         commit: u64,
     ) -> Result<AppendResult, CommittedConflict> {
-        let matched = entries.last().map_or(previous_index, |entry| entry.index);
-        if let Some(offset) = self.log.first_new(&entries)? {
+        let matched_index = entries.last().map_or(previous_index, |entry| entry.index);
+        if let Some(offset) = self.log.first_new_entry(&entries)? {
             self.replace_tail(entries.split_off(offset));
         }
-        // Beyond `matched` this log may differ from the leader's.
-        self.log.commit_to(commit.min(matched));
-        Ok(AppendResult::Matched { index: matched })
+        // After `matched_index`, this log may differ from the leader's.
+        self.log.commit_to(commit.min(matched_index));
+        Ok(AppendResult::Matched {
+            index: matched_index,
+        })
     }
 
     fn replace_tail(&mut self, entries: Vec<Entry>) {
@@ -184,7 +188,7 @@
             self.memberships.truncate(first.index);
         }
         for entry in entries {
-            self.memberships.appended(&entry);
+            self.memberships.record_entry(&entry);
             self.log.append(entry);
         }
     }
@@ -198,72 +202,73 @@
         progress.silent_ticks = 0;
         match result {
             AppendResult::Matched { index } if index <= last_index => {
-                progress.matched(index, base_index);
+                progress.acknowledged(index, base_index);
                 self.advance_commit();
             }
             AppendResult::Matched { .. } => {}
-            AppendResult::Mismatch { rejected, hint } => self.back_up(from, rejected, hint),
+            AppendResult::Mismatch { rejected, hint } => {
+                self.receive_mismatch(from, rejected, hint)
+            }
         }
     }
 
-    /// The peer lacks the entry at `rejected`: goes back to the last place that both logs may share.
-    fn back_up(&mut self, peer: ReplicaId, rejected: u64, hint: Position) {
-        let candidate = self.log.last_shared_candidate(hint);
-        // Not in the log any more: a snapshot follows, since nothing precedes the base.
-        let shared_index = candidate.map_or(0, |place| place.index);
+    /// Handles the rejection of an append whose previous entry the peer lacks: goes back to the
+    /// last position that both logs may share.
+    fn receive_mismatch(&mut self, peer: ReplicaId, rejected: u64, hint: Position) {
+        let candidate = self.log.last_possible_match(hint);
+        // If the position is compacted, index 0 leads to a snapshot, because the log holds nothing
+        // before its base.
+        let shared_index = candidate.map_or(0, |position| position.index);
         let Some(progress) = self.progress_mut(peer) else {
             return;
         };
-        let is_late = rejected <= progress.match_index;
+        let is_stale = rejected <= progress.match_index;
         match progress.state {
-            _ if is_late => {}
-            Replicating::Pipeline => progress.probe(progress.match_index + 1),
-            Replicating::Probe { .. } if rejected + 1 == progress.next_index => {
-                progress.probe(rejected.min(shared_index + 1));
+            _ if is_stale => {}
+            ProgressState::Replicate => progress.become_probe(progress.match_index + 1),
+            ProgressState::Probe { .. } if rejected + 1 == progress.next_index => {
+                progress.become_probe(rejected.min(shared_index + 1));
             }
-            Replicating::Probe { .. } | Replicating::Snapshot(_) => {}
+            ProgressState::Probe { .. } | ProgressState::Snapshot(_) => {}
         }
     }
 
-    /// Commits what a quorum has synced. Entries of earlier terms become committed only by one of
-    /// this term after them: a later leader could still replace them (Raft, 5.4.2).
+    /// Commits the entries that a quorum has synced. Entries of earlier terms are committed only
+    /// through a later entry of the current term, because a later leader could still replace them
+    /// (Raft paper, section 5.4.2).
     pub(crate) fn advance_commit(&mut self) {
         let RoleState::Leader(_) = &self.role else {
             return;
         };
-        let learners_count = self
-            .rules
-            .are_broken_by(BrokenVariant::LearnerCountsAsVoter);
-        let own = self.log.stable();
-        let index = self.quorum_value(own, |progress| progress.match_index, learners_count);
+        let include_learners = self.rules.is_broken(BrokenVariant::LearnerCountsAsVoter);
+        let own_index = self.log.stable();
+        let index = self.quorum_value(own_index, |progress| progress.match_index, include_learners);
         let is_own_term = self.log.term_at(index) == Some(self.hard_state.term);
-        let any_term = self
-            .rules
-            .are_broken_by(BrokenVariant::CommitOlderTermByCount);
-        if (is_own_term || any_term) && self.log.commit_to(index) {
-            self.finish_removal_of_leader();
+        let is_older_term_allowed = self.rules.is_broken(BrokenVariant::CommitOlderTermByCount);
+        if (is_own_term || is_older_term_allowed) && self.log.commit_to(index) {
+            self.step_down_if_removed();
         }
     }
 
-    /// The largest value that a quorum of the voters has reached. The leader is one of them only
-    /// while it is a voter.
+    /// Returns the largest value that a quorum of the voters has reached. The leader's own value
+    /// counts only while it is a voter.
     pub(crate) fn quorum_value(
         &self,
-        own: u64,
+        own_value: u64,
         value: impl Fn(&Progress) -> u64,
-        learners_count: bool,
+        include_learners: bool,
     ) -> u64 {
-        let RoleState::Leader(leading) = &self.role else {
+        let RoleState::Leader(leader_state) = &self.role else {
             return 0;
         };
         let membership = self.memberships.current();
-        let value_of = |replica: &ReplicaId| match leading.peers.get(replica) {
-            _ if *replica == self.id => own,
+        let value_of = |replica: &ReplicaId| match leader_state.peers.get(replica) {
+            _ if *replica == self.id => own_value,
             Some(progress) => value(progress),
             None => 0,
         };
         let mut values: Vec<u64> = membership.voters.iter().map(value_of).collect();
-        if learners_count {
+        if include_learners {
             values.extend(membership.learners.iter().map(value_of));
         }
         values.sort_unstable_by(|left, right| right.cmp(left));
--- a/crates/sablehaven-consensus/src/snapshot_transfer.rs
+++ b/crates/sablehaven-consensus/src/snapshot_transfer.rs
@@ -1,9 +1,9 @@
-//! Snapshots for followers that are too far behind, in chunks that can be resumed.
+//! Snapshot transfer to followers that lag too far behind, in chunks, so that it can be resumed.
 
 use crate::{
     Message, Position, Replica, ReplicaId, Snapshot, SnapshotChunk, SnapshotMetadata,
     membership_history::MembershipHistory,
-    progress::{Progress, Replicating, SnapshotProgress},
+    progress::{Progress, ProgressState, SnapshotProgress},
     replica::RoleState,
 };
 
@@ -14,7 +14,7 @@
     snapshot: Snapshot,
 }
 
-/// The part of a snapshot that a follower has.
+/// The part of a snapshot that a follower has received.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingSnapshot {
     from: ReplicaId,
@@ -24,103 +24,108 @@
 }
 
 impl IncomingSnapshot {
-    fn is_of(&self, from: ReplicaId, chunk: &SnapshotChunk) -> bool {
+    fn is_part_of(&self, from: ReplicaId, chunk: &SnapshotChunk) -> bool {
         self.from == from && self.term == chunk.term && self.transfer == chunk.transfer
     }
 
-    /// Takes the part of a chunk that follows what is there; late and repeated chunks have none.
-    fn take(&mut self, chunk: &SnapshotChunk) {
+    /// Appends the part of a chunk that follows the received data. Late and repeated chunks have no
+    /// such part.
+    fn append_chunk(&mut self, chunk: &SnapshotChunk) {
         let length = self.data.len() as u64;
-        let Some(known) = length.checked_sub(chunk.offset) else {
+        let Some(already_received) = length.checked_sub(chunk.offset) else {
             return;
         };
-        let new = chunk.data.get(known as usize..);
+        let new = chunk.data.get(already_received as usize..);
         self.data.extend_from_slice(new.unwrap_or_default());
     }
 }
 
 impl Replica {
-    /// The snapshot that [`crate::Ready::needs_snapshot`] asks for. Ignored when none is needed, or
-    /// when it ends before the first entry held, so that the log could not follow it.
+    /// Provides the snapshot that [`crate::Ready::needs_snapshot`] asks for. It is ignored if none
+    /// is needed, or if the log no longer holds the entries that follow it.
     pub fn provide_snapshot(&mut self, snapshot: Snapshot) {
         let base_index = self.log.base().index;
-        let RoleState::Leader(leading) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        if snapshot.metadata.index < base_index || !leading.needs_snapshot() {
+        if snapshot.metadata.index < base_index || !leader_state.needs_snapshot() {
             return;
         }
-        leading.snapshot_count += 1;
-        leading.outgoing_snapshot = Some(OutgoingSnapshot {
-            transfer: leading.snapshot_count,
+        leader_state.snapshot_count += 1;
+        leader_state.outgoing_snapshot = Some(OutgoingSnapshot {
+            transfer: leader_state.snapshot_count,
             snapshot,
         });
     }
 
-    /// Where the snapshot stands that an answering peer receives. The log must go on to follow it:
-    /// otherwise frequent snapshots would make a long transfer start again and again.
+    /// Returns the index of the snapshot that an active peer is receiving. The log must keep the
+    /// entries that follow it. Otherwise, frequent snapshots would make a long transfer restart
+    /// again and again.
     pub(crate) fn snapshot_in_transfer(&self) -> Option<u64> {
         let timeout = self.config.election_timeout_ticks;
-        let RoleState::Leader(leading) = &self.role else {
+        let RoleState::Leader(leader_state) = &self.role else {
             return None;
         };
         let is_receiving = |progress: &Progress| {
-            matches!(progress.state, Replicating::Snapshot(_)) && progress.is_active(timeout)
+            matches!(progress.state, ProgressState::Snapshot(_)) && progress.is_active(timeout)
         };
-        let outgoing = leading.outgoing_snapshot.as_ref()?;
-        let is_in_transfer = leading.peers.values().any(is_receiving);
+        let outgoing = leader_state.outgoing_snapshot.as_ref()?;
+        let is_in_transfer = leader_state.peers.values().any(is_receiving);
         is_in_transfer.then_some(outgoing.snapshot.metadata.index)
     }
 
     pub(crate) fn start_snapshot(&mut self, peer: ReplicaId) {
         if let Some(progress) = self.progress_mut(peer) {
-            progress.start_snapshot();
+            progress.become_snapshot();
         }
     }
 
-    /// Frees the snapshot when nobody receives it, or when the log no longer follows it.
+    /// Drops the outgoing snapshot if no peer receives it, or if the log no longer holds the
+    /// entries that follow it.
     pub(crate) fn drop_unused_snapshot(&mut self) {
         let base_index = self.log.base().index;
-        let RoleState::Leader(leading) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let is_receiving = |progress: &Progress| matches!(progress.state, Replicating::Snapshot(_));
-        let is_wanted = leading.peers.values().any(is_receiving);
-        let is_usable = leading
+        let is_receiving =
+            |progress: &Progress| matches!(progress.state, ProgressState::Snapshot(_));
+        let is_needed = leader_state.peers.values().any(is_receiving);
+        let is_usable = leader_state
             .outgoing_snapshot
             .as_ref()
             .is_some_and(|outgoing| outgoing.snapshot.metadata.index >= base_index);
-        if !is_wanted || !is_usable {
-            leading.outgoing_snapshot = None;
+        if !is_needed || !is_usable {
+            leader_state.outgoing_snapshot = None;
         }
     }
 
-    /// Sends the next chunk, unless one is under way.
+    /// Sends the next chunk, unless one is not acknowledged yet.
     pub(crate) fn send_chunk(&mut self, peer: ReplicaId) {
-        let RoleState::Leader(leading) = &mut self.role else {
+        let RoleState::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let (Some(progress), Some(outgoing)) =
-            (leading.peers.get_mut(&peer), &leading.outgoing_snapshot)
-        else {
+        let (Some(progress), Some(outgoing)) = (
+            leader_state.peers.get_mut(&peer),
+            &leader_state.outgoing_snapshot,
+        ) else {
             return;
         };
-        let Replicating::Snapshot(sending) = &mut progress.state else {
+        let ProgressState::Snapshot(chunk_progress) = &mut progress.state else {
             return;
         };
-        if sending.transfer != outgoing.transfer {
-            *sending = SnapshotProgress {
+        if chunk_progress.transfer != outgoing.transfer {
+            *chunk_progress = SnapshotProgress {
                 transfer: outgoing.transfer,
                 ..SnapshotProgress::default()
             };
         }
-        if sending.is_waiting {
+        if chunk_progress.is_awaiting_reply {
             return;
         }
-        sending.is_waiting = true;
+        chunk_progress.is_awaiting_reply = true;
         let data = &outgoing.snapshot.data;
         let total_bytes = data.len() as u64;
-        let start = sending.offset.min(total_bytes);
+        let start = chunk_progress.offset.min(total_bytes);
         let end = total_bytes.min(start + self.config.snapshot_chunk_bytes);
         let chunk = SnapshotChunk {
             term: self.hard_state.term,
@@ -131,26 +136,26 @@
             data: data[start as usize..end as usize].to_vec(),
         };
         let message = Message::SnapshotChunk(chunk);
-        self.outbox.before_sync(peer, message);
+        self.outbox.send_before_sync(peer, message);
     }
 
     pub(crate) fn receive_chunk(&mut self, from: ReplicaId, chunk: SnapshotChunk) {
-        let place = Position {
+        let position = Position {
             index: chunk.metadata.index,
             term: chunk.metadata.term,
         };
-        if self.log.contains(place) {
-            self.log.commit_to(place.index);
+        if self.log.contains(position) {
+            self.log.commit_to(position.index);
         }
-        if place.index <= self.log.commit() {
+        if position.index <= self.log.commit() {
             self.acknowledge(from, self.log.commit());
             return;
         }
-        let mut incoming = self.resume(from, &chunk);
-        incoming.take(&chunk);
+        let mut incoming = self.resume_incoming(from, &chunk);
+        incoming.append_chunk(&chunk);
         if incoming.data.len() as u64 >= chunk.total_bytes {
             self.install(chunk.metadata, incoming.data);
-            self.acknowledge(from, place.index);
+            self.acknowledge(from, position.index);
             return;
         }
         let reply = Message::SnapshotChunkReply {
@@ -159,14 +164,15 @@
             received: incoming.data.len() as u64,
         };
         self.incoming_snapshot = Some(incoming);
-        self.outbox.after_sync(from, reply);
+        self.outbox.send_after_sync(from, reply);
     }
 
-    /// What is there of this snapshot. Bytes of another leader's snapshot do not count, not even at
-    /// the same index: two replicas may encode equal states differently.
-    fn resume(&mut self, from: ReplicaId, chunk: &SnapshotChunk) -> IncomingSnapshot {
-        let known = self.incoming_snapshot.take();
-        let matching = known.filter(|incoming| incoming.is_of(from, chunk));
+    /// Returns the part of this snapshot that was already received. Bytes of another leader's
+    /// snapshot do not count, even at the same index, because two replicas may encode equal states
+    /// differently.
+    fn resume_incoming(&mut self, from: ReplicaId, chunk: &SnapshotChunk) -> IncomingSnapshot {
+        let previous = self.incoming_snapshot.take();
+        let matching = previous.filter(|incoming| incoming.is_part_of(from, chunk));
         matching.unwrap_or(IncomingSnapshot {
             from,
             term: chunk.term,
@@ -180,10 +186,10 @@
             term: self.hard_state.term,
             result: crate::AppendResult::Matched { index },
         };
-        self.outbox.after_sync(leader, reply);
+        self.outbox.send_after_sync(leader, reply);
     }
 
-    /// Replaces log and members; the next ready carries the snapshot.
+    /// Replaces the log and the membership. The next ready contains the snapshot.
     fn install(&mut self, metadata: SnapshotMetadata, data: Vec<u8>) {
         self.log.reset(Position {
             index: metadata.index,
@@ -197,7 +203,7 @@
     pub(crate) fn receive_chunk_reply(&mut self, from: ReplicaId, transfer: u64, received: u64) {
         if let Some(progress) = self.progress_mut(from) {
             progress.silent_ticks = 0;
-            progress.chunk_answered(transfer, received);
+            progress.chunk_acknowledged(transfer, received);
         }
     }
 }
--- a/crates/sablehaven-consensus/src/status.rs
+++ b/crates/sablehaven-consensus/src/status.rs
@@ -1,74 +1,75 @@
-//! What a replica reports about itself.
+//! The state that a replica reports.
 
 use std::collections::BTreeMap;
 
 use crate::{Fault, Membership, ReplicaId};
 
-/// The part that a replica plays in its term.
+/// The role of a replica in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one; learners stay in this role.
+    /// Follows a leader, or waits for one. Learners stay in this role.
     Follower,
-    /// Asks whether it would get the votes, without raising its term.
+    /// Asks whether it would win an election, without raising its term.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
     /// Leads the term.
     Leader,
 }
 
-/// How a leader replicates to one peer.
+/// The way in which a leader replicates to one peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicationState {
-    /// Looks for the last entry that both logs share, one message at a time.
+    /// Searches for the last entry that both logs share, one message at a time.
     Probe,
-    /// Sends entries as they come.
+    /// Sends entries without waiting for earlier acknowledgements.
     Replicate,
     /// Sends a snapshot.
     Snapshot,
 }
 
-/// A peer as the leader sees it.
+/// The state of a peer, as known to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
     /// The last entry that the peer has acknowledged.
     pub match_index: u64,
     /// The next entry to be sent.
     pub next_index: u64,
-    /// How the leader replicates to it.
+    /// The way in which the leader replicates to the peer.
     pub state: ReplicationState,
-    /// Whether it answered within the last election timeout.
+    /// Whether the peer responded within the last election timeout.
     pub active: bool,
 }
 
-/// A replica's state at one moment.
+/// The state of a replica at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The replica.
+    /// The identifier of the replica.
     pub id: ReplicaId,
-    /// Its role.
+    /// The role of the replica.
     pub role: Role,
-    /// Its term.
+    /// The latest term that the replica has seen.
     pub term: u64,
-    /// The leader, where known.
+    /// The leader, if known.
     pub leader: Option<ReplicaId>,
-    /// Ticks since a message of another replica that led, or since this one's start.
+    /// Ticks since the last message from another replica that led, or since the start of this one.
     pub leader_silent_ticks: u32,
-    /// The last entry that is known to be committed.
+    /// Index of the last entry known to be committed.
     pub commit: u64,
-    /// The last entry handed out in [`crate::Ready::committed`].
+    /// Index of the last entry delivered in [`crate::Ready::committed`].
     pub delivered_index: u64,
-    /// The last entry of the log.
+    /// Index of the last entry of the log.
     pub last_index: u64,
-    /// The first entry held in memory.
+    /// Index of the first entry held in memory.
     pub first_index: u64,
-    /// The members in force.
+    /// The membership in effect.
     pub membership: Membership,
-    /// Where the members in force stand in the log; 0 where they come from no entry.
+    /// Index of the entry with the membership in effect, or of the snapshot that contained it when
+    /// the replica started; 0 if there is neither.
     pub membership_index: u64,
-    /// The peers, on a leader only.
+    /// The peers; empty unless this replica is the leader.
     pub peers: BTreeMap<ReplicaId, PeerStatus>,
-    /// The target of a transfer of leadership under way.
+    /// The target of a leadership transfer in progress.
     pub transfer: Option<ReplicaId>,
     /// The broken invariant that stopped the replica.
     pub fault: Option<Fault>,
--- a/crates/sablehaven-consensus/src/types.rs
+++ b/crates/sablehaven-consensus/src/types.rs
@@ -1,11 +1,11 @@
-//! What the log holds: identifiers, entries, durable state and snapshots.
+//! The contents of the log: identifiers, entries, durable state and snapshots.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-/// A replica, named by the identity of its disk: made at random when the disk is formatted, so that
-/// a replica whose disk was lost or swapped comes back as another one.
+/// The identifier of a replica. It belongs to the replica's disk: it is chosen at random when the
+/// disk is formatted, so a replica whose disk was lost or replaced has a new identifier.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,22 +18,22 @@
     }
 }
 
-/// The members of a group at one point of its log.
+/// The members of a group at one index of its log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Replicas whose votes and acknowledgements count.
+    /// Replicas whose votes and acknowledgements count towards a quorum.
     pub voters: BTreeSet<ReplicaId>,
-    /// Replicas that receive the log but do not count.
+    /// Replicas that receive the log but do not count towards a quorum.
     pub learners: BTreeSet<ReplicaId>,
 }
 
 impl Membership {
-    /// The number of voters that make a quorum.
+    /// Returns the number of voters in a quorum.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the replica is a voter or a learner.
+    /// Returns whether the replica is a voter or a learner.
     pub fn contains(&self, replica: ReplicaId) -> bool {
         self.voters.contains(&replica) || self.learners.contains(&replica)
     }
@@ -42,26 +42,26 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position; the first entry has index 1.
+    /// The index in the log; the first entry has index 1.
     pub index: u64,
-    /// The term of the leader that made it.
+    /// The term of the leader that created the entry.
     pub term: u64,
-    /// What it holds.
+    /// The contents of the entry.
     pub payload: EntryPayload,
 }
 
-/// What an entry holds.
+/// The contents of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// A new leader's first entry; applies to nothing.
+    /// The first entry of a new leader. The state machine ignores it.
     Empty,
     /// A command for the state machine.
     Command(Vec<u8>),
-    /// The members from this entry on (in force as soon as it is appended).
+    /// The membership from this entry on. It takes effect as soon as the entry is appended.
     Membership(Membership),
 }
 
-/// What a replica must have synced before it may answer.
+/// The state that a replica must sync before it may reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term seen.
@@ -70,39 +70,40 @@
     pub voted_for: Option<ReplicaId>,
 }
 
-/// Where a snapshot of the state machine stands.
+/// The position of a state machine snapshot in the log, with the membership there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMetadata {
-    /// The last entry that is applied in it.
+    /// Index of the last entry that is applied in the snapshot.
     pub index: u64,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: u64,
-    /// The members at that entry.
+    /// The membership at that entry.
     pub membership: Membership,
 }
 
 /// A snapshot of the state machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Where it stands.
+    /// The metadata of the snapshot.
     pub metadata: SnapshotMetadata,
-    /// The state machine's own encoding.
+    /// The state machine, in its own encoding.
     pub data: Vec<u8>,
 }
 
-/// What storage gives back when a replica starts.
+/// The state that storage returns when a replica starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
     /// The durable state.
     pub hard_state: HardState,
-    /// The latest snapshot's position; the default one where there is none.
+    /// The metadata of the latest snapshot; the default if there is none.
     pub snapshot: SnapshotMetadata,
     /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
 }
 
 impl PersistentState {
-    /// What every initial voter of a new group starts with: one entry that names them all.
+    /// Returns the state with which every initial voter of a new group starts: one entry with the
+    /// membership.
     ///
     /// The caller writes and syncs the hard state and the entry before the replica starts.
     pub fn bootstrap(voters: BTreeSet<ReplicaId>) -> Self {
