--- a/crates/sablehaven-consensus/src/election.rs
+++ b/crates/sablehaven-consensus/src/election.rs
@@ -34,7 +34,7 @@
     /// Used instead of `base_ticks` until the replica hears from a leader or votes for a candidate.
     /// Doubled at each attempt: if votes take longer than this to arrive, no election would ever
     /// succeed.
-    startup_ticks: Option<u32>,
+    first_timeout_ticks: Option<u32>,
     elapsed_ticks: u32,
     timeout_ticks: u32,
     voter_rank: VoterRank,
@@ -42,27 +42,28 @@
 }
 
 impl ElectionTimer {
-    /// The first timeout after a start is not random but increases with the rank. Otherwise,
-    /// replicas that start together would often campaign at the same time, and none would win.
+    /// Creates a timer. If `first_timeout_ticks` is less than `base_ticks`, the first timeout is not
+    /// random but increases with the rank. Otherwise, replicas that start together would often
+    /// campaign at the same time, and none would win.
     pub(crate) fn new(
         base_ticks: u32,
-        startup_ticks: u32,
+        first_timeout_ticks: u32,
         voter_rank: VoterRank,
         seed: u64,
     ) -> Self {
         let mut timer = Self {
             base_ticks,
-            startup_ticks: Some(startup_ticks.min(base_ticks)),
+            first_timeout_ticks: Some(first_timeout_ticks.min(base_ticks)),
             elapsed_ticks: 0,
             timeout_ticks: 0,
             voter_rank,
             random_state: seed,
         };
-        if startup_ticks < base_ticks {
-            timer.double_startup_ticks();
-            let step = startup_ticks + startup_ticks.div_ceil(2);
+        if first_timeout_ticks < base_ticks {
+            timer.double_first_timeout();
+            let step = first_timeout_ticks + first_timeout_ticks.div_ceil(2);
             timer.timeout_ticks =
-                startup_ticks.saturating_add(voter_rank.rank.saturating_mul(step));
+                first_timeout_ticks.saturating_add(voter_rank.rank.saturating_mul(step));
         } else {
             timer.restart();
         }
@@ -80,22 +81,24 @@
     /// the same time, again and again, and none would win.
     pub(crate) fn restart(&mut self) {
         self.elapsed_ticks = 0;
-        let base = self.startup_ticks.unwrap_or(self.base_ticks);
-        self.double_startup_ticks();
+        let base = self.first_timeout_ticks.unwrap_or(self.base_ticks);
+        self.double_first_timeout();
         let slot_ticks = (base / self.voter_rank.voters).max(1);
         let slot_start = slot_ticks.saturating_mul(self.voter_rank.rank);
         let jitter = self.next_random() % u64::from(slot_ticks.div_ceil(2));
         self.timeout_ticks = base.saturating_add(slot_start) + jitter as u32;
     }
 
-    fn double_startup_ticks(&mut self) {
-        let doubled = self.startup_ticks.map(|ticks| ticks.saturating_mul(2));
-        self.startup_ticks = doubled.filter(|ticks| *ticks < self.base_ticks);
+    fn double_first_timeout(&mut self) {
+        let doubled = self
+            .first_timeout_ticks
+            .map(|ticks| ticks.saturating_mul(2));
+        self.first_timeout_ticks = doubled.filter(|ticks| *ticks < self.base_ticks);
     }
 
     /// Records contact with the leader, or a granted vote.
     pub(crate) fn record_contact(&mut self) {
-        if self.startup_ticks.take().is_some() {
+        if self.first_timeout_ticks.take().is_some() {
             self.restart();
         }
         self.elapsed_ticks = 0;
@@ -288,8 +291,8 @@
         (last.term, last.index) >= (own.term, own.index)
     }
 
-    /// Returns whether this replica knows the membership. A replica that does not has a blank disk,
-    /// and has lost any vote that it cast before.
+    /// Returns whether this replica knows the membership. If it does not, its disk is blank, and any
+    /// vote that it cast before is lost.
     fn has_members(&self) -> bool {
         !self.memberships.current().voters.is_empty()
     }
--- a/crates/sablehaven-consensus/src/membership_history.rs
+++ b/crates/sablehaven-consensus/src/membership_history.rs
@@ -31,8 +31,8 @@
         &self.latest().membership
     }
 
-    /// Returns the index of the entry with the membership in effect. If the replica started from a
-    /// snapshot that already contained it, returns the snapshot's index instead.
+    /// Returns the index of the entry with the membership in effect, or of the snapshot from which
+    /// that membership was restored.
     pub(crate) fn current_index(&self) -> u64 {
         self.latest().index
     }
--- a/crates/sablehaven-consensus/src/message.rs
+++ b/crates/sablehaven-consensus/src/message.rs
@@ -31,7 +31,7 @@
     PreVoteReply {
         /// The sender's term.
         term: u64,
-        /// Echoes the request.
+        /// The `next_term` of the request.
         next_term: u64,
         /// Whether the sender would vote for the receiver.
         granted: bool,
@@ -43,8 +43,8 @@
         /// The candidate's last entry.
         last: Position,
         /// Whether the leader itself asked the candidate to start the election
-        /// ([`Message::TimeoutNow`]). Voters then accept the request even if they are in contact
-        /// with the leader.
+        /// ([`Message::TimeoutNow`]). Voters then do not ignore the request if they are in
+        /// contact with the leader.
         transfer: bool,
     },
     /// Answers [`Message::Vote`].
@@ -65,7 +65,8 @@
         /// The leader's commit index.
         commit: u64,
     },
-    /// Answers [`Message::Append`], and the last chunk of a snapshot.
+    /// Answers [`Message::Append`], and [`Message::SnapshotChunk`] once the snapshot is installed or
+    /// no longer needed.
     AppendReply {
         /// The sender's term.
         term: u64,
--- a/crates/sablehaven-consensus/src/read_index.rs
+++ b/crates/sablehaven-consensus/src/read_index.rs
@@ -76,8 +76,8 @@
     }
 
     /// Starts a round for the waiting reads. Until the leader has committed an entry of its term,
-    /// its commit index may be lower than the state that an earlier leader has already returned to
-    /// clients, so the reads keep waiting.
+    /// its commit index may be lower than that of an earlier leader, which may already have answered
+    /// reads at it. The reads therefore keep waiting.
     pub(crate) fn start_read_round(&mut self) {
         let commit = self.log.commit();
         let RoleState::Leader(leader_state) = &mut self.role else {
--- a/crates/sablehaven-consensus/src/snapshot_transfer.rs
+++ b/crates/sablehaven-consensus/src/snapshot_transfer.rs
@@ -24,7 +24,7 @@
 }
 
 impl IncomingSnapshot {
-    fn is_part_of(&self, from: ReplicaId, chunk: &SnapshotChunk) -> bool {
+    fn is_same_transfer(&self, from: ReplicaId, chunk: &SnapshotChunk) -> bool {
         self.from == from && self.term == chunk.term && self.transfer == chunk.transfer
     }
 
@@ -35,8 +35,8 @@
         let Some(already_received) = length.checked_sub(chunk.offset) else {
             return;
         };
-        let new = chunk.data.get(already_received as usize..);
-        self.data.extend_from_slice(new.unwrap_or_default());
+        let new_data = chunk.data.get(already_received as usize..);
+        self.data.extend_from_slice(new_data.unwrap_or_default());
     }
 }
 
@@ -172,7 +172,7 @@
     /// differently.
     fn resume_incoming(&mut self, from: ReplicaId, chunk: &SnapshotChunk) -> IncomingSnapshot {
         let previous = self.incoming_snapshot.take();
-        let matching = previous.filter(|incoming| incoming.is_part_of(from, chunk));
+        let matching = previous.filter(|incoming| incoming.is_same_transfer(from, chunk));
         matching.unwrap_or(IncomingSnapshot {
             from,
             term: chunk.term,
--- a/crates/sablehaven-consensus/src/status.rs
+++ b/crates/sablehaven-consensus/src/status.rs
@@ -31,9 +31,9 @@
 /// The state of a peer, as known to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The last entry that the peer has acknowledged.
+    /// Index of the last entry that the peer has acknowledged.
     pub match_index: u64,
-    /// The next entry to be sent.
+    /// Index of the next entry to send.
     pub next_index: u64,
     /// The way in which the leader replicates to the peer.
     pub state: ReplicationState,
@@ -64,8 +64,8 @@
     pub first_index: u64,
     /// The membership in effect.
     pub membership: Membership,
-    /// Index of the entry with the membership in effect, or of the snapshot that contained it when
-    /// the replica started; 0 if there is neither.
+    /// Index of the entry with the membership in effect, or of the snapshot from which that
+    /// membership was restored; 0 if there is neither.
     pub membership_index: u64,
     /// The peers; empty unless this replica is the leader.
     pub peers: BTreeMap<ReplicaId, PeerStatus>,
--- a/crates/sablehaven-consensus/tests/election.rs
+++ b/crates/sablehaven-consensus/tests/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who may win, and who may not disturb.
+//! Tests of elections: which replica may win one, and which may not disrupt a leader.
 
 mod support;
 
@@ -10,7 +10,7 @@
 #[test]
 fn one_of_three_is_elected_and_the_others_follow_it() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
-    cluster.ticks(40);
+    cluster.tick_times(40);
     let leaders = cluster.leaders();
     assert_eq!(leaders.len(), 1);
     for number in 1..=3 {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_group_of_one_leads_once_its_own_vote_is_synced() {
+fn a_single_voter_leads_once_its_own_vote_is_synced() {
     let mut replica = Replica::new(
         Config::default(),
         id(1),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn requests_for_votes_and_votes_wait_for_the_sync() {
+fn vote_requests_and_votes_wait_for_the_sync() {
     let bootstrap = PersistentState::bootstrap(ids(&[1, 2]));
     let mut candidate = Replica::new(Config::default(), id(1), bootstrap.clone());
     while candidate.status().role != Role::PreCandidate {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_replica_votes_once_a_term_also_after_a_restart() {
+fn a_replica_votes_once_per_term_even_after_a_restart() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     let vote = Message::Vote {
         term: 5,
@@ -80,44 +80,44 @@
         transfer: false,
     };
     cluster.replica(3).receive(id(1), vote.clone());
-    cluster.node(3).work();
+    cluster.node(3).process_readies();
     cluster.restart(3);
     cluster.replica(3).receive(id(2), vote);
     let refused = Message::VoteReply {
         term: 5,
         granted: false,
     };
-    assert_eq!(cluster.node(3).work(), vec![(id(2), refused)]);
+    assert_eq!(cluster.node(3).process_readies(), vec![(id(2), refused)]);
 }
 
 #[test]
 fn a_replica_that_lacks_committed_entries_is_not_elected() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
-    cluster.cut_off(3);
+    cluster.partition(3);
     cluster.propose(1, "kept");
-    cluster.settle();
+    cluster.deliver_all();
     cluster.heal();
-    cluster.cut_off(1);
+    cluster.partition(1);
     for _ in 0..100 {
         cluster.replica(3).tick();
-        cluster.settle();
+        cluster.deliver_all();
     }
     assert_ne!(cluster.replica(3).status().role, Role::Leader);
     cluster.elect(2);
-    cluster.ticks(4);
+    cluster.tick_times(4);
     assert_eq!(support::commands(&cluster.node(3).applied), ["kept"]);
 }
 
 #[test]
-fn a_replica_that_was_cut_off_does_not_raise_the_term_when_it_comes_back() {
+fn a_partitioned_replica_does_not_raise_the_term_when_it_reconnects() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
     let term = cluster.replica(1).status().term;
-    cluster.cut_off(3);
-    cluster.ticks(100);
+    cluster.partition(3);
+    cluster.tick_times(100);
     cluster.heal();
-    cluster.ticks(50);
+    cluster.tick_times(50);
     assert_eq!(cluster.leaders(), vec![id(1)]);
     assert_eq!(cluster.replica(3).status().term, term);
 }
@@ -126,10 +126,10 @@
 fn a_leader_without_a_quorum_steps_down_within_an_election_timeout() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
-    cluster.cut_off(1);
+    cluster.partition(1);
     for _ in 0..cluster.config.election_timeout_ticks {
         cluster.replica(1).tick();
-        cluster.settle();
+        cluster.deliver_all();
     }
     assert_eq!(cluster.replica(1).status().role, Role::Follower);
 }
@@ -156,31 +156,31 @@
         };
         cluster.replica(receiver).receive(id(9), pre_vote);
     }
-    let stray_reply = Message::VoteReply {
+    let reply_from_non_member = Message::VoteReply {
         term: 1000,
         granted: false,
     };
-    cluster.replica(1).receive(id(9), stray_reply);
-    cluster.settle();
+    cluster.replica(1).receive(id(9), reply_from_non_member);
+    cluster.deliver_all();
     assert_eq!(cluster.leaders(), vec![id(1)]);
     assert_eq!(cluster.replica(2).status().term, term);
 }
 
 #[test]
-fn a_member_stuck_at_a_higher_term_makes_the_old_leader_step_down() {
+fn a_member_with_a_higher_term_makes_the_old_leader_step_down() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
     let mut disk = cluster.node(3).disk.clone();
     disk.hard_state.term = 50;
     disk.hard_state.voted_for = None;
     cluster.start(3, disk);
-    cluster.ticks(100);
+    cluster.tick_times(100);
     assert_eq!(cluster.leaders().len(), 1);
     assert!(cluster.replica(3).status().term > 50);
 }
 
 #[test]
-fn a_blank_replica_neither_stands_nor_votes() {
+fn a_blank_replica_neither_campaigns_nor_votes() {
     let mut blank = Replica::new(Config::default(), id(4), PersistentState::default());
     for _ in 0..100 {
         blank.tick();
@@ -203,40 +203,40 @@
 }
 
 #[test]
-fn leadership_is_handed_over_without_waiting_for_a_timeout() {
+fn leadership_is_transferred_without_waiting_for_a_timeout() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
     cluster.propose(1, "before");
     cluster
         .replica(1)
         .transfer_leadership(id(2))
-        .expect("starts");
+        .expect("the transfer is accepted");
     assert!(cluster.replica(1).propose(vec![b"late".to_vec()]).is_err());
-    cluster.settle();
+    cluster.deliver_all();
     assert_eq!(cluster.leaders(), vec![id(2)]);
     cluster.propose(2, "after");
-    cluster.settle();
+    cluster.deliver_all();
     let applied = support::commands(&cluster.node(2).applied);
     assert_eq!(applied, ["before", "after"]);
 }
 
 #[test]
-fn a_transfer_to_a_dead_replica_is_given_up() {
+fn a_transfer_to_an_unreachable_replica_is_aborted() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
-    cluster.cut_off(3);
+    cluster.partition(3);
     cluster.propose(1, "missed by the target");
     cluster
         .replica(1)
         .transfer_leadership(id(3))
-        .expect("starts");
-    cluster.ticks(cluster.config.election_timeout_ticks);
+        .expect("the transfer is accepted");
+    cluster.tick_times(cluster.config.election_timeout_ticks);
     assert_eq!(cluster.replica(1).status().transfer, None);
     cluster.propose(1, "accepted again");
 }
 
 #[test]
-fn transfers_are_refused_where_they_make_no_sense() {
+fn invalid_transfers_are_refused() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
     assert!(cluster.replica(2).transfer_leadership(id(3)).is_err());
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_follower_in_contact_with_its_leader_promises_no_vote() {
+fn a_follower_in_contact_with_its_leader_refuses_a_pre_vote() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
     let next_term = cluster.replica(2).status().term + 1;
@@ -260,7 +260,7 @@
         next_term,
         granted: false,
     };
-    assert_eq!(cluster.node(2).work(), vec![(id(3), refused)]);
+    assert_eq!(cluster.node(2).process_readies(), vec![(id(3), refused)]);
 }
 
 #[test]
@@ -283,9 +283,10 @@
     );
 }
 
-/// Where votes take longer than the first timeout no election would ever be won with it.
+/// If votes take longer to arrive than the first election timeout, no election would ever succeed
+/// with it, so it must grow.
 #[test]
-fn the_shorter_timeout_after_a_start_doubles_up_to_the_usual_one() {
+fn the_first_election_timeout_doubles_up_to_the_normal_one() {
     let config = Config {
         election_timeout_ticks: 16,
         first_election_timeout_ticks: 1,
@@ -293,17 +294,21 @@
     };
     let voters = [1, 2, 3].map(ReplicaId).into();
     let mut replica = Replica::new(config, ReplicaId(1), PersistentState::bootstrap(voters));
-    let mut rounds = Vec::new();
+    let mut campaign_ticks = Vec::new();
     for tick in 0..200 {
         replica.tick();
         let ready = replica.take_ready();
-        let asks = |(_, message): &(ReplicaId, Message)| matches!(message, Message::PreVote { .. });
-        if ready.messages_before_sync.iter().any(asks) {
-            rounds.push(tick);
+        let is_pre_vote =
+            |(_, message): &(ReplicaId, Message)| matches!(message, Message::PreVote { .. });
+        if ready.messages_before_sync.iter().any(is_pre_vote) {
+            campaign_ticks.push(tick);
         }
     }
-    let gaps: Vec<i32> = rounds.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(rounds[0] <= 2, "{rounds:?}");
+    let gaps: Vec<i32> = campaign_ticks
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .collect();
+    assert!(campaign_ticks[0] <= 2, "{campaign_ticks:?}");
     assert!(gaps[0] >= 2 && gaps[1] >= 4 && gaps[2] >= 8, "{gaps:?}");
     assert!(
         gaps[4..].iter().all(|gap| (16..32).contains(gap)),
@@ -312,13 +317,13 @@
 }
 
 #[test]
-fn replicas_that_start_together_do_not_stand_together() {
+fn replicas_that_start_together_campaign_at_different_times() {
     let config = Config {
         election_timeout_ticks: 40,
         first_election_timeout_ticks: 4,
         ..Config::default()
     };
-    let stands_at = |own: u64| {
+    let first_campaign_tick = |own: u64| {
         let voters = [1, 2, 3].map(ReplicaId).into();
         let restored = PersistentState::bootstrap(voters);
         let mut replica = Replica::new(config.clone(), ReplicaId(own), restored);
@@ -329,22 +334,25 @@
             messages.any(|(_, message)| matches!(message, Message::PreVote { .. }))
         })
     };
-    assert_eq!([1, 2, 3].map(stands_at), [Some(4), Some(10), Some(16)]);
+    assert_eq!(
+        [1, 2, 3].map(first_campaign_tick),
+        [Some(4), Some(10), Some(16)]
+    );
 }
 
 #[test]
-fn replicas_know_for_how_long_no_other_has_led() {
+fn the_status_counts_the_ticks_since_another_replica_led() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
-    let election = cluster.config.election_timeout_ticks;
-    let heartbeat = cluster.config.heartbeat_ticks;
-    cluster.ticks(election);
-    let follower = cluster.replica(3).status().leader_silent_ticks;
-    assert!(follower <= heartbeat, "{follower}");
-    // Its own leading is not another's.
-    assert!(cluster.replica(1).status().leader_silent_ticks >= election);
-    cluster.cut_off(3);
-    cluster.ticks(5 * election);
-    let silent = cluster.replica(3).status().leader_silent_ticks;
-    assert!(silent >= 5 * election, "{silent}");
+    let election_timeout = cluster.config.election_timeout_ticks;
+    let heartbeat_ticks = cluster.config.heartbeat_ticks;
+    cluster.tick_times(election_timeout);
+    let follower_ticks = cluster.replica(3).status().leader_silent_ticks;
+    assert!(follower_ticks <= heartbeat_ticks, "{follower_ticks}");
+    // The leader's own messages do not count, only those of another leader.
+    assert!(cluster.replica(1).status().leader_silent_ticks >= election_timeout);
+    cluster.partition(3);
+    cluster.tick_times(5 * election_timeout);
+    let silent_ticks = cluster.replica(3).status().leader_silent_ticks;
+    assert!(silent_ticks >= 5 * election_timeout, "{silent_ticks}");
 }
--- a/crates/sablehaven-consensus/tests/replication.rs
+++ b/crates/sablehaven-consensus/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: order, repair, limits and what may be committed.
+//! Tests of log replication: order, repair after losses and conflicts, limits and commit rules.
 
 mod support;
 
@@ -6,7 +6,7 @@
     AppendResult, Config, Entry, EntryPayload, Fault, HardState, Message, PersistentState,
     Position, Replica, ReplicationState,
 };
-use support::{Cluster, commands, id, ids, win};
+use support::{Cluster, commands, id, ids, win_election};
 
 fn entry(index: u64, term: u64, command: &str) -> Entry {
     Entry {
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn everything_proposed_is_applied_everywhere_in_order() {
+fn proposed_commands_are_applied_in_order_on_every_replica() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
     for number in 0..50 {
         cluster.propose(1, &number.to_string());
     }
-    cluster.settle();
-    cluster.ticks(4);
+    cluster.deliver_all();
+    cluster.tick_times(4);
     let expected: Vec<String> = (0..50).map(|number| number.to_string()).collect();
     for number in 1..=3 {
         assert_eq!(commands(&cluster.node(number).applied), expected);
@@ -59,14 +59,14 @@
     for number in 0..50 {
         cluster.propose(1, &number.to_string());
     }
-    cluster.settle();
+    cluster.deliver_all();
     let is_append = |message: &Message| matches!(message, Message::Append { .. });
     let sent = cluster.take_sent();
     assert_eq!(sent.iter().filter(|(.., m)| is_append(m)).count(), 2);
 }
 
 #[test]
-fn appends_keep_to_the_limits_on_size_and_number() {
+fn appends_respect_the_limits_on_size_and_number() {
     let config = Config {
         max_append_bytes: 100,
         max_inflight_appends: 3,
@@ -78,14 +78,14 @@
         cluster.propose(1, &"x".repeat(60));
     }
     let ready = cluster.replica(1).take_ready();
-    let mut to_second = 0;
+    let mut appends_to_second = 0;
     for (to, message) in &ready.messages_before_sync {
         if let Message::Append { entries, .. } = message {
             assert_eq!(entries.len(), 1);
-            to_second += usize::from(*to == id(2));
+            appends_to_second += usize::from(*to == id(2));
         }
     }
-    assert_eq!(to_second, 3);
+    assert_eq!(appends_to_second, 3);
 }
 
 #[test]
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn committed_entries_are_handed_out_only_once_synced() {
+fn committed_entries_are_delivered_only_once_synced() {
     let mut replica = follower();
     replica.receive(id(2), append(2, (1, 1), &[entry(2, 2, "a")], 2));
     let ready = replica.take_ready();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_late_sync_of_replaced_entries_counts_for_nothing() {
+fn a_late_sync_of_replaced_entries_does_not_count() {
     let mut replica = follower();
     replica.receive(id(2), append(2, (1, 1), &[entry(2, 2, "old")], 1));
     let first = replica.take_ready();
@@ -147,16 +147,16 @@
 fn a_longer_log_of_a_deposed_leader_is_replaced() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
-    cluster.cut_off(1);
+    cluster.partition(1);
     for number in 0..10 {
         cluster.propose(1, &format!("lost {number}"));
     }
-    cluster.settle();
+    cluster.deliver_all();
     cluster.elect(2);
     cluster.propose(2, "kept");
-    cluster.settle();
+    cluster.deliver_all();
     cluster.heal();
-    cluster.ticks(10);
+    cluster.tick_times(10);
     assert_eq!(commands(&cluster.node(1).applied), ["kept"]);
     let last = cluster.replica(1).status().last_index;
     assert_eq!(last, cluster.replica(2).status().last_index);
@@ -167,12 +167,12 @@
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
     cluster.propose(1, "lost on the way");
-    // Taken and dropped.
+    // The messages are taken and dropped.
     cluster.replica(1).take_ready();
     cluster.restart(2);
-    cluster.ticks(10);
+    cluster.tick_times(10);
     cluster.propose(1, "next");
-    cluster.ticks(10);
+    cluster.tick_times(10);
     assert_eq!(
         commands(&cluster.node(3).applied),
         ["lost on the way", "next"]
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn repeated_and_reordered_appends_do_no_harm() {
+fn repeated_and_reordered_appends_are_harmless() {
     let mut replica = follower();
     let first = append(2, (1, 1), &[entry(2, 2, "a"), entry(3, 2, "b")], 1);
     let second = append(2, (3, 2), &[entry(4, 2, "c")], 3);
@@ -195,7 +195,7 @@
 
 #[test]
 fn an_entry_of_an_older_term_is_not_committed_by_count_alone() {
-    // Figure 8 of the Raft paper: replica 1 leads term 4 with an entry of term 2 that a majority has.
+    // Figure 8 of the Raft paper: replica 1 leads term 4, and a majority has its entry of term 2.
     let disk = PersistentState {
         hard_state: HardState {
             term: 3,
@@ -216,7 +216,7 @@
     let mut leader = cluster.node(1).disk.clone();
     leader.entries.truncate(2);
     let mut replica = Replica::new(Config::default(), id(1), leader);
-    win(&mut replica, 2);
+    win_election(&mut replica, 2);
     let term = replica.status().term;
     let result = AppendResult::Matched { index: 2 };
     replica.receive(id(2), Message::AppendReply { term, result });
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_contradiction_of_a_committed_entry_stops_the_replica() {
+fn an_append_that_conflicts_with_a_committed_entry_stops_the_replica() {
     let mut replica = follower();
     replica.receive(id(2), append(2, (1, 1), &[entry(2, 2, "a")], 2));
     let ready = replica.take_ready();
@@ -242,30 +242,30 @@
 }
 
 #[test]
-fn a_follower_far_behind_is_found_in_few_messages() {
+fn the_last_shared_entry_of_a_lagging_follower_is_found_in_few_messages() {
     let mut cluster = Cluster::new(&[1, 2, 3]);
     cluster.elect(1);
-    cluster.cut_off(3);
+    cluster.partition(3);
     for number in 0..500 {
         cluster.propose(1, &number.to_string());
-        cluster.settle();
+        cluster.deliver_all();
     }
     cluster.heal();
     cluster.take_sent();
-    cluster.ticks(6);
+    cluster.tick_times(6);
     assert_eq!(commands(&cluster.node(3).applied).len(), 500);
-    let refused = |message: &Message| {
-        let mismatch = |result: &AppendResult| matches!(result, AppendResult::Mismatch { .. });
-        matches!(message, Message::AppendReply { result, .. } if mismatch(result))
+    let is_mismatch = |message: &Message| {
+        let is_rejection = |result: &AppendResult| matches!(result, AppendResult::Mismatch { .. });
+        matches!(message, Message::AppendReply { result, .. } if is_rejection(result))
     };
     let sent = cluster.take_sent();
-    assert!(sent.iter().filter(|(.., m)| refused(m)).count() <= 2);
+    assert!(sent.iter().filter(|(.., m)| is_mismatch(m)).count() <= 2);
     let peer = cluster.replica(1).status().peers[&id(3)];
     assert_eq!(peer.state, ReplicationState::Replicate);
 }
 
 #[test]
-fn committed_entries_come_in_bounded_portions() {
+fn committed_entries_are_delivered_in_bounded_batches() {
     let config = Config {
         max_committed_bytes: 1000,
         ..Config::default()
@@ -277,11 +277,11 @@
     replica.receive(id(2), append(2, (1, 1), &entries, 101));
     let ready = replica.take_ready();
     replica.persisted(ready.number);
-    let mut delivered_index = ready.committed.len();
+    let mut delivered = ready.committed.len();
     while replica.has_committed() {
         let committed = replica.take_ready().committed;
         assert!(committed.len() <= 24);
-        delivered_index += committed.len();
+        delivered += committed.len();
     }
-    assert_eq!(delivered_index, 101);
+    assert_eq!(delivered, 101);
 }
--- a/crates/sablehaven-consensus/tests/support/mod.rs
+++ b/crates/sablehaven-consensus/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A group in memory: messages are delivered at once, in order, unless a link is cut.
+//! An in-memory group. Messages are delivered immediately and in order, unless their link is
+//! blocked.
 
 #![allow(dead_code)]
 
@@ -14,6 +15,7 @@
     pub disk: PersistentState,
     pub snapshot_data: Vec<u8>,
     pub applied: Vec<Entry>,
+    /// The token and index of each confirmed read.
     pub reads: Vec<(u64, u64)>,
     pub refused_reads: Vec<u64>,
     pub needs_snapshot: bool,
@@ -21,8 +23,10 @@
 
 pub struct Cluster {
     pub nodes: BTreeMap<ReplicaId, Node>,
-    pub cut: BTreeSet<(ReplicaId, ReplicaId)>,
+    /// Pairs of sender and receiver whose messages are dropped.
+    pub blocked_links: BTreeSet<(ReplicaId, ReplicaId)>,
     pub config: Config,
+    /// Sender, receiver and contents of each message sent over a link that is not blocked.
     pub sent: Vec<(ReplicaId, ReplicaId, Message)>,
 }
 
@@ -42,8 +46,8 @@
     entries.iter().filter_map(command).collect()
 }
 
-/// Writes a ready to a disk as storage does.
-pub fn write(disk: &mut PersistentState, ready: &Ready) {
+/// Applies the writes of a ready to a disk, as storage does.
+pub fn write_ready(disk: &mut PersistentState, ready: &Ready) {
     if let Some(hard_state) = ready.hard_state {
         disk.hard_state = hard_state;
     }
@@ -70,8 +74,9 @@
         }
     }
 
-    /// Does everything that is ready; returns the messages in the order in which they may leave.
-    pub fn work(&mut self) -> Vec<(ReplicaId, Message)> {
+    /// Processes readies until nothing is left to do. Returns their messages in the order in which
+    /// they may be sent.
+    pub fn process_readies(&mut self) -> Vec<(ReplicaId, Message)> {
         let mut messages = Vec::new();
         loop {
             let ready = self.replica.take_ready();
@@ -79,7 +84,7 @@
             if ready.is_empty() {
                 return messages;
             }
-            write(&mut self.disk, &ready);
+            write_ready(&mut self.disk, &ready);
             self.replica.persisted(ready.number);
             messages.extend(ready.messages_before_sync);
             messages.extend(ready.messages_after_sync);
@@ -103,7 +108,7 @@
     pub fn with_config(voters: &[u64], config: Config) -> Self {
         let mut cluster = Self {
             nodes: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             config,
             sent: Vec::new(),
         };
@@ -118,44 +123,45 @@
         self.nodes.insert(id(number), node);
     }
 
-    /// Stops a replica and starts it again from its disk.
+    /// Stops a replica and restarts it from its disk.
     pub fn restart(&mut self, number: u64) {
         let disk = self.node(number).disk.clone();
         self.start(number, disk);
     }
 
     pub fn node(&mut self, number: u64) -> &mut Node {
-        self.nodes.get_mut(&id(number)).expect("node exists")
+        self.nodes.get_mut(&id(number)).expect("the node exists")
     }
 
     pub fn replica(&mut self, number: u64) -> &mut Replica {
         &mut self.node(number).replica
     }
 
-    pub fn cut_off(&mut self, number: u64) {
+    /// Blocks all links of a replica.
+    pub fn partition(&mut self, number: u64) {
         for other in self.nodes.keys() {
-            self.cut.insert((id(number), *other));
-            self.cut.insert((*other, id(number)));
+            self.blocked_links.insert((id(number), *other));
+            self.blocked_links.insert((*other, id(number)));
         }
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked_links.clear();
     }
 
-    /// Delivers messages until nobody has one.
-    pub fn settle(&mut self) {
+    /// Delivers messages until none are left.
+    pub fn deliver_all(&mut self) {
         let mut queue = VecDeque::new();
         loop {
             for (from, node) in &mut self.nodes {
-                let messages = node.work().into_iter();
+                let messages = node.process_readies().into_iter();
                 queue.extend(messages.map(|(to, message)| (*from, to, message)));
             }
             if queue.is_empty() {
                 return;
             }
             for (from, to, message) in queue.drain(..) {
-                if self.cut.contains(&(from, to)) {
+                if self.blocked_links.contains(&(from, to)) {
                     continue;
                 }
                 self.sent.push((from, to, message.clone()));
@@ -170,16 +176,17 @@
         for node in self.nodes.values_mut() {
             node.replica.tick();
         }
-        self.settle();
+        self.deliver_all();
     }
 
-    pub fn ticks(&mut self, count: u32) {
+    pub fn tick_times(&mut self, count: u32) {
         for _ in 0..count {
             self.tick_all();
         }
     }
 
-    /// Lets the followers lose contact with their leader, then ticks one replica until it leads.
+    /// Makes all followers lose contact with their leader, then ticks one replica until it is
+    /// elected.
     pub fn elect(&mut self, number: u64) {
         let timeout = self.config.election_timeout_ticks;
         for node in self.nodes.values_mut() {
@@ -189,7 +196,7 @@
             for _ in 0..timeout {
                 node.replica.tick();
             }
-            // A request for votes of its own is lost.
+            // Drops the vote requests of the replica's own elections.
             node.replica.take_ready();
         }
         for _ in 0..200 {
@@ -197,14 +204,16 @@
                 return;
             }
             self.replica(number).tick();
-            self.settle();
+            self.deliver_all();
         }
-        panic!("replica {number} does not lead");
+        panic!("replica {number} was not elected");
     }
 
     pub fn propose(&mut self, number: u64, command: &str) {
         let commands = vec![command.as_bytes().to_vec()];
-        self.replica(number).propose(commands).expect("leads");
+        self.replica(number)
+            .propose(commands)
+            .expect("the replica is the leader");
     }
 
     pub fn leaders(&mut self) -> Vec<ReplicaId> {
@@ -215,14 +224,14 @@
             .collect()
     }
 
-    /// The messages sent since the last call.
+    /// Returns the messages sent since the last call.
     pub fn take_sent(&mut self) -> Vec<(ReplicaId, ReplicaId, Message)> {
         std::mem::take(&mut self.sent)
     }
 }
 
-/// Has a replica win an election with the one vote of `voter`.
-pub fn win(replica: &mut Replica, voter: u64) {
+/// Makes a replica win an election with its own vote and that of `voter`.
+pub fn win_election(replica: &mut Replica, voter: u64) {
     while replica.status().role != Role::PreCandidate {
         replica.tick();
     }
