--- a/crates/sablehaven-consensus/src/election.rs
+++ b/crates/sablehaven-consensus/src/election.rs
@@ -43,8 +43,8 @@
 
 impl ElectionTimer {
     /// Creates a timer. If `first_timeout_ticks` is less than `base_ticks`, the first timeout is not
-    /// random but increases with the rank. Otherwise, replicas that start together would often
-    /// campaign at the same time, and none would win.
+    /// random but increases with the rank. With random timeouts, replicas that start together would
+    /// often campaign at the same time, and none would win.
     pub(crate) fn new(
         base_ticks: u32,
         first_timeout_ticks: u32,
