--- a/crates/sablehaven-storage/src/replay.rs
+++ b/crates/sablehaven-storage/src/replay.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use sablehaven_consensus::{Entry, Restored, SnapshotMetadata};
+use sablehaven_consensus::{Entry, PersistentState, SnapshotMetadata};
 
 use crate::{
     group_state::GroupState,
@@ -82,8 +82,8 @@
 
 impl ReplayedGroup {
     /// Returns the state from which a replica starts, and moves the entries into it.
-    pub(crate) fn take_restored_state(&mut self) -> Restored {
-        Restored {
+    pub(crate) fn take_restored_state(&mut self) -> PersistentState {
+        PersistentState {
             hard_state: self.state.hard_state,
             snapshot: self.snapshot_metadata(),
             entries: std::mem::take(&mut self.entries),
