--- a/crates/sablehaven-control/src/config.rs
+++ b/crates/sablehaven-control/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a control replica.
+//! The settings of a control replica.
 
 use std::{
     collections::BTreeSet,
@@ -12,73 +12,76 @@
 
 use crate::ledger::LedgerLimits;
 
-/// Ledger groups that a deployment may have.
+/// The maximum number of ledger groups of a deployment.
 const MAXIMUM_LEDGER_GROUPS: u32 = 64;
 
-/// Settings of a control replica. Durations are in milliseconds.
+/// The settings of a control replica. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// The deployment's name; replicas, relays and data folders of others are refused.
+    /// The name of the deployment. Replicas, relays and data folders of other deployments are refused.
     pub deployment: String,
-    /// Where the operators' interface listens.
+    /// The address on which the operator interface listens.
     pub http_listen: SocketAddr,
-    /// Where internal connections (replicas, relays) are accepted.
+    /// The address on which internal connections (from replicas, relays and gateways) are accepted.
     pub internal_listen: SocketAddr,
-    /// The address that others reach `http_listen` at, if it is another one.
+    /// The address at which others reach `http_listen`, if it is a different one.
     pub http_advertise: Option<SocketAddr>,
-    /// The address that others reach `internal_listen` at, if it is another one.
+    /// The address at which others reach `internal_listen`, if it is a different one.
     pub internal_advertise: Option<SocketAddr>,
-    /// The IP number from which outgoing connections are made; where it is absent the system chooses.
+    /// The local IP address of outgoing connections. If absent, the operating system chooses it.
     pub connect_from: Option<IpAddr>,
-    /// Where the replica runs.
+    /// The region and zone in which the replica runs.
     pub placement: Placement,
-    /// The zones of the deployment, so that an order about another one is refused; empty takes any.
+    /// The zones of the deployment; the evacuation of any other zone is refused. If empty, every zone is accepted.
     pub zones: BTreeSet<ZoneName>,
-    /// The folder of the log and the snapshots; one process at a time.
+    /// The folder that contains the log and the snapshots. Only one process may use it at a time.
     pub data_folder: PathBuf,
-    /// Silence of a replica after which a new one takes its place, in milliseconds.
+    /// Time without a message from a member after which a new replica may take its place.
     pub repair_patience_ms: u64,
-    /// Replicas that the leader keeps by itself: one that joins is added, one that lost its disk is
-    /// replaced, and a silent one beyond this number goes. 0 leaves every change to operators.
+    /// The number of members that the leader maintains automatically: it adds new replicas, replaces a member that lost
+    /// its disk, and removes a silent member while there are more members than this. If 0, only operators change the
+    /// members.
     pub repair_minimum_members: usize,
-    /// Time between two readings of the list of servers for gateways.
+    /// Time between two reads of the platform's server listing, which is sent to gateways.
     pub listing_interval_ms: u64,
-    /// Entries that stay in memory after a snapshot, for replicas that are a little behind.
+    /// The number of log entries kept in memory before a snapshot, for replicas that are slightly behind.
     pub retained_entries: u64,
-    /// Internal addresses of the other replicas at the first start, or of any when joining.
+    /// The addresses of other replicas for internal connections: of all others at the first start of a deployment, of
+    /// any members for a replica that joins later.
     pub peers: Vec<SocketAddr>,
-    /// Whether this replica may form a new deployment together with all of `peers`. It does so only
-    /// while its own data folder is new and every peer is there, new too, and may do the same. Set
-    /// it at the first start of a deployment; a machine that joins later does without.
+    /// Whether this replica may form a new deployment together with all of `peers`. It does so only if its data folder
+    /// is new and every peer answers, is new too, and may form a deployment as well. Set it at the first start of a
+    /// deployment, and leave it unset on a replica that joins later.
     pub bootstrap: bool,
-    /// How far tenants' requests may go beyond their quotas, over all gateways together.
+    /// How far the requests of a tenant may exceed its quota, over all gateways together.
     pub quotas: QuotaTolerance,
-    /// Groups that the ledger's keys are spread over; the same on every replica, fixed at the first
-    /// start. 0 goes without a ledger: agents then cannot send requests that run at most once.
+    /// The number of consensus groups over which the keys of the ledger are distributed. It must be the same on every
+    /// replica and cannot change after the first start. If 0, there is no ledger, and agents cannot send requests that
+    /// run at most once.
     pub ledger_groups: u32,
-    /// Bounds of each ledger group.
+    /// The limits of each ledger group.
     pub ledger: LedgerLimits,
-    /// Where the platform lists its machines; without it there are no back ends.
+    /// Where the platform lists its machines. If absent, there are no back ends.
     pub platform: Option<PlatformConfig>,
-    /// Length of a consensus tick.
+    /// The length of a consensus tick.
     pub tick_ms: u64,
     /// Time between two heartbeats of a leader.
     pub heartbeat_ms: u64,
-    /// Time without a leader's message after which replicas elect another one (one to two times
-    /// this). A leader that hears no quorum for as long steps down.
+    /// Time without a message from the leader after which a replica starts an election; the actual time is chosen at
+    /// random between one and two times this value. A leader that has not heard from a quorum for this time steps down.
     pub election_timeout_ms: u64,
-    /// The same for a replica that has just started and has heard no leader yet; at most as long.
+    /// The election timeout of a replica that has not heard from a leader since its start; at most `election_timeout_ms`.
     pub first_election_timeout_ms: u64,
-    /// How long agents may rely on a proof that the leader was current.
+    /// How long agents may rely on a proof of leadership.
     pub lease_duration_ms: u64,
-    /// Log entries of a group after which a snapshot is taken.
+    /// The number of log entries of a group after which a snapshot is taken.
     pub snapshot_entries: u64,
-    /// Log bytes of a group after which a snapshot is taken.
+    /// The number of log bytes of a group after which a snapshot is taken.
     pub snapshot_bytes: u64,
-    /// Size of a log segment, in bytes.
+    /// The size of a log segment.
     pub segment_bytes: u64,
-    /// Seed of the random part of election timeouts, mixed with the replica's identity.
+    /// The seed of the random part of election timeouts, combined with the replica's identity.
     pub election_seed: u64,
 }
 
@@ -86,7 +89,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformConfig {
-    /// URL that answers GET with JSON `{"machines": [...]}`.
+    /// A URL that responds to GET requests with JSON of the form `{"machines": [...]}`.
     pub url: String,
     /// Time between two polls.
     #[serde(default = "default_poll_interval_ms")]
@@ -136,7 +139,7 @@
 }
 
 impl Config {
-    /// Every setting that cannot be used; keys start with `prefix`.
+    /// Returns an error for each invalid setting, with `prefix` before its key.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
         let mut checks = SettingChecks::new(prefix);
         checks.nested("ledger", |prefix| self.ledger.validate(prefix));
@@ -149,13 +152,13 @@
         let allowed = "at least tick_ms";
         checks.require("heartbeat_ms", heartbeat >= tick, heartbeat, allowed);
         let election = self.election_timeout_ms;
-        let holds = election >= 2 * heartbeat + 3 * tick;
+        let is_valid = election >= 2 * heartbeat + 3 * tick;
         let allowed = "more than 2 heartbeats and 3 ticks";
-        checks.require("election_timeout_ms", holds, election, allowed);
+        checks.require("election_timeout_ms", is_valid, election, allowed);
         let first = self.first_election_timeout_ms;
-        let holds = first >= tick && first <= election;
+        let is_valid = first >= tick && first <= election;
         let allowed = "tick_ms to election_timeout_ms";
-        checks.require("first_election_timeout_ms", holds, first, allowed);
+        checks.require("first_election_timeout_ms", is_valid, first, allowed);
         let lease = self.lease_duration_ms;
         let allowed = "at least 2 election timeouts";
         checks.require("lease_duration_ms", lease >= 2 * election, lease, allowed);
@@ -176,12 +179,12 @@
         checks.into_errors()
     }
 
-    /// How long agents may rely on a proof that the leader was current.
+    /// How long agents may rely on a proof of leadership.
     pub fn lease_duration(&self) -> Duration {
         Duration::from_millis(self.lease_duration_ms)
     }
 
-    /// Time without a leader's message after which replicas elect another one.
+    /// Time without a message from the leader after which a replica starts an election.
     pub fn election_timeout(&self) -> Duration {
         Duration::from_millis(self.election_timeout_ms)
     }
@@ -197,12 +200,13 @@
             first_election_timeout_ticks: ticks(self.first_election_timeout_ms),
             heartbeat_ticks: ticks(self.heartbeat_ms),
             retained_entries: self.retained_entries,
-            // The same in every group, so that one replica tends to win all of them.
+            // The seed is the same in every group, so that the same replica tends to win all elections.
             election_seed: self.election_seed,
             ..sablehaven_consensus::Config::default()
         }
     }
 
+    /// The settings of the storage.
     pub(crate) fn storage(&self) -> sablehaven_storage::Options {
         sablehaven_storage::Options {
             deployment: self.deployment.clone(),
--- a/crates/sablehaven-control/src/driver/run.rs
+++ b/crates/sablehaven-control/src/driver/run.rs
@@ -240,7 +240,7 @@
         for group in self.groups.iter_mut().filter(|group| group.is_leader) {
             group.open_ledger();
         }
-        self.directory.applied(self.groups[0].applied);
+        self.directory.record_applied(self.groups[0].applied);
         self.drive_membership(now);
         self.continue_step_down(now);
         self.start_due_snapshots()
@@ -355,7 +355,7 @@
     /// Handles a finished job of the storage thread. A failed write or sync stops the driver: the content of the disk
     /// is then unknown, so nothing more may be acknowledged.
     fn handle_storage_completion(&mut self, completion: StorageCompletion) -> Result<(), Failure> {
-        self.metrics.storage(&completion.counters);
+        self.metrics.set_storage(&completion.counters);
         for group in completion.groups_to_compact {
             if let Some(group) = self.groups.get_mut(group as usize) {
                 group.snapshots.is_requested = true;
--- a/crates/sablehaven-control/src/metrics.rs
+++ b/crates/sablehaven-control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a control replica counts.
+//! The metrics of a control replica.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
@@ -9,13 +9,14 @@
 use sablehaven_telemetry::Telemetry;
 use sablehaven_types::Distance;
 
-/// Names a kind of event.
+/// The label of a metric that is counted by kind of event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct KindLabel {
     kind: &'static str,
 }
 
-/// Names a message between this replica and gateways, and how far it goes.
+/// The labels of a metric of the messages between this replica and gateways: the kind of message, and the distance to
+/// the gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct GatewayMessageLabel {
     message: &'static str,
@@ -68,22 +69,22 @@
         );
         counter(
             "peer_messages_sent",
-            "Consensus messages handed to connections",
+            "Consensus messages queued on connections",
             &self.peer_messages_sent,
         );
         counter(
             "peer_messages_dropped",
-            "Consensus messages dropped: no connection, or its queue was full",
+            "Consensus messages dropped because no connection was up or its queue was full",
             &self.peer_messages_dropped,
         );
         counter(
             "leases_granted",
-            "Proofs of leadership given to relays",
+            "Proofs of leadership sent to relays",
             &self.leases_granted,
         );
         counter(
             "leases_refused",
-            "Requests for a proof that this replica could not give",
+            "Requests for a proof of leadership that this replica could not give",
             &self.leases_refused,
         );
         counter(
@@ -93,7 +94,7 @@
         );
         counter(
             "observations_dropped",
-            "Agents' observations dropped: not the leader, or too many",
+            "Agents' observations dropped because this replica does not lead or its queue was full",
             &self.observations_dropped,
         );
         counter(
@@ -108,25 +109,25 @@
         );
         counter(
             "tokens_borrowed",
-            "Tokens that came as loans of other replicas",
+            "Tokens borrowed from other replicas",
             &self.tokens_borrowed,
         );
         counter(
             "token_replies_dropped",
-            "Answers to requests for tokens dropped: the gateway did not take them",
+            "Replies to token requests dropped because the gateway did not read them",
             &self.token_replies_dropped,
         );
-        let help = "Requests for tokens that were refused, by reason";
+        let help = "Token requests refused, by reason";
         registry.register("tokens_refused", help, self.tokens_refused.clone());
-        let help = "Bytes of messages with gateways, both ways, by message and distance";
+        let help = "Bytes sent to and received from gateways, by message and distance";
         registry.register("gateway_bytes", help, self.gateway_bytes.clone());
-        let help = "Errors of the leader's duties, by kind";
+        let help = "Errors of the leader's periodic tasks, by kind";
         registry.register("errors", help, self.errors.clone());
         let mut gauge = |name: &str, help: &str, gauge: &Gauge| {
             registry.register(name, help, gauge.clone());
         };
         gauge("relays", "Connected relays", &self.relays);
-        gauge("agents", "Agents behind connected relays", &self.agents);
+        gauge("agents", "Agents that relays report", &self.agents);
         gauge(
             "leading",
             "1 while this replica leads group 0",
@@ -150,8 +151,8 @@
         );
     }
 
-    /// Takes over what the storage has counted.
-    pub(crate) fn storage(&self, counters: &StorageCounters) {
+    /// Sets the gauges of the storage from its counters.
+    pub(crate) fn set_storage(&self, counters: &StorageCounters) {
         self.log_syncs.set(counters.log_syncs as i64);
         self.log_bytes.set(counters.log_bytes as i64);
         self.snapshots.set(counters.snapshots as i64);
@@ -166,12 +167,12 @@
         self.gateway_bytes.get_or_create(&label).inc_by(bytes);
     }
 
-    /// Counts a request for tokens that was refused.
+    /// Counts a refused token request.
     pub(crate) fn tokens_refused(&self, kind: &'static str) {
         self.tokens_refused.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts an error of the leader's duties.
+    /// Counts an error of one of the leader's periodic tasks.
     pub(crate) fn error(&self, kind: &'static str) {
         self.errors.get_or_create(&KindLabel { kind }).inc();
     }
--- a/crates/sablehaven-control/src/operator/changes.rs
+++ b/crates/sablehaven-control/src/operator/changes.rs
@@ -104,7 +104,7 @@
     begin_change(context, kind, Some(newcomer)).await
 }
 
-/// Proposes a change of the control replicas. It continues in the background after it has begun.
+/// Proposes a change of the control replicas. Once begun, the change continues in the background.
 async fn begin_change(
     context: &Context,
     kind: ChangeKind,
@@ -122,9 +122,8 @@
     }
 }
 
-/// Probes the replica that listens at an address. The outer result is an error of the call itself; the inner one is the
-/// replica's introduction, or a refusal if the replica cannot be reached or already has a log: only a replica with a new
-/// data folder can be added.
+/// Returns the introduction of the replica that listens at an address, or a refusal if it cannot be reached or already
+/// has a log: only a replica with a new data folder can be added.
 async fn probe_newcomer(
     context: &Context,
     address: SocketAddr,
--- a/crates/sablehaven-control/src/operator/mod.rs
+++ b/crates/sablehaven-control/src/operator/mod.rs
@@ -1,10 +1,9 @@
 //! The operator interface over HTTP: its request and response bodies, and its handlers.
 //!
-//! Only the leader answers most calls. Another replica responds with status 421 and the leader's address in
-//! [`OperatorError::leader`], to which the caller sends the request again. Status 503 means that no leader answered: the
-//! caller sends the same command again after [`OperatorError::retry_after_ms`]. Exceptions are `status` and `quotas`,
-//! which every replica answers about itself, and reads with `unconfirmed=true`, which return the state that the replica
-//! has applied.
+//! Most calls are answered only by the leader. Another replica responds with status 421 and the leader's address in
+//! [`OperatorError::leader`], to which the caller sends the request again. Status 503 means that no leader answered:
+//! the caller sends the same command again after [`OperatorError::retry_after_ms`]. Every replica answers `status` and
+//! `quotas` about itself, and reads with `unconfirmed=true` from the state that it has applied.
 
 mod changes;
 mod handlers;
--- a/crates/sablehaven-control/src/operator/reads.rs
+++ b/crates/sablehaven-control/src/operator/reads.rs
@@ -14,8 +14,8 @@
     server::Context,
 };
 
-/// Whether a reply requires a proof of leadership from a quorum. Without one the reply is the state that this replica has
-/// applied, which may be stale; after the loss of a quorum no other state can be read.
+/// Whether a reply requires a proof of leadership from a quorum. Without one the reply is the state that this replica
+/// has applied, which may be stale; after the loss of a quorum no other state can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Confirmation {
     Required,
--- a/crates/sablehaven-control/src/operator/types.rs
+++ b/crates/sablehaven-control/src/operator/types.rs
@@ -12,8 +12,8 @@
 pub mod paths {
     /// POST [`sablehaven_types::ApplyCommand`], answers [`sablehaven_types::ApplyOutcome`].
     pub const APPLY: &str = "/operator/v1/apply";
-    /// GET, answers [`sablehaven_types::Configuration`]. With `unconfirmed=true`, here
-    /// and in [`HISTORY`] and [`BACKENDS`], any replica answers with the state that it has applied.
+    /// GET, answers [`sablehaven_types::Configuration`]. With `unconfirmed=true`, here and in [`HISTORY`] and
+    /// [`BACKENDS`], any replica answers with the state that it has applied.
     pub const CONFIGURATION: &str = "/operator/v1/configuration";
     /// GET, answers a list of [`sablehaven_types::CommandRecord`], oldest first.
     pub const HISTORY: &str = "/operator/v1/history";
@@ -70,13 +70,13 @@
 pub struct WaitReply {
     /// The requested version.
     pub version: u64,
-    /// Whether the leader has applied the version and every agent that may hold a lease has put it in force. Confirmed by a
-    /// proof of leadership.
+    /// Whether the leader has applied the version and every agent that may hold a lease has put it in force. Confirmed
+    /// by a proof of leadership.
     pub in_force: bool,
     /// The agents that may hold a lease and have not put the version in force.
     pub behind: Vec<AgentBehind>,
-    /// Whether the leader has led for less than the duration of a lease. Until then there may be agents that hold a lease
-    /// from its predecessor and are unknown to it, so no version is reported in force.
+    /// Whether the leader has led for less than the duration of a lease. Until then there may be agents that hold a
+    /// lease from its predecessor and are unknown to it, so no version is reported in force.
     pub settling: bool,
 }
 
@@ -116,7 +116,7 @@
     pub relays: Vec<RelayState>,
     /// The agents that these relays report.
     pub agents: Vec<AgentState>,
-    /// Back ends that agents suspect and that stay in service because of the limit on suspected back ends.
+    /// Back ends that enough agents suspect but that the limits on removal keep in service.
     pub held_back: Vec<sablehaven_types::BackendId>,
 }
 
--- a/crates/sablehaven-control/src/operator/wait.rs
+++ b/crates/sablehaven-control/src/operator/wait.rs
@@ -5,12 +5,12 @@
 use super::types::{AgentBehind, WaitReply};
 use crate::{driver::read, relays::AgentReport, server::Context};
 
-/// The maximum time between two checks. The reports must be checked also while none arrives, since the time in which an
-/// agent may hold a lease ends without a message.
+/// The maximum time between two checks. A lease may expire without any message, so the agents are also checked while no
+/// report arrives.
 const MAXIMUM_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The minimum time between two checks. A check iterates over all agents, and every agent sends a report while a version
-/// is distributed, so a check after each report would make the cost quadratic in the number of agents.
+/// The minimum time between two checks. A check iterates over all agents, and every agent sends a report while a
+/// version is distributed, so a check after each report would make the cost quadratic in the number of agents.
 const MINIMUM_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Waits until the version is in force or the timeout has passed. Returns `None` if this replica does not lead.
--- a/crates/sablehaven-control/src/peers/incoming.rs
+++ b/crates/sablehaven-control/src/peers/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that other replicas dialled: their messages go to the driver.
+//! Connections opened by other replicas: receives their messages and passes them to the driver and the other components.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,7 +6,7 @@
 
 use super::{
     introduction::{PeerConnection, PeerError},
-    payload::{PeerPayload, alive, decode},
+    payload::{PeerPayload, decode, keepalive_message},
 };
 use crate::{
     driver::Input,
@@ -14,10 +14,10 @@
     server::Context,
 };
 
-/// Time without any message after which a dialler is given up; it sends signs of life meanwhile.
-const SILENCE_LIMIT: Duration = Duration::from_secs(5);
+/// The time without any message after which a connection is closed. The other replica sends keepalives much more often.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Receives from another replica until the connection ends.
+/// Receives messages from another replica until the connection or the driver ends.
 pub(crate) async fn receive_from_peer(
     server: &Context,
     mut connection: PeerConnection,
@@ -28,17 +28,17 @@
         links: Arc::clone(&server.links),
     };
     let peer = connection.peer_address.to_string();
-    let theirs = context.introduce(&mut connection).await?;
+    let remote = context.exchange_introductions(&mut connection).await?;
     loop {
-        let received = timeout(SILENCE_LIMIT, connection.reader.receive()).await;
+        let received = timeout(SILENCE_TIMEOUT, connection.reader.receive()).await;
         let Ok(received) = received else {
-            return Err(PeerError::Silent { peer });
+            return Err(PeerError::Timeout { peer });
         };
         let received = received?;
         match decode(&received, &peer)? {
             PeerPayload::Consensus { to, message } if to == context.replica => {
                 let input = Input::Peer {
-                    from: theirs.replica,
+                    from: remote.replica,
                     group: received.group,
                     message,
                 };
@@ -46,22 +46,28 @@
                     return Ok(());
                 }
             }
-            // Meant for the replica whose disk was here before.
+            // Addressed to another identity: the one that this replica had before it lost its disk.
             PeerPayload::Consensus { .. } => {}
-            PeerPayload::Alive(_) => connection.writer.send(&alive(context, &peer)?).await?,
-            // On the next connection the leader hears which reading this replica has.
+            PeerPayload::Alive(_) => {
+                connection
+                    .writer
+                    .send(&keepalive_message(context, &peer)?)
+                    .await?
+            }
+            // The error closes the connection. The leader reconnects and learns from a keepalive which listing this
+            // replica has.
             PeerPayload::Listing(update) => {
-                if !context.listing.take(update) {
+                if !context.listing.apply(update) {
                     return Err(PeerError::ListingGap { peer });
                 }
             }
-            PeerPayload::LoanRequest(request) => loans.handle_request(theirs.replica, &request),
+            PeerPayload::LoanRequest(request) => loans.handle_request(remote.replica, &request),
             PeerPayload::TokenLoan(loan) => loans.handle_loan(&loan),
             PeerPayload::PartProbe(probe) => {
-                answer_probe(server, theirs.replica, probe).await;
+                answer_probe(server, remote.replica, probe).await;
             }
             PeerPayload::PartAnswer(answer) => {
-                handle_probe_answer(server, theirs.replica, answer).await;
+                handle_probe_answer(server, remote.replica, answer).await;
             }
             PeerPayload::Introduction(_) => {}
         }
--- a/crates/sablehaven-control/src/peers/introduction.rs
+++ b/crates/sablehaven-control/src/peers/introduction.rs
@@ -1,4 +1,4 @@
-//! What replicas tell each other before anything else, and what they remember of it.
+//! The introductions that two replicas exchange at the start of a connection, and the addresses learned from them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,84 +25,85 @@
     replicas::ReplicaAddresses,
 };
 
-/// Time for the other side's introduction.
+/// The time within which the introduction of the other replica must arrive.
 const INTRODUCTION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A connection between two control replicas.
 pub(crate) type PeerConnection = Connection<PeerMessage, PeerMessage>;
 
-/// Errors of a connection between replicas; each names the step and the peer.
+/// Errors of a connection between replicas. Each names the failed step and the peer.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub(crate) enum PeerError {
     /// {0}
     Wire(#[from] WireError),
-    /// list of servers of replica {peer}: it changes a reading that this replica does not have
+    /// server listing from replica {peer}: it changes a listing that this replica does not have
     ListingGap {
-        /// The other side.
+        /// The address of the other replica.
         peer: String,
     },
     /// message of replica {peer}: {source}
     Codec {
-        /// The other side.
+        /// The address of the other replica.
         peer: String,
         /// The cause.
         source: CodecError,
     },
     /// introduction of replica {peer}: none came in time
     NotIntroduced {
-        /// The other side.
+        /// The address of the other replica.
         peer: String,
     },
     /// introduction of replica {peer}: {reason}
     Refused {
-        /// The other side.
+        /// The address of the other replica.
         peer: String,
-        /// What does not fit.
+        /// Why the replica is refused.
         reason: String,
     },
-    /// connection to replica {peer}: no sign of life
-    Silent {
-        /// The other side.
+    /// connection to replica {peer}: timed out
+    Timeout {
+        /// The address of the other replica.
         peer: String,
     },
 }
 
-/// Who a replica is.
+/// The first message that a replica sends on a connection with another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Introduction {
     pub(crate) replica: ReplicaId,
     pub(crate) addresses: ReplicaAddresses,
     pub(crate) ledger_groups: u32,
-    /// Whether it may form a new deployment.
+    /// Whether the sender may form a new deployment.
     pub(crate) may_bootstrap: bool,
-    /// Whether it holds the log of a deployment.
+    /// Whether the sender has the log of a deployment.
     pub(crate) is_formed: bool,
-    /// The first voters, where it still holds the log's first entry. A new replica that is named
-    /// writes the same entry; its disk is the one that was named, so it has voted for nobody yet.
+    /// The first voters, if the sender still has the first entry of the log. A new replica that is one of them writes
+    /// the same entry. The set contains the identity that is stored on its disk, so the disk has not been replaced
+    /// since the set was chosen, and the replica cannot have voted before.
     pub(crate) first_voters: Option<BTreeSet<ReplicaId>>,
-    /// Internal addresses of the replicas that it knows as members: a newcomer whose settings name
-    /// only a replica that is cut off finds the others by them.
+    /// The addresses for internal connections of the members that the sender knows. If the settings of a new replica
+    /// name only a member that is disconnected from the others, it finds the others by these addresses.
     pub(crate) members: BTreeSet<SocketAddr>,
 }
 
-/// Where replicas are reached, as they last said; cheap to clone.
+/// The addresses of replicas according to their latest introductions; cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct Directory {
     own: ReplicaId,
-    known: Arc<Mutex<BTreeMap<ReplicaId, Heard>>>,
-    /// Until the shared state says as much.
+    introduced: Arc<Mutex<BTreeMap<ReplicaId, IntroducedReplica>>>,
+    /// Addresses from the stored log, kept until the shared state contains them.
     stored: Arc<Mutex<StoredAddresses>>,
 }
 
-/// What a replica said, and when.
+/// The addresses in the latest introduction of a replica.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct IntroducedReplica {
     addresses: ReplicaAddresses,
-    at: Instant,
+    introduced_at: Instant,
 }
 
 impl Directory {
-    /// A directory that holds this replica, and what its log says of the others.
+    /// Creates a directory with the addresses of this replica, and those of the others in its stored log.
     pub(crate) fn new(
         own: ReplicaId,
         addresses: ReplicaAddresses,
@@ -110,68 +111,82 @@
     ) -> Self {
         let directory = Self {
             own,
-            known: Arc::default(),
+            introduced: Arc::default(),
             stored: Arc::new(Mutex::new(stored)),
         };
         directory.record(own, addresses);
         directory
     }
 
-    /// The latest replica that introduced itself at an address is the one whose disk is there.
+    /// Records the addresses of a replica, and removes any other replica with the same address for internal
+    /// connections: after the loss of a disk a replica has a new identity at the old address, so only the latest
+    /// introduction at an address is valid.
     fn record(&self, replica: ReplicaId, addresses: ReplicaAddresses) {
-        let at = Instant::now();
-        let mut known = self.lock();
-        known.retain(|other, heard| {
+        let introduced_at = Instant::now();
+        let mut introduced = self.lock();
+        introduced.retain(|other, entry| {
             *other == replica
                 || *other == self.own
-                || heard.addresses.internal != addresses.internal
+                || entry.addresses.internal != addresses.internal
         });
-        known.insert(replica, Heard { addresses, at });
+        introduced.insert(
+            replica,
+            IntroducedReplica {
+                addresses,
+                introduced_at,
+            },
+        );
     }
 
-    /// Every other replica that has introduced itself, the latest at each address.
+    /// The other replicas that have introduced themselves; at each address only the latest one.
     pub(crate) fn others(&self) -> BTreeMap<ReplicaId, ReplicaAddresses> {
-        let known = self.lock();
-        let others = known.iter().filter(|(replica, _)| **replica != self.own);
+        let introduced = self.lock();
+        let others = introduced
+            .iter()
+            .filter(|(replica, _)| **replica != self.own);
         others
-            .map(|(replica, heard)| (*replica, heard.addresses))
+            .map(|(replica, entry)| (*replica, entry.addresses))
             .collect()
     }
 
+    /// The addresses of a replica that has introduced itself, or of this one.
     pub(crate) fn addresses(&self, replica: ReplicaId) -> Option<ReplicaAddresses> {
-        self.lock().get(&replica).map(|heard| heard.addresses)
+        self.lock().get(&replica).map(|entry| entry.addresses)
     }
 
-    /// The other replicas that introduced themselves within a time.
-    pub(crate) fn heard_within(&self, time: Duration) -> BTreeMap<ReplicaId, SocketAddr> {
-        let known = self.lock();
-        let recent = known
-            .iter()
-            .filter(|(replica, heard)| **replica != self.own && heard.at.elapsed() < time);
+    /// The other replicas that have introduced themselves within the last `period`.
+    pub(crate) fn introduced_within(&self, period: Duration) -> BTreeMap<ReplicaId, SocketAddr> {
+        let introduced = self.lock();
+        let recent = introduced.iter().filter(|(replica, entry)| {
+            **replica != self.own && entry.introduced_at.elapsed() < period
+        });
         recent
-            .map(|(replica, heard)| (*replica, heard.addresses.internal))
+            .map(|(replica, entry)| (*replica, entry.addresses.internal))
             .collect()
     }
 
-    /// What the log says of the others, as long as the shared state does not say it.
+    /// The addresses from the stored log; empty once the shared state contains them.
     pub(crate) fn stored(&self) -> BTreeMap<ReplicaId, SocketAddr> {
         lock(&self.stored).internal.clone()
     }
 
-    /// The shared state stands at an entry now.
-    pub(crate) fn applied(&self, index: u64) {
+    /// Records that the shared state has applied the entry at `index`. Once it has applied the whole stored log, the
+    /// addresses from that log are removed.
+    pub(crate) fn record_applied(&self, index: u64) {
         let mut stored = lock(&self.stored);
         if index >= stored.last_index {
             stored.internal.clear();
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<ReplicaId, Heard>> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<ReplicaId, IntroducedReplica>> {
+        self.introduced
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What connections between replicas need to know of their own.
+/// The state of this replica that its connections with other replicas use.
 pub(crate) struct PeerContext {
     pub(crate) config: Arc<Config>,
     pub(crate) replica: ReplicaId,
@@ -180,9 +195,9 @@
     pub(crate) driver: DriverHandle,
     pub(super) listing: PeerListing,
     state: SharedStateHandle,
-    /// The addresses to dial that the settings name; they may change while the process runs.
+    /// The addresses to connect to according to the settings, which may change while the process runs.
     configured: Mutex<BTreeSet<SocketAddr>>,
-    /// Addresses of members that other replicas told of.
+    /// The addresses of members according to the introductions of other replicas.
     learned: Mutex<BTreeSet<SocketAddr>>,
 }
 
@@ -210,17 +225,17 @@
         }
     }
 
-    /// Takes other addresses to dial in place of those of the settings.
+    /// Replaces the configured addresses.
     pub(crate) fn set_configured(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let addresses = addresses
             .into_iter()
-            .filter(|each| *each != self.addresses.internal);
+            .filter(|address| *address != self.addresses.internal);
         *lock(&self.configured) = addresses.collect();
     }
 
-    /// The addresses to dial that the settings name, and those that others told of while this
-    /// replica is no member and so cannot know them from the log.
-    pub(crate) fn addresses_to_dial(&self) -> BTreeSet<SocketAddr> {
+    /// The configured addresses and, while this replica is not a member and so cannot know the members from the log,
+    /// those that other replicas have sent.
+    pub(crate) fn peer_addresses(&self) -> BTreeSet<SocketAddr> {
         let mut addresses = lock(&self.configured).clone();
         let is_member = read(&self.state, |state| {
             state.replicas().replicas().contains_key(&self.replica)
@@ -232,12 +247,14 @@
         addresses
     }
 
-    fn learn(&self, members: &BTreeSet<SocketAddr>) {
+    /// Adds the addresses of members from another replica's introduction.
+    fn add_learned_addresses(&self, members: &BTreeSet<SocketAddr>) {
         if !members.is_empty() {
             lock(&self.learned).extend(members);
         }
     }
 
+    /// The addresses for internal connections of the members that this replica knows.
     fn members(&self) -> BTreeSet<SocketAddr> {
         read(&self.state, |state| {
             let members = state.replicas().replicas().values();
@@ -245,6 +262,7 @@
         })
     }
 
+    /// The message that opens a connection.
     pub(crate) fn hello(&self) -> Hello {
         Hello {
             protocol_version: PROTOCOL_VERSION,
@@ -254,7 +272,7 @@
         }
     }
 
-    /// Who this replica is now; `None` when its driver has ended.
+    /// The current introduction of this replica, or `None` if its driver has ended.
     pub(crate) async fn introduction(&self) -> Option<Introduction> {
         let status = self.driver.status().await?;
         let shared = &status.groups.first()?.replica;
@@ -274,8 +292,8 @@
         })
     }
 
-    /// Sends this replica's introduction and takes the other's.
-    pub(crate) async fn introduce(
+    /// Sends this replica's introduction and receives that of the other one.
+    pub(crate) async fn exchange_introductions(
         &self,
         connection: &mut PeerConnection,
     ) -> Result<Introduction, PeerError> {
@@ -291,28 +309,29 @@
             return Err(not_introduced);
         };
         match decode(&received?, &peer)? {
-            PeerPayload::Introduction(theirs) => self.check(theirs, &peer),
+            PeerPayload::Introduction(remote) => self.accept(remote, &peer),
             _ => Err(not_introduced),
         }
     }
 
-    fn check(&self, theirs: Introduction, peer: &str) -> Result<Introduction, PeerError> {
+    /// Checks the introduction of another replica and records its addresses.
+    fn accept(&self, remote: Introduction, peer: &str) -> Result<Introduction, PeerError> {
         let refuse = |reason: String| {
             let peer = peer.to_owned();
             Err(PeerError::Refused { peer, reason })
         };
-        if theirs.replica == self.replica {
+        if remote.replica == self.replica {
             return refuse("it is this replica itself".to_owned());
         }
-        if theirs.ledger_groups != self.config.ledger_groups {
+        if remote.ledger_groups != self.config.ledger_groups {
             return refuse(format!(
                 "it has {} ledger groups, this replica has {}",
-                theirs.ledger_groups, self.config.ledger_groups
+                remote.ledger_groups, self.config.ledger_groups
             ));
         }
-        self.directory.record(theirs.replica, theirs.addresses);
-        self.learn(&theirs.members);
-        Ok(theirs)
+        self.directory.record(remote.replica, remote.addresses);
+        self.add_learned_addresses(&remote.members);
+        Ok(remote)
     }
 }
 
@@ -320,8 +339,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Dials a replica and exchanges introductions.
-pub(crate) async fn dial(
+/// Connects to a replica and exchanges introductions.
+pub(crate) async fn connect(
     context: &PeerContext,
     address: SocketAddr,
 ) -> Result<(PeerConnection, Introduction), PeerError> {
@@ -332,15 +351,15 @@
         Role::Control,
     )
     .await?;
-    let theirs = context.introduce(&mut connection).await?;
-    Ok((connection, theirs))
+    let remote = context.exchange_introductions(&mut connection).await?;
+    Ok((connection, remote))
 }
 
-/// Asks who listens at an address.
+/// Connects to an address only to receive the introduction of the replica that listens there.
 pub(crate) async fn probe(
     context: &PeerContext,
     address: SocketAddr,
 ) -> Result<Introduction, PeerError> {
-    let (_, introduction) = dial(context, address).await?;
+    let (_, introduction) = connect(context, address).await?;
     Ok(introduction)
 }
--- a/crates/sablehaven-control/src/peers/link.rs
+++ b/crates/sablehaven-control/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! One outgoing connection to another replica, kept up for as long as it is wanted.
+//! One outgoing connection to another replica, reopened after each failure.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,30 +10,31 @@
 };
 
 use super::{
-    introduction::{PeerContext, PeerError, dial},
+    introduction::{PeerContext, PeerError, connect},
     links::Links,
-    payload::{PeerPayload, alive, decode, encode, listing},
+    payload::{PeerPayload, decode, encode, keepalive_message, listing_message},
 };
 
-/// Pause before a lost connection is dialled again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two signs of life.
-const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without a sign of life after which a connection is dialled anew. A connection that a
-/// network silently cut would otherwise be held by the kernel for many minutes.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
-/// Time that one write may take.
+/// The delay before a lost connection is reopened.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Time between two keepalives.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// The time without any message after which a connection is closed and reopened. If the network drops packets without
+/// an error, the kernel would otherwise keep the connection open for many minutes.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum time of one write.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is on its way out.
+/// A message to send.
 #[derive(Debug)]
 pub(super) struct Outgoing {
+    /// The consensus group, or [`NO_GROUP`](super::payload::NO_GROUP).
     pub(super) group: u32,
     pub(super) payload: PeerPayload,
 }
 
-/// Keeps a connection to `address` up and sends on it what the queue holds.
-pub(super) async fn keep_link(
+/// Keeps a connection to `address` open and sends the queued messages on it, until the future is dropped.
+pub(super) async fn maintain_link(
     context: Arc<PeerContext>,
     links: Arc<Links>,
     address: SocketAddr,
@@ -42,61 +43,64 @@
 ) {
     let mut patience = DialPatience::default();
     loop {
-        let Some(dialled) = patience.attempt(dial(&context, address)).await else {
+        let Some(connected) = patience.attempt(connect(&context, address)).await else {
             continue;
         };
-        // Failures are routine here (the other side is down) and show in the status page.
-        if let Ok((connection, theirs)) = dialled {
-            // What waited for the last connection is stale; the replicas send it again.
+        // Errors are not logged: they are expected while the other replica is down, and `status` shows them.
+        if let Ok((connection, remote)) = connected {
+            // Messages queued for the previous connection are stale; the replicas send them again.
             while queue.try_recv().is_ok() {}
-            links.add_route(address, theirs.replica, sender.clone());
+            links.set_up(address, remote.replica, sender.clone());
             let reader = connection.reader;
             let writer = connection.writer;
-            let pump = Pump {
+            let connection = OpenConnection {
                 context: Arc::clone(&context),
-                listing: None,
+                remote_listing: None,
                 peer: address.to_string(),
-                last_sign: Instant::now(),
+                last_received_at: Instant::now(),
             };
-            let _ = pump.run(reader, writer, &mut queue).await;
+            let _ = connection.run(reader, writer, &mut queue).await;
             links.set_down(address);
         }
-        sleep(RECONNECT_PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-struct Pump {
+/// The state of a connection while it is open.
+struct OpenConnection {
     context: Arc<PeerContext>,
-    /// The reading of the list that the other side has, once it has said so.
-    listing: Option<ListingNumber>,
+    /// The number of the listing that the other replica has; `None` until its first keepalive.
+    remote_listing: Option<ListingNumber>,
+    /// The address of the other replica, for error messages.
     peer: String,
-    last_sign: Instant,
+    last_received_at: Instant,
 }
 
-impl Pump {
+impl OpenConnection {
+    /// Sends queued messages, keepalives and listing updates until the connection fails.
     async fn run(
         mut self,
         mut reader: FrameReader<PeerMessage>,
         mut writer: FrameWriter<PeerMessage>,
         queue: &mut mpsc::Receiver<Outgoing>,
     ) -> Result<(), PeerError> {
-        let mut ticker = interval(ALIVE_INTERVAL);
+        let mut ticker = interval(KEEPALIVE_INTERVAL);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut changes = self.context.listing.changes();
         loop {
             tokio::select! {
                 received = reader.receive() => {
-                    self.last_sign = Instant::now();
-                    self.take(&received?)?;
+                    self.last_received_at = Instant::now();
+                    self.handle(&received?)?;
                     self.send_listing(&mut writer).await?;
                 }
                 Ok(()) = changes.changed() => self.send_listing(&mut writer).await?,
                 _ = ticker.tick() => {
-                    if self.last_sign.elapsed() > SILENCE_LIMIT {
-                        return Err(PeerError::Silent { peer: self.peer });
+                    if self.last_received_at.elapsed() > SILENCE_TIMEOUT {
+                        return Err(PeerError::Timeout { peer: self.peer });
                     }
-                    let sign = alive(&self.context, &self.peer)?;
-                    self.within_limit(writer.send(&sign)).await?;
+                    let keepalive = keepalive_message(&self.context, &self.peer)?;
+                    self.with_timeout(writer.send(&keepalive)).await?;
                 }
                 Some(first) = queue.recv() => {
                     self.send_queued(first, &mut writer, queue).await?;
@@ -105,32 +109,33 @@
         }
     }
 
-    /// Notes which reading of the list the other side has.
-    fn take(&mut self, received: &PeerMessage) -> Result<(), PeerError> {
-        if let PeerPayload::Alive(said) = decode(received, &self.peer)? {
-            let known = self.listing.unwrap_or_default();
-            self.listing = Some(known.max(said));
+    /// Records which listing the other replica has. A keepalive may have been sent before the latest update arrived, so
+    /// an older listing is ignored.
+    fn handle(&mut self, received: &PeerMessage) -> Result<(), PeerError> {
+        if let PeerPayload::Alive(number) = decode(received, &self.peer)? {
+            let known = self.remote_listing.unwrap_or_default();
+            self.remote_listing = Some(known.max(number));
         }
         Ok(())
     }
 
-    /// Sends the leader's reading where the other side is known to lack it.
+    /// Sends the latest listing if this replica leads and the other one is known to lack it.
     async fn send_listing(
         &mut self,
         writer: &mut FrameWriter<PeerMessage>,
     ) -> Result<(), PeerError> {
-        let Some(held) = self.listing else {
+        let Some(remote_listing) = self.remote_listing else {
             return Ok(());
         };
-        let Some((number, update)) = self.context.listing.update_from(held) else {
+        let Some((number, update)) = self.context.listing.update_from(remote_listing) else {
             return Ok(());
         };
-        self.listing = Some(number);
-        let message = listing(update, &self.peer)?;
-        self.within_limit(writer.send(&message)).await
+        self.remote_listing = Some(number);
+        let message = listing_message(update, &self.peer)?;
+        self.with_timeout(writer.send(&message)).await
     }
 
-    /// Sends everything that is queued with one flush.
+    /// Sends all queued messages with one flush.
     async fn send_queued(
         &self,
         first: Outgoing,
@@ -140,19 +145,20 @@
         let mut next = Some(first);
         while let Some(outgoing) = next {
             let message = encode(outgoing.group, &outgoing.payload, &self.peer)?;
-            self.within_limit(writer.feed(&message)).await?;
+            self.with_timeout(writer.feed(&message)).await?;
             next = queue.try_recv().ok();
         }
-        self.within_limit(writer.flush()).await
+        self.with_timeout(writer.flush()).await
     }
 
-    async fn within_limit(
+    /// Fails a write that takes longer than [`SEND_TIMEOUT`].
+    async fn with_timeout(
         &self,
         send: impl Future<Output = Result<(), sablehaven_wire::WireError>>,
     ) -> Result<(), PeerError> {
         match timeout(SEND_TIMEOUT, send).await {
             Ok(result) => Ok(result?),
-            Err(_) => Err(PeerError::Silent {
+            Err(_) => Err(PeerError::Timeout {
                 peer: self.peer.clone(),
             }),
         }
--- a/crates/sablehaven-control/src/peers/links.rs
+++ b/crates/sablehaven-control/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! The outgoing connections of this replica, by the replica that answers at each.
+//! The outgoing connections of this replica to the other replicas.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,7 +11,7 @@
 
 use super::{
     introduction::PeerContext,
-    link::{Outgoing, keep_link},
+    link::{Outgoing, maintain_link},
     payload::{NO_GROUP, PeerPayload},
 };
 use crate::{
@@ -19,22 +19,25 @@
     metrics::Metrics,
 };
 
-/// Messages that may wait for one connection; more are dropped, and the replicas send them again.
-const QUEUE: usize = 4_096;
+/// The capacity of the message queue of one connection. Messages beyond it are dropped; the replicas send them again.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// Time between two looks at which connections are wanted.
+/// The interval at which the set of wanted connections is updated.
 const REVIEW_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// Time for which a replica that dialled this one is dialled back.
-const HEARD_LIMIT: std::time::Duration = std::time::Duration::from_secs(60);
+/// How long after another replica's latest introduction this one connects back to it.
+const CONNECT_BACK_PERIOD: std::time::Duration = std::time::Duration::from_secs(60);
 
 /// The outgoing connections.
 pub(crate) struct Links {
-    routes: RwLock<BTreeMap<SocketAddr, Route>>,
+    /// The last connection to each address, whether or not it is still up.
+    links: RwLock<BTreeMap<SocketAddr, Link>>,
     metrics: Metrics,
 }
 
-struct Route {
+/// A connection to an address.
+struct Link {
+    /// The replica that answered at the address.
     replica: ReplicaId,
     sender: mpsc::Sender<Outgoing>,
     is_up: bool,
@@ -43,93 +46,104 @@
 impl Links {
     pub(crate) fn new(metrics: Metrics) -> Self {
         Self {
-            routes: RwLock::new(BTreeMap::new()),
+            links: RwLock::new(BTreeMap::new()),
             metrics,
         }
     }
 
-    /// Hands a message to a connection of the replica, or drops it: consensus allows for loss.
+    /// Queues a consensus message on a connection to the replica, or drops it if none is up or the queue is full.
+    /// Consensus tolerates the loss.
     pub(crate) fn send(&self, to: ReplicaId, group: u32, message: Message) {
         let payload = PeerPayload::Consensus { to, message };
-        if self.hand_over(to, Outgoing { group, payload }) {
+        if self.enqueue(to, Outgoing { group, payload }) {
             self.metrics.peer_messages_sent.inc();
         } else {
             self.metrics.peer_messages_dropped.inc();
         }
     }
 
-    /// Hands what belongs to no group to a connection of the replica, or drops it.
+    /// Queues a payload that belongs to no consensus group on a connection to the replica, or drops it.
     pub(crate) fn send_payload(&self, to: ReplicaId, payload: PeerPayload) {
         let group = NO_GROUP;
-        self.hand_over(to, Outgoing { group, payload });
+        self.enqueue(to, Outgoing { group, payload });
     }
 
-    fn hand_over(&self, to: ReplicaId, outgoing: Outgoing) -> bool {
-        let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
-        let mut up = routes.values().filter(|route| route.is_up);
-        up.find(|route| route.replica == to)
-            .is_some_and(|route| route.sender.try_send(outgoing).is_ok())
+    /// Queues a message; returns false if no connection is up or the queue is full.
+    fn enqueue(&self, to: ReplicaId, outgoing: Outgoing) -> bool {
+        let links = self.links.read().unwrap_or_else(PoisonError::into_inner);
+        let mut up = links.values().filter(|link| link.is_up);
+        up.find(|link| link.replica == to)
+            .is_some_and(|link| link.sender.try_send(outgoing).is_ok())
     }
 
-    /// The replicas to which a connection is up.
+    /// The replicas to which a connection is up, each once.
     pub(crate) fn connected(&self) -> Vec<ReplicaId> {
-        let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
-        let up = routes.values().filter(|route| route.is_up);
-        let replicas: BTreeSet<ReplicaId> = up.map(|route| route.replica).collect();
+        let links = self.links.read().unwrap_or_else(PoisonError::into_inner);
+        let up = links.values().filter(|link| link.is_up);
+        let replicas: BTreeSet<ReplicaId> = up.map(|link| link.replica).collect();
         replicas.into_iter().collect()
     }
 
     /// Whether a connection to the replica is up.
     pub(crate) fn is_connected(&self, replica: ReplicaId) -> bool {
-        let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
-        let mut routes = routes.values();
-        routes.any(|route| route.is_up && route.replica == replica)
+        let links = self.links.read().unwrap_or_else(PoisonError::into_inner);
+        let mut links = links.values();
+        links.any(|link| link.is_up && link.replica == replica)
     }
 
-    pub(super) fn add_route(
+    /// Records that a connection is up.
+    pub(super) fn set_up(
         &self,
         address: SocketAddr,
         replica: ReplicaId,
         sender: mpsc::Sender<Outgoing>,
     ) {
-        let route = Route {
+        let link = Link {
             replica,
             sender,
             is_up: true,
         };
-        let mut routes = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-        routes.insert(address, route);
+        let mut links = self.links.write().unwrap_or_else(PoisonError::into_inner);
+        links.insert(address, link);
     }
 
+    /// Records that a connection has ended.
     pub(super) fn set_down(&self, address: SocketAddr) {
-        let mut routes = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-        if let Some(route) = routes.get_mut(&address) {
-            route.is_up = false;
+        let mut links = self.links.write().unwrap_or_else(PoisonError::into_inner);
+        if let Some(link) = links.get_mut(&address) {
+            link.is_up = false;
         }
     }
 
     fn remove(&self, address: SocketAddr) {
-        let mut routes = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-        routes.remove(&address);
-    }
-
-    /// The addresses to dial: the configured ones, and for replicas that no configured address leads
-    /// to, those of the shared state, of the log, and of replicas that dialled this one. The last are
-    /// needed by a new replica: it cannot answer a leader that its settings do not name, and learns
-    /// the shared state only by answering.
-    fn wanted(&self, context: &PeerContext, state: &SharedStateHandle) -> BTreeSet<SocketAddr> {
-        let mut wanted = context.addresses_to_dial();
+        let mut links = self.links.write().unwrap_or_else(PoisonError::into_inner);
+        links.remove(&address);
+    }
+
+    /// The addresses to connect to.
+    ///
+    /// These are the configured addresses and, for replicas that are not reached at any of them, the addresses from the
+    /// shared state, from the stored log, and from the introductions of replicas that connected to this one. A new
+    /// replica needs the addresses from introductions: without them it cannot answer a leader that its settings do not
+    /// name, and it receives the shared state only after it has answered. Connections that are up to any other replica
+    /// stay open.
+    fn wanted_addresses(
+        &self,
+        context: &PeerContext,
+        state: &SharedStateHandle,
+    ) -> BTreeSet<SocketAddr> {
+        let mut wanted = context.peer_addresses();
         let mut reached = self.replicas_at(&wanted);
         reached.insert(context.replica);
-        let recorded = read(state, |state| state.replicas().replicas().clone());
-        for (replica, addresses) in recorded {
+        let members = read(state, |state| state.replicas().replicas().clone());
+        for (replica, addresses) in members {
             if reached.insert(replica) {
                 wanted.insert(addresses.internal);
             }
         }
         let stored = context.directory.stored();
-        let heard = context.directory.heard_within(HEARD_LIMIT);
-        for (replica, address) in stored.into_iter().chain(heard) {
+        let introduced = context.directory.introduced_within(CONNECT_BACK_PERIOD);
+        for (replica, address) in stored.into_iter().chain(introduced) {
             if reached.insert(replica) {
                 wanted.insert(address);
             }
@@ -138,25 +152,25 @@
         wanted
     }
 
-    /// The replicas that answered last at these addresses.
+    /// The replicas that last answered at these addresses.
     fn replicas_at(&self, addresses: &BTreeSet<SocketAddr>) -> BTreeSet<ReplicaId> {
-        let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
-        let known = addresses.iter().filter_map(|address| routes.get(address));
-        known.map(|route| route.replica).collect()
+        let links = self.links.read().unwrap_or_else(PoisonError::into_inner);
+        let known = addresses.iter().filter_map(|address| links.get(address));
+        known.map(|link| link.replica).collect()
     }
 
-    /// Connections that are up and lead to none of these replicas.
+    /// The addresses of connections that are up and lead to none of these replicas.
     fn up_to_others(&self, reached: &BTreeSet<ReplicaId>) -> Vec<SocketAddr> {
-        let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
-        let others = routes
+        let links = self.links.read().unwrap_or_else(PoisonError::into_inner);
+        let others = links
             .iter()
-            .filter(|(_, route)| route.is_up && !reached.contains(&route.replica));
+            .filter(|(_, link)| link.is_up && !reached.contains(&link.replica));
         others.map(|(address, _)| *address).collect()
     }
 }
 
-/// Keeps the wanted connections up until it is dropped.
-pub(crate) async fn keep_links(
+/// Keeps the wanted connections open until the future is dropped.
+pub(crate) async fn maintain_links(
     context: Arc<PeerContext>,
     links: Arc<Links>,
     state: SharedStateHandle,
@@ -165,32 +179,39 @@
     let mut ticker = interval(REVIEW_INTERVAL);
     loop {
         ticker.tick().await;
-        let wanted = links.wanted(&context, &state);
-        tasks.drop_unwanted(&wanted, &links);
+        let wanted = links.wanted_addresses(&context, &state);
+        tasks.abort_unwanted(&wanted, &links);
         for address in wanted {
-            tasks.ensure(address, &context, &links);
+            tasks.ensure_running(address, &context, &links);
         }
     }
 }
 
-/// The tasks of the connections; ends them all when it is dropped.
+/// The tasks of the connections, by address; aborts all of them when dropped.
 #[derive(Default)]
 struct Tasks {
     running: BTreeMap<SocketAddr, AbortHandle>,
 }
 
 impl Tasks {
-    fn ensure(&mut self, address: SocketAddr, context: &Arc<PeerContext>, links: &Arc<Links>) {
+    /// Starts the task of a connection if it is not running.
+    fn ensure_running(
+        &mut self,
+        address: SocketAddr,
+        context: &Arc<PeerContext>,
+        links: &Arc<Links>,
+    ) {
         if self.running.contains_key(&address) {
             return;
         }
-        let (sender, queue) = mpsc::channel(QUEUE);
+        let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
         let (context, links) = (Arc::clone(context), Arc::clone(links));
-        let task = tokio::spawn(keep_link(context, links, address, queue, sender));
+        let task = tokio::spawn(maintain_link(context, links, address, queue, sender));
         self.running.insert(address, task.abort_handle());
     }
 
-    fn drop_unwanted(&mut self, wanted: &BTreeSet<SocketAddr>, links: &Links) {
+    /// Aborts the tasks of the connections that are no longer wanted.
+    fn abort_unwanted(&mut self, wanted: &BTreeSet<SocketAddr>, links: &Links) {
         self.running.retain(|address, task| {
             let is_wanted = wanted.contains(address);
             if !is_wanted {
--- a/crates/sablehaven-control/src/peers/listing.rs
+++ b/crates/sablehaven-control/src/peers/listing.rs
@@ -1,5 +1,5 @@
-//! The platform's list of servers between replicas: the leader sends its readings to the others, so that each gateway
-//! has a replica near it that has the list, and so that the next leader goes on from the same reading.
+//! Distribution of the platform's server listing between replicas. The leader sends each listing to the other replicas,
+//! so that every gateway can get it from a replica near it, and so that the next leader continues from it.
 
 use std::sync::Arc;
 
@@ -8,25 +8,26 @@
 
 use crate::{driver::PublishedState, gateways::Gateways};
 
-/// A replica's reading of the list, as the connections between replicas need it.
+/// Access to this replica's listing for the connections with other replicas.
 pub(crate) struct PeerListing {
     pub(crate) gateways: Arc<Gateways>,
     pub(crate) published: watch::Receiver<PublishedState>,
 }
 
 impl PeerListing {
-    /// The latest reading that this replica has.
-    pub(super) fn number(&self) -> ListingNumber {
+    /// The number of the latest listing that this replica has.
+    pub(super) fn listing_number(&self) -> ListingNumber {
         self.gateways.listing_number()
     }
 
-    /// Changes with each reading.
+    /// A receiver that is notified of each new listing.
     pub(super) fn changes(&self) -> watch::Receiver<Arc<ServerListing>> {
         self.gateways.listing()
     }
 
-    /// What is to be sent to a replica that has the reading `held`, with the reading that it leads to. Only the leader
-    /// sends: what the others have came from it.
+    /// Returns the update that brings another replica from the listing numbered `held` to the latest one, and the
+    /// number of the latest one. Returns `None` if the other replica has the latest listing, or if this one does not
+    /// lead: only the leader sends listings, since the other replicas have received theirs from a leader.
     pub(super) fn update_from(
         &self,
         held: ListingNumber,
@@ -37,8 +38,8 @@
         self.gateways.listing_update(held)
     }
 
-    /// Takes what a leader has sent; `false` where it changes a reading that this replica does not have.
-    pub(super) fn take(&self, update: ListingUpdate) -> bool {
+    /// Applies an update from a leader. Returns false if it is a change to a listing that this replica does not have.
+    pub(super) fn apply(&self, update: ListingUpdate) -> bool {
         self.gateways.apply_listing_update(update)
     }
 }
--- a/crates/sablehaven-control/src/peers/payload.rs
+++ b/crates/sablehaven-control/src/peers/payload.rs
@@ -1,4 +1,4 @@
-//! What control replicas send each other, and how it is encoded.
+//! The messages between control replicas, and their encoding.
 
 use sablehaven_consensus::{Message, ReplicaId};
 use sablehaven_types::{ListingNumber, ListingUpdate, LoanRequest, TokenLoan};
@@ -11,56 +11,57 @@
     quotas::ProbeNumber,
 };
 
-/// Introductions and signs of life belong to no consensus group.
+/// The group number of messages that belong to no consensus group: all but [`PeerPayload::Consensus`].
 pub(super) const NO_GROUP: u32 = u32::MAX;
 
-/// What replicas send each other.
+/// A message between control replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerPayload {
     /// The first message in each direction.
     Introduction(Introduction),
     /// A consensus message of the group in [`PeerMessage::group`].
     Consensus {
-        /// The replica that it is for; another one must not take it as its own.
+        /// The recipient. A replica discards a message for another identity, such as the one that it had before it lost
+        /// its disk.
         to: ReplicaId,
         message: Message,
     },
-    /// A sign of life, answered by one; with the sender's reading of the list of servers.
+    /// A keepalive, answered with another one. Contains the number of the sender's server listing.
     Alive(ListingNumber),
-    /// The leader's reading of the list of servers.
+    /// An update to the leader's server listing.
     Listing(ListingUpdate),
-    /// The sender's part of a tenant's quota is used up.
+    /// A request for tokens, since the sender has used up its part of a tenant's quota.
     LoanRequest(LoanRequest),
-    /// Tokens of the sender's part, for the receiver's.
+    /// Tokens that move from the sender's part of a tenant's quota to the recipient's.
     TokenLoan(TokenLoan),
-    /// The sender asks whether it may keep its part of the quotas.
+    /// A request to renew the lease on the sender's part of the quotas.
     PartProbe(PartProbe),
-    /// Answers [`PeerPayload::PartProbe`].
+    /// The answer to [`PeerPayload::PartProbe`].
     PartAnswer(PartAnswer),
 }
 
-/// A replica asks whether it may keep its part of the quotas.
+/// A request to renew the lease on the sender's part of the quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PartProbe {
     pub(crate) number: ProbeNumber,
-    /// Whether it holds none now.
+    /// Whether the sender has no lease now.
     pub(crate) is_urgent: bool,
 }
 
-/// An answer to [`PartProbe`].
+/// The answer to a [`PartProbe`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PartAnswer {
-    /// The sender has proven since the question came that it leads.
+    /// The sender leads, and has proved this since the probe arrived.
     Granted { number: ProbeNumber },
-    /// The sender hears no leader.
+    /// The sender does not lead and has not heard from a leader for an election timeout.
     Leaderless {
         number: ProbeNumber,
-        /// Where the members of which it speaks stand in the log.
+        /// The log index of the membership for which the sender states this.
         membership_index: u64,
     },
 }
 
-/// Encodes a payload for a group.
+/// Encodes a payload that belongs to a group.
 pub(crate) fn encode(
     group: u32,
     payload: &PeerPayload,
@@ -74,17 +75,21 @@
     })
 }
 
-/// A sign of life.
-pub(super) fn alive(context: &PeerContext, peer: &str) -> Result<PeerMessage, PeerError> {
-    let alive = PeerPayload::Alive(context.listing.number());
-    encode(NO_GROUP, &alive, peer)
+/// Encodes a keepalive.
+pub(super) fn keepalive_message(
+    context: &PeerContext,
+    peer: &str,
+) -> Result<PeerMessage, PeerError> {
+    let keepalive = PeerPayload::Alive(context.listing.listing_number());
+    encode(NO_GROUP, &keepalive, peer)
 }
 
-/// A reading of the list of servers.
-pub(super) fn listing(update: ListingUpdate, peer: &str) -> Result<PeerMessage, PeerError> {
+/// Encodes an update of the server listing.
+pub(super) fn listing_message(update: ListingUpdate, peer: &str) -> Result<PeerMessage, PeerError> {
     encode(NO_GROUP, &PeerPayload::Listing(update), peer)
 }
 
+/// Decodes the payload of a message from `peer`.
 pub(crate) fn decode(message: &PeerMessage, peer: &str) -> Result<PeerPayload, PeerError> {
     let decoded = codec::decode("decode message between replicas", &message.payload);
     decoded.map_err(|source| codec_error(peer, source))
--- a/crates/sablehaven-control/src/relays/mod.rs
+++ b/crates/sablehaven-control/src/relays/mod.rs
@@ -1,4 +1,5 @@
-//! Connections of relays: updates, proofs of leadership, ledger calls, and what relays report.
+//! The connections of relays, which carry updates of the shared state, proofs of leadership, ledger calls and reports,
+//! and a registry of the connected relays and their agents.
 
 mod registry;
 mod session;
--- a/crates/sablehaven-control/src/relays/session.rs
+++ b/crates/sablehaven-control/src/relays/session.rs
@@ -1,4 +1,4 @@
-//! One connection of a relay.
+//! The connection of one relay, from its start to its end.
 
 use std::{
     sync::Arc,
@@ -22,33 +22,34 @@
     server::Context,
 };
 
-/// A relay asks for proofs all the time; one that is silent for so long is gone.
-const SILENCE_LIMIT: Duration = Duration::from_secs(30);
+/// The time without any message after which a connection is closed. A relay requests proofs continually, so one that is
+/// silent for this long is gone.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time that one write may take.
+/// The maximum time of one write.
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time that a relay gets to connect elsewhere when this replica stops.
-const GO_AWAY_LIMIT: Duration = Duration::from_secs(2);
+/// The time that a relay has to connect to another replica when this one stops.
+const GO_AWAY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Errors of a relay's connection.
+/// Why a relay's connection ended.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub(crate) enum SessionError {
     /// {0}
     Wire(#[from] WireError),
-    /// connection of relay {peer}: no message in time
-    Silent {
-        /// The relay.
+    /// relay {peer} sent no message within the timeout
+    ReceiveTimeout {
+        /// The address of the relay.
         peer: String,
     },
-    /// send to relay {peer}: not taken in time
-    Slow {
-        /// The relay.
+    /// sending to relay {peer} timed out
+    SendTimeout {
+        /// The address of the relay.
         peer: String,
     },
-    /// connection of relay {peer}: this replica stops
+    /// connection of relay {peer}: this replica is stopping
     Stopped {
-        /// The relay.
+        /// The address of the relay.
         peer: String,
     },
 }
@@ -63,14 +64,14 @@
     context.metrics.relays.inc();
     let (outgoing, queue) = mpsc::unbounded_channel();
     let (ledger_replies, replies) = mpsc::unbounded_channel();
-    let (watched, watch) = watch::channel(None);
+    let (revision_sender, watched_revision) = watch::channel(None);
     let reader = Reader {
         context: Arc::clone(&context),
         id,
         peer: address.to_string(),
         outgoing,
         ledger_replies,
-        watched,
+        revision_sender,
     };
     let writer = Writer {
         published: context.published.clone(),
@@ -79,10 +80,10 @@
         writer: connection.writer,
         queue,
         replies,
-        watch,
+        watched_revision,
         sent_revision: None,
     };
-    // A connection that ends is routine: the relay dials again.
+    // Errors are not logged: a relay may disconnect at any time, and it connects again.
     tokio::select! {
         _ = reader.run(connection.reader) => {}
         _ = writer.run() => {}
@@ -91,63 +92,67 @@
     context.metrics.relays.dec();
 }
 
-/// Takes what the relay sends.
+/// Receives and handles the messages of the relay.
 struct Reader {
     context: Arc<Context>,
     id: SessionId,
     peer: String,
     outgoing: mpsc::UnboundedSender<ControlToRelay>,
     ledger_replies: LedgerReplies,
-    watched: watch::Sender<Option<u64>>,
+    /// Passes the revision that the relay has to the writer.
+    revision_sender: watch::Sender<Option<u64>>,
 }
 
 impl Reader {
+    /// Handles messages until the connection fails.
     async fn run(self, mut reader: FrameReader<RelayToControl>) -> Result<(), SessionError> {
         loop {
-            let received = timeout(SILENCE_LIMIT, reader.receive()).await;
+            let received = timeout(SILENCE_TIMEOUT, reader.receive()).await;
             let Ok(received) = received else {
-                return Err(SessionError::Silent { peer: self.peer });
+                return Err(SessionError::ReceiveTimeout { peer: self.peer });
             };
-            self.take(received?).await;
+            self.handle(received?).await;
         }
     }
 
-    async fn take(&self, message: RelayToControl) {
+    async fn handle(&self, message: RelayToControl) {
         match message {
             RelayToControl::Watch { relay, revision } => {
-                self.context.registry.name(self.id, relay);
-                self.watched.send_replace(Some(revision));
+                self.context.registry.set_relay(self.id, relay);
+                self.revision_sender.send_replace(Some(revision));
             }
-            RelayToControl::RequestLease { nonce } => self.prove(nonce),
+            RelayToControl::RequestLease { nonce } => self.grant_lease(nonce),
             RelayToControl::Agents(agents) => {
                 self.context.registry.report(self.id, agents);
             }
-            RelayToControl::Observe { observations } => self.observe(observations),
+            RelayToControl::Observe { observations } => self.queue_observations(observations),
             RelayToControl::Ledger(calls) => self.call_ledger(calls).await,
         }
     }
 
-    /// Asks for a proof without holding up what the relay sends next.
-    fn prove(&self, nonce: u64) {
+    /// Requests a proof of leadership and replies with a lease. This runs in a task, so that the next messages of the
+    /// relay are handled in the meantime.
+    fn grant_lease(&self, nonce: u64) {
         let context = Arc::clone(&self.context);
         let outgoing = self.outgoing.clone();
         tokio::spawn(async move {
             let message = match context.driver.prove_leadership().await {
                 Some(proof) => {
                     context.metrics.leases_granted.inc();
-                    ControlToRelay::Lease(grant(nonce, proof, &context))
+                    ControlToRelay::Lease(lease_from_proof(nonce, proof, &context))
                 }
                 None => {
                     context.metrics.leases_refused.inc();
                     context.not_leader()
                 }
             };
-            // A relay that has gone needs no lease.
+            // An error means that the connection has ended, so the lease is no longer needed.
             let _ = outgoing.send(message);
         });
     }
 
-    fn observe(&self, observations: Vec<(AgentId, Observation)>) {
+    /// Queues what agents observed of back ends, or drops it if the queue is full.
+    fn queue_observations(&self, observations: Vec<(AgentId, Observation)>) {
         for (agent, observation) in observations {
             let zone = self.context.registry.zone(self.id, &agent);
             let observed = AgentObservation {
@@ -161,19 +166,21 @@
         }
     }
 
+    /// Passes ledger calls to the driver.
     async fn call_ledger(&self, calls: Vec<(u64, LedgerRequest)>) {
         self.context.metrics.ledger_calls.inc_by(calls.len() as u64);
         let input = Input::Ledger {
             calls,
             replies: self.ledger_replies.clone(),
         };
-        // When the driver has ended the replica stops, and the connection with it.
+        // The result is not needed: if the driver has ended, the replica is stopping and closes this connection.
         self.context.driver.send(input).await;
     }
 }
 
-/// The age is rounded up, so that the lease ends too early rather than too late.
-fn grant(nonce: u64, proof: LeadershipProof, context: &Context) -> LeaseGrant {
+/// Builds a lease from a proof of leadership. The age of the proof is rounded up, so that the lease ends too early
+/// rather than too late.
+fn lease_from_proof(nonce: u64, proof: LeadershipProof, context: &Context) -> LeaseGrant {
     let age = Instant::now().duration_since(proof.holds_at);
     LeaseGrant {
         nonce,
@@ -184,20 +191,24 @@
     }
 }
 
-/// Sends to the relay.
+/// Sends messages to the relay.
 struct Writer {
     context: Arc<Context>,
     peer: String,
     writer: FrameWriter<ControlToRelay>,
+    /// Messages from the reader.
     queue: mpsc::UnboundedReceiver<ControlToRelay>,
+    /// Replies to ledger calls, from the driver.
     replies: mpsc::UnboundedReceiver<Vec<(u64, LedgerReply)>>,
     published: watch::Receiver<PublishedState>,
-    watch: watch::Receiver<Option<u64>>,
-    /// The revision that the relay has once it has taken what was sent.
+    /// The revision that the relay had when it requested updates; `None` until then.
+    watched_revision: watch::Receiver<Option<u64>>,
+    /// The revision that the relay has after all updates sent so far; `None` if it has not requested any.
     sent_revision: Option<u64>,
 }
 
 impl Writer {
+    /// Sends messages until the connection fails or this replica stops.
     async fn run(mut self) -> Result<(), SessionError> {
         let mut was_leader = self.published.borrow().is_leader();
         let stopping = self.context.stopping.clone();
@@ -206,8 +217,8 @@
                 () = stopping.cancelled() => return self.go_away().await,
                 Some(message) = self.queue.recv() => self.send(message).await?,
                 Some(replies) = self.replies.recv() => self.send_replies(replies).await?,
-                Ok(()) = self.watch.changed() => {
-                    self.sent_revision = *self.watch.borrow_and_update();
+                Ok(()) = self.watched_revision.changed() => {
+                    self.sent_revision = *self.watched_revision.borrow_and_update();
                     if !self.published.borrow().is_leader() {
                         self.send(self.context.not_leader()).await?;
                     }
@@ -225,7 +236,7 @@
         }
     }
 
-    /// Sends what the relay lacks, if it watches and lacks something.
+    /// Sends an update if the relay has requested updates and does not have the latest revision.
     async fn send_update(&mut self) -> Result<(), SessionError> {
         let Some(revision) = self.sent_revision else {
             return Ok(());
@@ -239,7 +250,7 @@
         self.send(ControlToRelay::Update(update)).await
     }
 
-    /// Replies that have come meanwhile go in one message.
+    /// Sends replies, and all others that are ready, in one message.
     async fn send_replies(
         &mut self,
         mut replies: Vec<(u64, LedgerReply)>,
@@ -250,24 +261,25 @@
         self.send(ControlToRelay::Ledger(replies)).await
     }
 
-    /// Says that the relay should go, and answers what it still asks until it has gone.
+    /// Tells the relay to connect to another replica, and keeps answering its requests until [`GO_AWAY_TIMEOUT`] has passed.
     async fn go_away(mut self) -> Result<(), SessionError> {
         self.send(ControlToRelay::GoAway).await?;
-        let end = sleep(GO_AWAY_LIMIT);
-        tokio::pin!(end);
+        let deadline = sleep(GO_AWAY_TIMEOUT);
+        tokio::pin!(deadline);
         loop {
             tokio::select! {
                 Some(replies) = self.replies.recv() => self.send_replies(replies).await?,
                 Some(message) = self.queue.recv() => self.send(message).await?,
-                () = &mut end => return Err(SessionError::Stopped { peer: self.peer }),
+                () = &mut deadline => return Err(SessionError::Stopped { peer: self.peer }),
             }
         }
     }
 
+    /// Sends one message; fails if this takes longer than [`SEND_TIMEOUT`].
     async fn send(&mut self, message: ControlToRelay) -> Result<(), SessionError> {
         match timeout(SEND_TIMEOUT, self.writer.send(&message)).await {
             Ok(result) => Ok(result?),
-            Err(_) => Err(SessionError::Slow {
+            Err(_) => Err(SessionError::SendTimeout {
                 peer: self.peer.clone(),
             }),
         }
--- a/crates/sablehaven-control/src/server/start.rs
+++ b/crates/sablehaven-control/src/server/start.rs
@@ -30,7 +30,7 @@
     membership::AgentObservation,
     metrics::Metrics,
     operator,
-    peers::{Directory, Links, PeerContext, PeerListing, form_or_join, keep_links},
+    peers::{Directory, Links, PeerContext, PeerListing, form_or_join, maintain_links},
     quotas::{
         LeaseLimits, PartGrants, PartLease, ProbeQueue, ReplicaQuotas, follow_published_state,
         renew_part_lease, request_loans,
@@ -279,7 +279,7 @@
 ) {
     let peers = &context.peers;
     background.spawn(form_or_join(Arc::clone(peers)));
-    background.spawn(keep_links(
+    background.spawn(maintain_links(
         Arc::clone(peers),
         Arc::clone(&context.links),
         Arc::clone(&context.state),
