--- a/crates/sablehaven-control/src/relays/registry.rs
+++ b/crates/sablehaven-control/src/relays/registry.rs
@@ -228,7 +228,7 @@
         let is_recent = self
             .ended_at
             .is_none_or(|ended_at| now.duration_since(ended_at) < lease_duration);
-        let age_since_report = match self.ended_at {
+        let age_increase = match self.ended_at {
             Some(ended_at) => now.duration_since(ended_at),
             None if held_at_report => Duration::ZERO,
             None => now.duration_since(reported.received_at),
@@ -238,7 +238,7 @@
             configuration_version: reported.status.configuration_version,
             placement: reported.status.placement.clone(),
             interest: reported.status.interest.clone(),
-            lease_age: age_at_report + age_since_report,
+            lease_age: age_at_report + age_increase,
             may_hold_lease: held_at_report && is_recent,
         }
     }
