--- a/crates/sablehaven-control/src/peers/incoming.rs
+++ b/crates/sablehaven-control/src/peers/incoming.rs
@@ -1,4 +1,5 @@
-//! Connections opened by other replicas: receives their messages and passes them to the driver and the other components.
+//! Receives the messages on connections that other replicas opened, and passes them to the driver and the other
+//! components.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/sablehaven-control/src/peers/introduction.rs
+++ b/crates/sablehaven-control/src/peers/introduction.rs
@@ -79,7 +79,7 @@
     pub(crate) is_formed: bool,
     /// The first voters, if the sender still has the first entry of the log. A new replica that is one of them writes
     /// the same entry. The set contains the identity that is stored on its disk, so the disk has not been replaced
-    /// since the set was chosen, and the replica cannot have voted before.
+    /// since the set was chosen; as it is still empty, the replica has not voted yet.
     pub(crate) first_voters: Option<BTreeSet<ReplicaId>>,
     /// The addresses for internal connections of the members that the sender knows. If the settings of a new replica
     /// name only a member that is disconnected from the others, it finds the others by these addresses.
