--- a/crates/sablehaven-control/src/config.rs
+++ b/crates/sablehaven-control/src/config.rs
@@ -13,7 +13,7 @@
 use crate::ledger::LedgerLimits;
 
 /// The maximum number of ledger groups of a deployment.
-const MAXIMUM_LEDGER_GROUPS: u32 = 64;
+const MAX_LEDGER_GROUPS: u32 = 64;
 
 /// The settings of a control replica. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -144,7 +144,7 @@
         let mut checks = SettingChecks::new(prefix);
         checks.nested("ledger", |prefix| self.ledger.validate(prefix));
         checks.name("deployment", &self.deployment);
-        let groups = 0..=u64::from(MAXIMUM_LEDGER_GROUPS);
+        let groups = 0..=u64::from(MAX_LEDGER_GROUPS);
         checks.range("ledger_groups", self.ledger_groups, groups);
         let tick = self.tick_ms;
         checks.range("tick_ms", tick, 1..=1_000);
--- a/crates/sablehaven-control/src/operator/handlers.rs
+++ b/crates/sablehaven-control/src/operator/handlers.rs
@@ -18,10 +18,10 @@
 use crate::server::Context;
 
 /// The maximum size of a request body.
-const MAXIMUM_BODY_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// The maximum time that a `wait` call may take; a longer timeout in the request is reduced to it.
-const MAXIMUM_WAIT: Duration = Duration::from_secs(600);
+const MAX_WAIT: Duration = Duration::from_secs(600);
 
 /// The delay after which a caller should retry if no leader answered.
 const RETRY_AFTER_MS: u64 = 250;
@@ -168,7 +168,7 @@
     async fn wait(&self, request: &mut Request, response: &mut Response) -> Result<(), CallError> {
         let version: u64 = query(request, "version")?;
         let timeout_ms: u64 = query(request, "timeout_ms")?;
-        let timeout = Duration::from_millis(timeout_ms).min(MAXIMUM_WAIT);
+        let timeout = Duration::from_millis(timeout_ms).min(MAX_WAIT);
         let reply = wait_until_in_force(&self.context, version, timeout).await;
         render(response, reply.ok_or(CallError::NotLeader)?);
         Ok(())
@@ -219,7 +219,7 @@
 
 /// Reads the request body as JSON.
 async fn body<Body: DeserializeOwned>(request: &mut Request) -> Result<Body, CallError> {
-    let payload = request.payload_with_max_size(MAXIMUM_BODY_BYTES).await;
+    let payload = request.payload_with_max_size(MAX_BODY_BYTES).await;
     let payload = payload.map_err(|error: ParseError| bad_request(&error))?;
     serde_json::from_slice(payload).map_err(|error| bad_request(&error))
 }
--- a/crates/sablehaven-control/src/operator/validity.rs
+++ b/crates/sablehaven-control/src/operator/validity.rs
@@ -4,9 +4,9 @@
 use sablehaven_types::{ApplyCommand, Configuration};
 
 /// The maximum length of the identifier of a command or of an operator.
-const MAXIMUM_NAME_BYTES: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 /// The maximum length of the reason that an operator gives for a command.
-const MAXIMUM_REASON_BYTES: usize = 4_096;
+const MAX_REASON_BYTES: usize = 4_096;
 
 /// Returns every reason why a command must not be proposed; none if it is valid.
 ///
@@ -30,19 +30,19 @@
 fn check_lengths(command: &ApplyCommand) -> Vec<String> {
     let mut reasons = Vec::new();
     let mut check_name = |field: &str, name: &str| {
-        if name.is_empty() || name.len() > MAXIMUM_NAME_BYTES {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
             let length = name.len();
             reasons.push(format!(
-                "{field}: {length} bytes long, allowed are 1 to {MAXIMUM_NAME_BYTES}"
+                "{field}: {length} bytes long, allowed are 1 to {MAX_NAME_BYTES}"
             ));
         }
     };
     check_name("command_id", command.command_id.as_str());
     check_name("operator", command.operator.as_str());
-    if command.reason.len() > MAXIMUM_REASON_BYTES {
+    if command.reason.len() > MAX_REASON_BYTES {
         let length = command.reason.len();
         reasons.push(format!(
-            "reason: {length} bytes long, allowed are up to {MAXIMUM_REASON_BYTES}"
+            "reason: {length} bytes long, allowed are up to {MAX_REASON_BYTES}"
         ));
     }
     reasons
--- a/crates/sablehaven-control/src/operator/wait.rs
+++ b/crates/sablehaven-control/src/operator/wait.rs
@@ -7,11 +7,11 @@
 
 /// The maximum time between two checks. A lease may expire without any message, so the agents are also checked while no
 /// report arrives.
-const MAXIMUM_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The minimum time between two checks. A check iterates over all agents, and every agent sends a report while a
 /// version is distributed, so a check after each report would make the cost quadratic in the number of agents.
-const MINIMUM_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Waits until the version is in force or the timeout has passed. Returns `None` if this replica does not lead.
 pub(super) async fn wait_until_in_force(
@@ -30,14 +30,11 @@
             context.driver.prove_leadership().await?;
             return Some(reply);
         }
-        tokio::time::sleep(MINIMUM_CHECK_INTERVAL).await;
+        tokio::time::sleep(MIN_CHECK_INTERVAL).await;
         // The next check follows after a change of the reports as well as after the maximum interval, so the result is
         // not needed.
-        let _ = tokio::time::timeout(
-            MAXIMUM_CHECK_INTERVAL - MINIMUM_CHECK_INTERVAL,
-            changes.changed(),
-        )
-        .await;
+        let _ =
+            tokio::time::timeout(MAX_CHECK_INTERVAL - MIN_CHECK_INTERVAL, changes.changed()).await;
     }
 }
 
