--- a/crates/sablehaven-client/examples/write_clients.rs
+++ b/crates/sablehaven-client/examples/write_clients.rs
@@ -1,5 +1,5 @@
-//! Writes `src/generated/<deployment>.rs` from `deployments/<deployment>/schema.proto`, as
-//! `sablehaven schema generate` does for any schema.
+//! Generates `src/generated/<deployment>.rs` from `deployments/<deployment>/schema.proto` for all
+//! deployments. `sablehaven schema generate` does the same for a single schema.
 //!
 //! Usage: `cargo run -p sablehaven-client --example write_clients`.
 
--- a/crates/sablehaven-client/src/call.rs
+++ b/crates/sablehaven-client/src/call.rs
@@ -1,43 +1,43 @@
-//! What a caller says about a call besides its request.
+//! Parameters of a call other than the request message: method, options and request key.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use sablehaven_types::{CallerId, RequestId};
 
-/// A method as the schema describes it; part of the generated code.
+/// Description of a method in the schema, as used by the generated code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MethodInfo {
-    /// `/<package>.<Service>/<Method>`.
+    /// Path of the method, `/<package>.<Service>/<Method>`.
     pub path: &'static str,
-    /// Time for the whole call where the caller names none, in milliseconds.
+    /// Default time limit of a call, in milliseconds.
     pub deadline_ms: u64,
 }
 
 /// Options of one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallOptions {
-    /// Time for the whole call, in milliseconds (1 to 60,000); `None` means the method's own.
+    /// Time limit of the call, in milliseconds (1 to 60,000). `None` means the default of the method.
     pub deadline_ms: Option<u64>,
 }
 
-/// Names one request that may not be repeated.
+/// Identifies one at-most-once request.
 ///
-/// A resend must carry the same key, made by [`Self::resend`]; it then gets the first outcome. A new
-/// key is a new request.
+/// A resend must use the same key, as returned by [`Self::resend`], and then gets the outcome of the
+/// original request. A request with a new key is a new request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestKey {
-    /// Who calls.
+    /// The caller.
     pub caller: CallerId,
-    /// The caller's id for the request, unique among the caller's requests.
+    /// Id of the request, unique among the requests of the caller.
     pub request: RequestId,
-    /// When the request was first issued, in milliseconds since the Unix epoch.
+    /// Time at which the request was first issued, in milliseconds since the Unix epoch.
     pub issued_at_ms: u64,
-    /// Whether the request was sent before and its outcome is not known.
+    /// Whether the request was sent before and its outcome is unknown.
     pub resend: bool,
 }
 
 impl RequestKey {
-    /// The key of a request that is issued now and was not sent before.
+    /// Creates the key of a new request that is issued now.
     pub fn issued_now(caller: CallerId, request: RequestId) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let issued_at_ms = since_epoch.unwrap_or_default().as_millis();
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The key for sending the same request again.
+    /// Returns the key for resending the same request.
     pub fn resend(&self) -> Self {
         Self {
             resend: true,
--- a/crates/sablehaven-client/src/connection.rs
+++ b/crates/sablehaven-client/src/connection.rs
@@ -1,4 +1,4 @@
-//! Calls through an agent, with protobuf bodies over HTTP/2.
+//! Calls through an agent, over HTTP/2 with Protocol Buffers bodies.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,15 +15,17 @@
 
 use crate::{CallError, CallOptions, MethodInfo, RequestKey};
 
-/// Time after the deadline for which an answer is still waited for, since the agent answers every
-/// call by its deadline.
-const ANSWER_GRACE: Duration = Duration::from_secs(1);
-/// The longest time for opening a connection to the agent, which runs on the same machine.
+/// Time after the deadline for which the client still waits for the response. The agent responds to
+/// every call by its deadline, so the response only has to arrive.
+const RESPONSE_GRACE: Duration = Duration::from_secs(1);
+/// Timeout for opening a connection to the agent, which runs on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The value of [`RESEND`] on a resend.
+/// Value of the [`RESEND`] header on a resend.
 const RESEND_VALUE: &str = "1";
 
-/// The connection to the agent beside the caller; cheap to clone, opened again when it breaks.
+/// Connection to the agent on the caller's host.
+///
+/// It is cheap to clone, and is opened again after it was lost.
 #[derive(Clone, Debug)]
 pub struct AgentConnection {
     agent: SocketAddr,
@@ -31,21 +33,21 @@
 }
 
 impl AgentConnection {
-    /// A connection to the agent at an address; opened with the first call.
+    /// Creates a connection to the agent at an address. It is opened by the first call.
     pub fn new(agent: SocketAddr) -> Result<Self, CallError> {
         let client = reqwest::Client::builder()
             .http2_prior_knowledge()
             .no_proxy()
             .connect_timeout(CONNECT_TIMEOUT)
             .build()
-            .map_err(|source| CallError::SetUp { agent, source })?;
+            .map_err(|source| CallError::CreateClient { agent, source })?;
         Ok(Self { agent, client })
     }
 
-    /// Calls a method; used by the generated clients. `key` is needed where the method may not be
-    /// repeated.
+    /// Calls a method. This is used by the generated clients. An at-most-once method requires `key`.
     ///
-    /// An answer that says [`sablehaven_types::Outcome::NotRun`] or `Unknown` is no error.
+    /// A response with outcome [`NotRun`](sablehaven_types::Outcome::NotRun) or
+    /// [`Unknown`](sablehaven_types::Outcome::Unknown) is returned as `Ok`.
     pub async fn call<Request, Reply>(
         &self,
         method: MethodInfo,
@@ -57,7 +59,7 @@
         Request: Message,
         Reply: Message + Default,
     {
-        let builder = self.request(method, key, request, options);
+        let builder = self.build_request(method, key, request, options);
         let response = builder
             .send()
             .await
@@ -66,7 +68,7 @@
         self.decode_body(method, envelope)
     }
 
-    fn request<Request: Message>(
+    fn build_request<Request: Message>(
         &self,
         method: MethodInfo,
         key: Option<&RequestKey>,
@@ -77,7 +79,7 @@
         let mut builder = self
             .client
             .post(format!("http://{}{}", self.agent, method.path))
-            .timeout(Duration::from_millis(deadline_ms).saturating_add(ANSWER_GRACE))
+            .timeout(Duration::from_millis(deadline_ms).saturating_add(RESPONSE_GRACE))
             .header(CONTENT_TYPE, CONTENT_TYPE_PROTOBUF)
             .header(ACCEPT, CONTENT_TYPE_PROTOBUF)
             .header(DEADLINE_MS, deadline_ms.to_string())
@@ -103,7 +105,7 @@
                 source,
             }
         } else {
-            CallError::NoAnswer {
+            CallError::NoResponse {
                 agent,
                 path,
                 source,
@@ -119,7 +121,7 @@
         let (agent, path) = (self.agent, method.path);
         let content_type = response.headers().get(CONTENT_TYPE);
         if content_type.is_none_or(|value| value != CONTENT_TYPE_PROTOBUF) {
-            return Err(CallError::NoEnvelope {
+            return Err(CallError::NotAnEnvelope {
                 agent,
                 path,
                 status: response.status().as_u16(),
@@ -128,7 +130,7 @@
         let bytes = response
             .bytes()
             .await
-            .map_err(|source| CallError::NoAnswer {
+            .map_err(|source| CallError::NoResponse {
                 agent,
                 path,
                 source,
--- a/crates/sablehaven-client/src/error.rs
+++ b/crates/sablehaven-client/src/error.rs
@@ -1,70 +1,70 @@
-//! Calls that got no answer that can be read.
+//! Errors of calls that got no readable response.
 
 use std::net::SocketAddr;
 
 use sablehaven_types::protobuf::EnvelopeError;
 
-/// A call without an answer that can be read.
+/// Error of a call that got no readable response.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CallError {
-    /// set up the connections to agent {agent}: {source}
-    SetUp {
-        /// The agent.
+    /// failed to create the HTTP client for agent {agent}: {source}
+    CreateClient {
+        /// Address of the agent.
         agent: SocketAddr,
-        /// The cause.
+        /// Underlying error.
         source: reqwest::Error,
     },
-    /// connect to agent {agent} for {path}: {source}
+    /// failed to connect to agent {agent} for {path}: {source}
     Connect {
-        /// The agent.
+        /// Address of the agent.
         agent: SocketAddr,
-        /// The method.
+        /// Path of the method.
         path: &'static str,
-        /// The cause.
+        /// Underlying error.
         source: reqwest::Error,
     },
-    /// wait for the answer of agent {agent} to {path}: {source}
-    NoAnswer {
-        /// The agent.
+    /// no response from agent {agent} to {path}: {source}
+    NoResponse {
+        /// Address of the agent.
         agent: SocketAddr,
-        /// The method.
+        /// Path of the method.
         path: &'static str,
-        /// The cause.
+        /// Underlying error.
         source: reqwest::Error,
     },
-    /// read the answer of agent {agent} to {path}: status {status} with no envelope
-    NoEnvelope {
-        /// The agent.
+    /// response of agent {agent} to {path} has status {status} and contains no envelope
+    NotAnEnvelope {
+        /// Address of the agent.
         agent: SocketAddr,
-        /// The method.
+        /// Path of the method.
         path: &'static str,
-        /// The HTTP status.
+        /// HTTP status code.
         status: u16,
     },
-    /// read the answer of agent {agent} to {path}: {source}
+    /// failed to decode the envelope in the response of agent {agent} to {path}: {source}
     Envelope {
-        /// The agent.
+        /// Address of the agent.
         agent: SocketAddr,
-        /// The method.
+        /// Path of the method.
         path: &'static str,
-        /// The cause.
+        /// Underlying error.
         source: EnvelopeError,
     },
-    /// read the reply within the answer of agent {agent} to {path}: {source}
+    /// failed to decode the body in the response of agent {agent} to {path}: {source}
     Body {
-        /// The agent.
+        /// Address of the agent.
         agent: SocketAddr,
-        /// The method.
+        /// Path of the method.
         path: &'static str,
-        /// The cause.
+        /// Underlying error.
         source: prost::DecodeError,
     },
 }
 
 impl CallError {
-    /// Whether the request may have run. If so, a request that may not be repeated must be sent again
-    /// with the same key to learn its outcome, never with a new one.
+    /// Returns whether the request may have run. If so, an at-most-once request must be resent with the
+    /// same key to learn its outcome, and never with a new key.
     pub fn may_have_run(&self) -> bool {
-        !matches!(self, Self::SetUp { .. } | Self::Connect { .. })
+        !matches!(self, Self::CreateClient { .. } | Self::Connect { .. })
     }
 }
--- a/crates/sablehaven-client/src/lib.rs
+++ b/crates/sablehaven-client/src/lib.rs
@@ -1,6 +1,7 @@
-//! Typed clients of the deployments' services, generated from their schemas, and what they share.
+//! Typed clients for the services of the deployments, generated from their schemas, and the code that
+//! they share.
 //!
-//! A caller connects to the agent beside it and calls methods as functions:
+//! A caller connects to the agent on its host and calls methods as functions:
 //!
 //! ```no_run
 //! use sablehaven_client::{AgentConnection, CallOptions, RequestKey, trinacria};
@@ -14,13 +15,13 @@
 //!     pantry_id: "pantry-2".to_owned(),
 //! };
 //! let key = RequestKey::issued_now("pantry-2".into(), "reservation-118".into());
-//! let answer = portal.reserve_pallet(&key, &request, CallOptions::default()).await?;
-//! println!("{:?}: {:?}", answer.outcome, answer.body);
+//! let response = portal.reserve_pallet(&key, &request, CallOptions::default()).await?;
+//! println!("{:?}: {:?}", response.outcome, response.body);
 //! # Ok(())
 //! # }
 //! ```
 
-// Generated code names this crate by its own name, inside it and elsewhere.
+// Generated code refers to this crate by its name, also within this crate.
 extern crate self as sablehaven_client;
 
 mod call;
--- a/crates/sablehaven-client/tests/calls.rs
+++ b/crates/sablehaven-client/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of generated clients, against a server that answers as an agent does.
+//! Tests of calls with generated clients, against a server that takes the place of an agent.
 
 use std::{
     net::SocketAddr,
@@ -21,24 +21,24 @@
     http::{HeaderMap, HeaderValue, StatusCode, header::CONTENT_TYPE},
 };
 
-/// What the server saw of a call.
+/// A request as the server received it.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct ReceivedRequest {
     path: String,
     headers: HeaderMap,
     body: Vec<u8>,
 }
 
-/// Answers every call with the same bytes.
-struct FixedAnswer {
+/// Handler that sends the same response to every call and stores the last request.
+struct FixedResponse {
     content_type: &'static str,
     status: StatusCode,
-    answer: Vec<u8>,
-    seen: Arc<Mutex<Seen>>,
+    body: Vec<u8>,
+    received: Arc<Mutex<ReceivedRequest>>,
 }
 
 #[async_trait]
-impl Handler for FixedAnswer {
+impl Handler for FixedResponse {
     async fn handle(
         &self,
         request: &mut Request,
@@ -46,8 +46,12 @@
         response: &mut Response,
         _control: &mut FlowCtrl,
     ) {
-        let body = request.payload().await.expect("the body arrives").to_vec();
-        *self.seen.lock().expect("not poisoned") = Seen {
+        let body = request
+            .payload()
+            .await
+            .expect("the body is received")
+            .to_vec();
+        *self.received.lock().expect("not poisoned") = ReceivedRequest {
             path: request.uri().path().to_owned(),
             headers: request.headers().clone(),
             body,
@@ -56,23 +60,24 @@
         let content_type = HeaderValue::from_static(self.content_type);
         response.headers_mut().insert(CONTENT_TYPE, content_type);
         response
-            .write_body(self.answer.clone())
+            .write_body(self.body.clone())
             .expect("the body was not set");
     }
 }
 
-/// A client of a server that gives a fixed answer, and what the server sees.
-async fn portal(
+/// Starts a server with a fixed response and returns a client of it and the request that the server
+/// receives.
+async fn portal_with_response(
     status: StatusCode,
     content_type: &'static str,
-    answer: Vec<u8>,
-) -> (OrderingPortalClient, Arc<Mutex<Seen>>) {
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let handler = FixedAnswer {
+    body: Vec<u8>,
+) -> (OrderingPortalClient, Arc<Mutex<ReceivedRequest>>) {
+    let received = Arc::new(Mutex::new(ReceivedRequest::default()));
+    let handler = FixedResponse {
         content_type,
         status,
-        answer,
-        seen: Arc::clone(&seen),
+        body,
+        received: Arc::clone(&received),
     };
     let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
     let address: SocketAddr = salvo::conn::Acceptor::holdings(&acceptor)[0]
@@ -82,8 +87,8 @@
         .expect("an IP address");
     let router = Router::with_path("{**rest}").goal(handler);
     tokio::spawn(Server::new(acceptor).serve(router));
-    let agent = AgentConnection::new(address).expect("no settings are wrong");
-    (OrderingPortalClient::new(agent), seen)
+    let agent = AgentConnection::new(address).expect("the client settings are valid");
+    (OrderingPortalClient::new(agent), received)
 }
 
 fn envelope(body: Option<Vec<u8>>) -> Envelope<Vec<u8>> {
@@ -108,13 +113,13 @@
     }
 }
 
-fn header(seen: &Seen, name: &str) -> Option<String> {
-    let value = seen.headers.get(name)?;
+fn header(received: &ReceivedRequest, name: &str) -> Option<String> {
+    let value = received.headers.get(name)?;
     Some(value.to_str().expect("text").to_owned())
 }
 
 #[tokio::test]
-async fn a_query_carries_its_request_and_brings_back_the_whole_envelope() {
+async fn query_sends_its_request_and_returns_the_whole_envelope() {
     let reply = SearchStockReply {
         matches: vec![StockMatch {
             depot_id: "depot-7".to_owned(),
@@ -126,30 +131,32 @@
     };
     let sent = envelope(Some(reply.encode_to_vec()));
     let bytes = ProtobufEnvelope::from(sent.clone()).to_bytes();
-    let (portal, seen) = portal(StatusCode::OK, http::CONTENT_TYPE_PROTOBUF, bytes).await;
+    let (portal, received) =
+        portal_with_response(StatusCode::OK, http::CONTENT_TYPE_PROTOBUF, bytes).await;
     let request = SearchStockRequest {
         text: "pasta".to_owned(),
         ..SearchStockRequest::default()
     };
-    let answer = portal
+    let response = portal
         .search_stock(&request, CallOptions::default())
         .await
-        .expect("an answer");
-    assert_eq!(answer.body, Some(reply));
-    assert_eq!(answer.coverage, sent.coverage);
-    assert_eq!(answer.snapshot, sent.snapshot);
-    assert_eq!(answer.configuration, sent.configuration);
-    let seen = seen.lock().expect("not poisoned").clone();
-    assert_eq!(seen.path, "/trinacria.OrderingPortal/SearchStock");
-    assert_eq!(seen.body, request.encode_to_vec());
-    assert_eq!(header(&seen, http::DEADLINE_MS).as_deref(), Some("500"));
-    assert_eq!(header(&seen, http::REQUEST_ID), None);
+        .expect("a response");
+    assert_eq!(response.body, Some(reply));
+    assert_eq!(response.coverage, sent.coverage);
+    assert_eq!(response.snapshot, sent.snapshot);
+    assert_eq!(response.configuration, sent.configuration);
+    let received = received.lock().expect("not poisoned").clone();
+    assert_eq!(received.path, "/trinacria.OrderingPortal/SearchStock");
+    assert_eq!(received.body, request.encode_to_vec());
+    assert_eq!(header(&received, http::DEADLINE_MS).as_deref(), Some("500"));
+    assert_eq!(header(&received, http::REQUEST_ID), None);
 }
 
 #[tokio::test]
-async fn a_request_that_may_not_be_repeated_carries_its_key() {
+async fn at_most_once_request_sends_its_key() {
     let bytes = ProtobufEnvelope::from(envelope(None)).to_bytes();
-    let (portal, seen) = portal(StatusCode::OK, http::CONTENT_TYPE_PROTOBUF, bytes).await;
+    let (portal, received) =
+        portal_with_response(StatusCode::OK, http::CONTENT_TYPE_PROTOBUF, bytes).await;
     let key = RequestKey {
         caller: CallerId::from("pantry-2"),
         request: RequestId::from("reservation-118"),
@@ -161,66 +168,69 @@
     };
     for key in [key.clone(), key.resend()] {
         let request = ReservePalletRequest::default();
-        let answer = portal.reserve_pallet(&key, &request, options).await;
-        assert_eq!(answer.expect("an answer").body, None);
-        let seen = seen.lock().expect("not poisoned").clone();
-        assert_eq!(header(&seen, http::CALLER).as_deref(), Some("pantry-2"));
-        let request_id = header(&seen, http::REQUEST_ID);
+        let response = portal.reserve_pallet(&key, &request, options).await;
+        assert_eq!(response.expect("a response").body, None);
+        let received = received.lock().expect("not poisoned").clone();
+        assert_eq!(header(&received, http::CALLER).as_deref(), Some("pantry-2"));
+        let request_id = header(&received, http::REQUEST_ID);
         assert_eq!(request_id.as_deref(), Some("reservation-118"));
-        assert_eq!(header(&seen, http::ISSUED_AT_MS).as_deref(), Some("1234"));
-        assert_eq!(header(&seen, http::DEADLINE_MS).as_deref(), Some("750"));
-        assert_eq!(header(&seen, http::RESEND).is_some(), key.resend);
+        assert_eq!(
+            header(&received, http::ISSUED_AT_MS).as_deref(),
+            Some("1234")
+        );
+        assert_eq!(header(&received, http::DEADLINE_MS).as_deref(), Some("750"));
+        assert_eq!(header(&received, http::RESEND).is_some(), key.resend);
     }
 }
 
 #[tokio::test]
-async fn a_refusal_is_an_answer() {
+async fn refusal_is_returned_as_a_response() {
     let refusal = Envelope {
         outcome: Outcome::NotRun,
-        reason: Some("the service is pressed".to_owned()),
+        reason: Some("the service is overloaded".to_owned()),
         retry_after_ms: Some(250),
         ..envelope(None)
     };
     let bytes = ProtobufEnvelope::from(refusal).to_bytes();
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    let (portal, _) = portal(status, http::CONTENT_TYPE_PROTOBUF, bytes).await;
-    let answer = portal
+    let (portal, _) = portal_with_response(status, http::CONTENT_TYPE_PROTOBUF, bytes).await;
+    let response = portal
         .search_stock(&SearchStockRequest::default(), CallOptions::default())
         .await
-        .expect("an answer");
-    assert_eq!(answer.outcome, Outcome::NotRun);
-    assert_eq!(answer.retry_after_ms, Some(250));
+        .expect("a response");
+    assert_eq!(response.outcome, Outcome::NotRun);
+    assert_eq!(response.retry_after_ms, Some(250));
 }
 
 #[tokio::test]
-async fn an_answer_that_cannot_be_read_may_mean_that_the_request_ran() {
+async fn request_may_have_run_if_the_response_is_unreadable() {
     let ok = StatusCode::OK;
     let broken_body = ProtobufEnvelope::from(envelope(Some(vec![0xff]))).to_bytes();
-    let answers = [
+    let responses = [
         (ok, http::CONTENT_TYPE_PROTOBUF, vec![0xff]),
         (ok, http::CONTENT_TYPE_PROTOBUF, broken_body),
         (StatusCode::BAD_GATEWAY, "text/plain", b"oops".to_vec()),
     ];
-    for (status, content_type, bytes) in answers {
-        let (portal, _) = portal(status, content_type, bytes).await;
-        let answer = portal
+    for (status, content_type, bytes) in responses {
+        let (portal, _) = portal_with_response(status, content_type, bytes).await;
+        let response = portal
             .search_stock(&SearchStockRequest::default(), CallOptions::default())
             .await;
-        let error = answer.expect_err("no answer that can be read");
+        let error = response.expect_err("the response is unreadable");
         assert!(error.may_have_run(), "{error}");
     }
 }
 
 #[tokio::test]
-async fn an_agent_that_does_not_listen_ran_nothing() {
+async fn request_has_not_run_if_the_connection_fails() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     drop(listener);
-    let agent = AgentConnection::new(address).expect("no settings are wrong");
-    let answer = OrderingPortalClient::new(agent)
+    let agent = AgentConnection::new(address).expect("the client settings are valid");
+    let response = OrderingPortalClient::new(agent)
         .search_stock(&SearchStockRequest::default(), CallOptions::default())
         .await;
-    let error = answer.expect_err("nobody listens");
+    let error = response.expect_err("no process listens");
     assert!(matches!(error, CallError::Connect { .. }), "{error}");
     assert!(!error.may_have_run());
 }
