--- a/crates/sablehaven-cli/src/arguments.rs
+++ b/crates/sablehaven-cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line's shape.
+//! Definition of the command line: subcommands, arguments and help texts.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -6,63 +6,65 @@
 
 use crate::settings::SettingOverride;
 
-/// Time that an operator's command waits for a leader, in milliseconds.
+/// Default of `--timeout-ms`, the time for which an operator command looks for a leader, in
+/// milliseconds.
 const DEFAULT_TIMEOUT_MS: &str = "10000";
 
-/// The whole command line.
+/// Returns the definition of the command line.
 pub fn command() -> Command {
     Command::new("sablehaven")
-        .about("A query tier over many shards, for services whose traffic follows the sun")
+        .about("Distributed query tier that fans requests out over the shards of a service")
         .version(clap::crate_version!())
         .subcommand_required(true)
         .arg_required_else_help(true)
         .after_help(
-            "Exit codes: 0 done, 1 failed, 2 command line, 3 file not valid, 4 conflict with \
-             another operator, 5 not in force everywhere, 6 no leader reached (send again with \
-             the same command id).",
+            "Exit codes: 0 success, 1 failure, 2 invalid command line, 3 invalid file or damaged \
+             data folder, or a change of the control replicas was refused, 4 conflict with \
+             another change, 5 version not in force at every agent, 6 no leader reached (retry \
+             with the same command id).",
         )
-        .subcommand(role(
+        .subcommand(role_command(
             "control",
-            "Runs a control replica: configuration, membership and request ledger on its disk",
+            "Runs a control replica, which stores configuration, membership and request ledger",
         ))
-        .subcommand(role(
+        .subcommand(role_command(
             "relay",
-            "Runs a relay: passes committed state from control to agents",
+            "Runs a relay, which forwards committed state from control to agents",
         ))
-        .subcommand(role(
+        .subcommand(role_command(
             "agent",
-            "Runs the agent beside a caller: plans, fans out, merges and answers",
+            "Runs an agent, which executes the queries of callers on the same host",
         ))
-        .subcommand(role(
+        .subcommand(role_command(
             "gateway",
-            "Runs a gateway: callers reach it over the network, servers answer by route",
+            "Runs a gateway, which routes requests of network clients to servers",
         ))
-        .subcommand(settings())
-        .subcommand(schema())
-        .subcommand(data())
-        .subcommand(operator())
-        .subcommand(explain())
+        .subcommand(settings_command())
+        .subcommand(schema_command())
+        .subcommand(data_command())
+        .subcommand(operator_command())
+        .subcommand(explain_command())
 }
 
-fn role(name: &'static str, about: &'static str) -> Command {
+fn role_command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
         .long_about(format!(
-            "{about}.\n\nPrints the bound addresses as one JSON line on standard output once it \
-             listens. SIGTERM and SIGINT stop it without interrupting a request in flight."
+            "{about}.\n\nOnce it listens, it prints the bound addresses as one JSON line on standard \
+             output. SIGTERM and SIGINT stop it without interrupting requests in flight."
         ))
         .arg(
             Arg::new("settings")
                 .long("settings")
                 .value_name("FILE")
-                .help("Settings file (TOML); see `sablehaven settings template`")
+                .help("Settings file (TOML), see `sablehaven settings template`")
                 .value_parser(value_parser!(PathBuf)),
         )
         .arg(
             Arg::new("set")
                 .long("set")
                 .value_name("SECTION.KEY=VALUE")
-                .help("Overrides one key of the settings file; may be given many times")
+                .help("Overrides one key of the settings file (repeatable)")
                 .action(ArgAction::Append)
                 .value_parser(|text: &str| {
                     text.parse::<SettingOverride>()
@@ -73,7 +75,7 @@
             Arg::new("threads")
                 .long("threads")
                 .value_name("NUMBER")
-                .help("Threads of the runtime [default: one a core]")
+                .help("Number of runtime worker threads [default: one per core]")
                 .value_parser(parse_thread_count),
         )
 }
@@ -81,101 +83,102 @@
 fn parse_thread_count(text: &str) -> Result<usize, String> {
     match text.parse() {
         Ok(count) if (1..=1024).contains(&count) => Ok(count),
-        _ => Err("allowed is a number from 1 to 1024".to_owned()),
+        _ => Err("expected a number from 1 to 1024".to_owned()),
     }
 }
 
-fn settings() -> Command {
+fn settings_command() -> Command {
     Command::new("settings")
-        .about("Checks settings files")
+        .about("Checks settings files and prints a template")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("check")
                 .about(
-                    "Checks a settings file and names key, value and allowed range of each error",
+                    "Checks a settings file and reports key, value and allowed range of each error",
                 )
-                .arg(file("file", "The settings file")),
+                .arg(path_argument("file", "Settings file (TOML)")),
         )
         .subcommand(
             Command::new("template")
-                .about("Prints a settings file with every key, its default and its meaning"),
+                .about("Prints a settings file with every key, its default and its description"),
         )
 }
 
-fn schema() -> Command {
+fn schema_command() -> Command {
     Command::new("schema")
         .about("Checks schemas and generates typed clients")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("check")
-                .about("Checks a schema and gives file, line and reason for each error")
-                .arg(file("file", "The schema (Protocol Buffers source)")),
+                .about("Checks a schema and reports file, line and reason of each error")
+                .arg(path_argument("file", "Schema (Protocol Buffers source)")),
         )
         .subcommand(
             Command::new("generate")
-                .about("Writes the typed Rust clients of a schema")
-                .arg(file("file", "The schema (Protocol Buffers source)"))
+                .about("Generates the typed Rust clients of a schema")
+                .arg(path_argument("file", "Schema (Protocol Buffers source)"))
                 .arg(
                     Arg::new("output")
                         .long("output")
                         .short('o')
                         .value_name("FILE")
-                        .help("Where to write [default: standard output]")
+                        .help("Output file [default: standard output]")
                         .value_parser(value_parser!(PathBuf)),
                 ),
         )
 }
 
-fn data() -> Command {
+fn data_command() -> Command {
     Command::new("data")
-        .about("Looks into a control replica's data folder")
+        .about("Inspects the data folder of a control replica")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("inspect")
-                .about("Shows identity, segments, groups and damage; changes nothing")
-                .arg(file("folder", "The data folder"))
-                .arg(json()),
+                .about("Shows identity, segments, groups and damage without changing anything")
+                .arg(path_argument("folder", "Data folder"))
+                .arg(json_flag()),
         )
 }
 
-fn explain() -> Command {
+fn explain_command() -> Command {
     Command::new("explain")
-        .about("Says from saved logs what became of a request and why")
+        .about("Explains the outcome of a request from saved logs")
         .long_about(
-            "Collects the lines of one request over the logs of any number of processes, with what \
-             the process believed then, and says in words what decided. Exit code 1 means that no \
-             line names the request: it went as usual, or never reached these processes.",
+            "Collects the log lines of one request from the logs of any number of processes, adds \
+             the state of the process at that time, and explains the outcome. Exit code 1 means \
+             that no line names the request: it was served normally, or it never reached these \
+             processes.",
         )
         .arg(
             Arg::new("id")
                 .long("id")
                 .value_name("ID")
-                .help("The request's id, as its caller sent it")
+                .help("Request id, as sent by the caller")
                 .required(true),
         )
         .arg(
             Arg::new("files")
                 .value_name("FILE")
-                .help("Saved standard output of processes; the file's name names the process")
+                .help("Saved standard output of a process; the file name identifies the process")
                 .required(true)
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(PathBuf)),
         )
 }
 
-fn operator() -> Command {
+fn operator_command() -> Command {
     Command::new("operator")
-        .about("Drives a running deployment")
+        .about("Inspects and changes a running deployment")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .arg(
             Arg::new("control")
                 .long("control")
                 .value_name("ADDRESS")
-                .help("HTTP address of a control replica; may be given many times")
+                .help("HTTP address of a control replica (repeatable)")
                 .required(true)
                 .global(false)
                 .action(ArgAction::Append)
@@ -185,63 +188,64 @@
             Arg::new("timeout_ms")
                 .long("timeout-ms")
                 .value_name("MILLISECONDS")
-                .help("How long to look for a leader that answers, and to wait for a version")
+                .help("Maximum time to look for a leader and to wait for a version")
                 .default_value(DEFAULT_TIMEOUT_MS)
                 .global(true)
                 .value_parser(value_parser!(u64).range(1..=3_600_000)),
         )
-        .arg(json().global(true))
-        .subcommand(apply())
+        .arg(json_flag().global(true))
+        .subcommand(apply_command())
         .subcommand(
             Command::new("wait")
-                .about("Waits until a version is in force at every agent, or names those it is not")
+                .about("Waits until a version is in force at every agent; lists the agents behind on timeout")
                 .arg(
                     Arg::new("version")
                         .long("version")
                         .value_name("VERSION")
-                        .help("The version")
+                        .help("Configuration version")
                         .required(true)
                         .value_parser(value_parser!(u64)),
                 ),
         )
-        .subcommand(read("configuration", "Shows the configuration in force"))
-        .subcommand(read(
+        .subcommand(read_command("configuration", "Shows the configuration in force"))
+        .subcommand(read_command(
             "history",
-            "Shows who changed the configuration, when, why",
+            "Shows the changes of the configuration with operator, time and reason",
         ))
-        .subcommand(read("backends", "Shows the back ends and their state"))
-        .subcommand(Command::new("status").about("Shows control replicas, groups, relays, agents"))
+        .subcommand(read_command("backends", "Shows the back ends and their states"))
+        .subcommand(Command::new("status").about("Shows control replicas, groups, relays and agents"))
         .subcommand(
             Command::new("quotas")
-                .about("Shows each tenant's quota, what it has had, and how often it was refused"),
+                .about("Shows each tenant's quota and its granted and refused requests"),
         )
-        .subcommand(ledger())
-        .subcommand(transfer_leadership())
-        .subcommand(control_machines())
+        .subcommand(ledger_command())
+        .subcommand(transfer_leadership_command())
+        .subcommand(control_command())
 }
 
-/// A reading that may also come from a replica that cannot prove that it is current.
-fn read(name: &'static str, about: &'static str) -> Command {
+/// Defines a read command, which has a flag to also accept a reply from a replica that cannot prove
+/// that it is current.
+fn read_command(name: &'static str, about: &'static str) -> Command {
     Command::new(name).about(about).arg(
         Arg::new("unconfirmed")
             .long("unconfirmed")
-            .help("Asks without proof of being current, for when the quorum is lost")
+            .help("Accepts a possibly stale reply, for use when the quorum is lost")
             .action(ArgAction::SetTrue),
     )
 }
 
-fn apply() -> Command {
+fn apply_command() -> Command {
     Command::new("apply")
         .about("Changes the configuration by compare-and-set on its version")
         .long_about(
             "Changes the configuration by compare-and-set on its version. A resend with the same \
-             command id gets the first outcome and changes nothing again.",
+             command id returns the original outcome and does not apply the change again.",
         )
         .arg(
             Arg::new("change")
                 .long("change")
                 .value_name("FILE")
-                .help("The change as JSON, such as {\"change\": \"publish_snapshot\", …}")
+                .help("Change as JSON, such as {\"change\": \"publish_snapshot\", …}")
                 .required_unless_present("configuration")
                 .conflicts_with("configuration")
                 .value_parser(value_parser!(PathBuf)),
@@ -250,14 +254,14 @@
             Arg::new("configuration")
                 .long("configuration")
                 .value_name("FILE")
-                .help("A whole configuration as JSON, which replaces the one in force")
+                .help("Complete configuration as JSON, which replaces the one in force")
                 .value_parser(value_parser!(PathBuf)),
         )
         .arg(
             Arg::new("expected_version")
                 .long("expected-version")
                 .value_name("VERSION")
-                .help("The version that the change was made against")
+                .help("Configuration version on which the change is based")
                 .required(true)
                 .value_parser(value_parser!(u64)),
         )
@@ -265,32 +269,32 @@
             Arg::new("operator")
                 .long("operator")
                 .value_name("NAME")
-                .help("Who sends the command")
+                .help("Name of the operator who sends the command")
                 .required(true),
         )
         .arg(
             Arg::new("reason")
                 .long("reason")
                 .value_name("TEXT")
-                .help("Why; kept in the history")
+                .help("Reason for the change, kept in the history")
                 .default_value(""),
         )
         .arg(
             Arg::new("command_id")
                 .long("command-id")
                 .value_name("ID")
-                .help("Names the command; give it again on a resend [default: a random one, shown]"),
+                .help("Identifies the command; reuse it on a resend [default: generated and printed]"),
         )
         .arg(
             Arg::new("wait")
                 .long("wait")
-                .help("Returns when the version is in force everywhere, or names the agents where not")
+                .help("Waits until the version is in force at every agent; lists the agents behind on timeout")
                 .action(ArgAction::SetTrue),
         )
 }
 
-fn ledger() -> Command {
-    let text = |name: &'static str, long: &'static str, help: &'static str| {
+fn ledger_command() -> Command {
+    let id_argument = |name: &'static str, long: &'static str, help: &'static str| {
         Arg::new(name)
             .long(long)
             .value_name("ID")
@@ -298,49 +302,53 @@
             .required(true)
     };
     Command::new("ledger")
-        .about("Looks into the request ledger")
+        .about("Inspects the request ledger")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("look-up")
-                .about("Shows what is recorded of one request")
-                .arg(text("caller", "caller", "The caller"))
-                .arg(text(
+                .about("Shows the ledger entry of one request")
+                .arg(id_argument("caller", "caller", "Caller of the request"))
+                .arg(id_argument(
                     "request",
                     "request",
-                    "The caller's id for the request",
+                    "Request id, unique among the requests of the caller",
                 ))
                 .arg(
                     Arg::new("issued_at_ms")
                         .long("issued-at-ms")
                         .value_name("MILLISECONDS")
-                        .help("When the request was issued, since the Unix epoch")
+                        .help("Issue time of the request, in milliseconds since the Unix epoch")
                         .required(true)
                         .value_parser(value_parser!(u64)),
                 ),
         )
 }
 
-fn transfer_leadership() -> Command {
+fn transfer_leadership_command() -> Command {
     Command::new("transfer-leadership")
-        .about("Hands a group's leadership to another control replica")
+        .about("Transfers the leadership of a group to another control replica")
         .arg(
             Arg::new("group")
                 .long("group")
                 .value_name("NUMBER")
-                .help("The group (0: configuration and membership; from 1: ledger)")
+                .help("Group number (0: configuration and membership, 1 and above: ledger)")
                 .required(true)
                 .value_parser(value_parser!(u32)),
         )
-        .arg(replica("to", "to", "The replica that is to lead"))
+        .arg(replica_argument(
+            "to",
+            "to",
+            "Replica that becomes the leader",
+        ))
 }
 
-fn control_machines() -> Command {
+fn control_command() -> Command {
     let address = || {
         Arg::new("address")
             .long("address")
             .value_name("ADDRESS")
-            .help("The machine's internal address")
+            .help("Internal address of the machine")
             .required(true)
             .value_parser(value_parser!(SocketAddr))
     };
@@ -350,46 +358,45 @@
         .arg_required_else_help(true)
         .subcommand(
             Command::new("add")
-                .about("Adds a machine: a learner first, a voter once it has caught up")
+                .about("Adds a machine, as a learner until it has caught up, then as a voter")
                 .arg(address()),
         )
         .subcommand(
             Command::new("remove")
-                .about("Removes a replica")
-                .arg(replica("replica", "replica", "The replica")),
+                .about("Removes a control replica")
+                .arg(replica_argument("replica", "replica", "Replica to remove")),
         )
         .subcommand(
             Command::new("replace")
-                .about("Replaces a lost replica by a new machine")
-                .arg(replica("old", "old", "The replica that is lost"))
+                .about("Replaces a lost control replica with a new machine")
+                .arg(replica_argument("old", "old", "Lost replica"))
                 .arg(address()),
         )
 }
 
-fn replica(name: &'static str, long: &'static str, help: &'static str) -> Arg {
+fn replica_argument(name: &'static str, long: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(long)
         .value_name("REPLICA")
         .help(help)
         .required(true)
-        .value_parser(parse_replica)
+        .value_parser(parse_replica_id)
 }
 
-/// Parses a replica's identity as `operator status` shows it: 16 hexadecimal digits.
-fn parse_replica(text: &str) -> Result<u64, String> {
-    u64::from_str_radix(text, 16).map_err(|_| {
-        "expected an identity of 16 hexadecimal digits, see `operator status`".to_owned()
-    })
+/// Parses a replica's identity, 16 hexadecimal digits as shown by `operator status`.
+fn parse_replica_id(text: &str) -> Result<u64, String> {
+    u64::from_str_radix(text, 16)
+        .map_err(|_| "expected 16 hexadecimal digits as shown by `operator status`".to_owned())
 }
 
-fn json() -> Arg {
+fn json_flag() -> Arg {
     Arg::new("json")
         .long("json")
         .help("Prints the result as JSON")
         .action(ArgAction::SetTrue)
 }
 
-fn file(name: &'static str, help: &'static str) -> Arg {
+fn path_argument(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .value_name("PATH")
         .help(help)
--- a/crates/sablehaven-cli/src/data_command.rs
+++ b/crates/sablehaven-cli/src/data_command.rs
@@ -1,4 +1,4 @@
-//! `sablehaven data`: looks into a control replica's data folder without changing it.
+//! The `sablehaven data` command, which inspects a control replica's data folder without changing it.
 
 use std::path::PathBuf;
 
@@ -37,7 +37,7 @@
             "replica {} of deployment {}\n",
             identity.replica, identity.deployment
         ),
-        None => "no identity: not formatted, or damaged\n".to_owned(),
+        None => "no identity: the folder is not formatted or is damaged\n".to_owned(),
     };
     text.push('\n');
     text.push_str(&segment_table(report));
@@ -45,7 +45,7 @@
     text.push_str(&group_table(report));
     if let Some(tail) = &report.torn_tail {
         text.push_str(&format!(
-            "\nunfinished write in {} at offset {}, {} bytes; the next start cuts it\n",
+            "\nunfinished write in {} at offset {}, {} bytes; the next start truncates it\n",
             tail.file, tail.offset, tail.bytes
         ));
     }
@@ -67,12 +67,12 @@
 }
 
 fn group_table(report: &Inspection) -> String {
-    let head = [
+    let header = [
         "group",
         "term",
-        "snapshot at",
+        "snapshot index",
         "snapshot bytes",
-        "last entry",
+        "last index",
         "entries",
     ];
     let rows = report.groups.iter().map(|(group, state)| {
@@ -85,7 +85,7 @@
             state.entries.to_string(),
         ]
     });
-    table(head, rows)
+    table(header, rows)
 }
 
 fn describe_damage(damage: &DamageReport) -> String {
--- a/crates/sablehaven-cli/src/error.rs
+++ b/crates/sablehaven-cli/src/error.rs
@@ -1,27 +1,29 @@
-//! Errors of commands and the exit codes they lead to.
+//! Errors of commands and the exit codes that they result in.
 
 use std::{path::PathBuf, process::ExitCode};
 
 use crate::settings::SettingsError;
 
-/// The exit codes of the binary; the operators' pages list them.
+/// Exit codes of the binary, which are part of its documented interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// The command failed: its error says at which step and where.
+    /// The command failed. The error message names the operation and the file or peer.
     Failed = 1,
-    /// The command line does not fit.
+    /// The command line is invalid.
     Usage = 2,
-    /// A file that was checked (settings, schema, change) is not valid.
+    /// A checked file (settings, schema or change) is invalid, an inspected data folder is damaged,
+    /// or control refused a change as invalid.
     Invalid = 3,
-    /// Another operator's command took the version first.
+    /// The change conflicts with another one: the expected version is not the current one, or
+    /// another change of the control replicas is in progress.
     Conflict = 4,
-    /// A version is not in force everywhere in time.
+    /// The version was not in force at every agent before the timeout.
     NotInForce = 5,
-    /// No control replica that leads could be reached; whether the command took effect is not
-    /// known: send it again with the same command id.
+    /// No leading control replica could be reached. Whether the command took effect is unknown; it
+    /// has to be sent again with the same command id.
     Unavailable = 6,
 }
 
@@ -31,72 +33,72 @@
     }
 }
 
-/// Errors of commands; each names the step and the file or peer.
+/// Errors of commands. Each message names the operation and the file or peer.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CommandError {
     /// {0}
     Settings(#[from] SettingsError),
-    /// read {path}: {source}
+    /// failed to read {path}: {source}
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// write {path}: {source}
+    /// failed to write {path}: {source}
     Write {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// parse {path}: {reason}
+    /// failed to parse {path}: {reason}
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What does not fit.
+        /// Description of the syntax error or invalid value.
         reason: String,
     },
-    /// start runtime: {0}
+    /// failed to start the runtime: {0}
     Runtime(std::io::Error),
     /// {role}: {reason}
     Role {
-        /// The role.
+        /// Name of the role.
         role: &'static str,
-        /// The role's own error, with its step and peer.
+        /// Error of the role, including the operation and the peer.
         reason: String,
     },
-    /// inspect {path}: {reason}
+    /// failed to inspect {path}: {reason}
     Inspect {
-        /// The data folder.
+        /// Path of the data folder.
         path: PathBuf,
-        /// What was found.
+        /// Error of the inspection.
         reason: String,
     },
-    /// {step} at {peer}: {reason}
+    /// {operation} at {peer} failed: {reason}
     Operator {
-        /// What was asked for.
-        step: String,
-        /// The control replica.
+        /// Path of the request, or description of the operation.
+        operation: String,
+        /// Address of the control replica.
         peer: String,
-        /// Its answer.
+        /// Error reported by the peer.
         reason: String,
     },
-    /// {step}: no control replica that leads could be reached: {reasons}
+    /// {operation} failed: no leading control replica could be reached: {reasons}
     Unavailable {
-        /// What was asked for.
-        step: String,
-        /// What each address answered.
+        /// Path of the request, or description of the operation.
+        operation: String,
+        /// Reply or connection error of each address.
         reasons: String,
     },
-    /// write the result to standard output: {0}
+    /// failed to write the result to standard output: {0}
     Output(std::io::Error),
-    /// encode the result: {0}
+    /// failed to encode the result as JSON: {0}
     Encode(serde_json::Error),
 }
 
 impl CommandError {
-    /// The exit code that the error leads to.
+    /// Returns the exit code for this error.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
             Self::Settings(_) | Self::Parse { .. } => ExitStatus::Invalid,
--- a/crates/sablehaven-cli/src/explain.rs
+++ b/crates/sablehaven-cli/src/explain.rs
@@ -1,33 +1,34 @@
-//! Collects what the logs of several processes say of one request, and says in words what decided.
+//! Explains the outcome of one request from the logs of several processes.
 
 use serde_json::{Map, Value};
 
-/// One line of a log.
+/// One structured log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// The process, as the file or the text before the record names it.
+    /// Name of the process, taken from the file name or from the text before the record.
     pub process: String,
-    /// When it was written.
+    /// Time at which the line was written, as RFC 3339 text.
     pub timestamp: String,
-    /// The event's name.
+    /// Name of the event.
     pub event: String,
-    /// The event's fields.
+    /// Fields of the event, including its name under the key `event`.
     pub fields: Map<String, Value>,
 }
 
-/// What is known of a request.
+/// What the logs contain about a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Explanation {
-    /// The request's own lines, in order.
+    /// Log lines that name the request, in order of time.
     pub lines: Vec<LogLine>,
-    /// What the same processes believed then: the last line of each kind before the request's.
-    pub beliefs: Vec<LogLine>,
-    /// What decided, in words.
-    pub verdicts: Vec<String>,
+    /// State of the process that logged the first of these lines, as of that line: its last line of
+    /// each event in [`STATE_EVENTS`], and of the quarantine of the request, in order of time.
+    pub process_state: Vec<LogLine>,
+    /// One sentence for each line in `lines` that explains the outcome.
+    pub summaries: Vec<String>,
 }
 
-/// Events that change what a process believes.
-const BELIEFS: [&str; 6] = [
+/// Events that describe the state on which the decisions of a process depend.
+const STATE_EVENTS: [&str; 6] = [
     "routes_in_force",
     "listing_in_force",
     "control_connected",
@@ -36,74 +37,77 @@
     "stop",
 ];
 
-/// Reads the lines of one log; what is no record is passed over.
-pub fn read_lines(process: &str, text: &str) -> Vec<LogLine> {
+/// Parses the lines of one log. Lines that are not structured records are skipped.
+pub fn parse_log(process: &str, text: &str) -> Vec<LogLine> {
     text.lines()
-        .filter_map(|line| read_line(process, line))
+        .filter_map(|line| parse_line(process, line))
         .collect()
 }
 
-/// Text before the record names the process, as tools do that gather several logs into one.
-fn read_line(process: &str, line: &str) -> Option<LogLine> {
+/// Parses one line. If there is text before the record, its last word is the name of the process, as
+/// written by tools that merge several logs into one.
+fn parse_line(process: &str, line: &str) -> Option<LogLine> {
     let start = line.find('{')?;
     let record: Value = serde_json::from_str(&line[start..]).ok()?;
     let fields = record.get("kvs")?.as_object()?.clone();
-    let before = line[..start].split_whitespace().last();
+    let prefix = line[..start].split_whitespace().last();
     Some(LogLine {
-        process: before.unwrap_or(process).to_owned(),
+        process: prefix.unwrap_or(process).to_owned(),
         timestamp: record.get("timestamp")?.as_str()?.to_owned(),
         event: fields.get("event")?.as_str()?.to_owned(),
         fields,
     })
 }
 
-/// Explains a request from the lines of any number of logs.
-pub fn explain(id: &str, mut all: Vec<LogLine>) -> Explanation {
-    all.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
-    let is_own = |line: &&LogLine| line.fields.get("request").and_then(Value::as_str) == Some(id);
-    let lines: Vec<LogLine> = all.iter().filter(is_own).cloned().collect();
-    let beliefs = lines
+/// Explains the outcome of a request from the lines of any number of logs.
+pub fn explain(request_id: &str, mut all_lines: Vec<LogLine>) -> Explanation {
+    all_lines.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
+    let names_request =
+        |line: &&LogLine| line.fields.get("request").and_then(Value::as_str) == Some(request_id);
+    let lines: Vec<LogLine> = all_lines.iter().filter(names_request).cloned().collect();
+    let process_state = lines
         .first()
-        .map(|first| beliefs_before(first, &all))
+        .map(|first| process_state_at(first, &all_lines))
         .unwrap_or_default();
-    let verdicts = lines.iter().map(verdict).collect();
+    let summaries = lines.iter().map(summarize).collect();
     Explanation {
         lines,
-        beliefs,
-        verdicts,
+        process_state,
+        summaries,
     }
 }
 
-fn beliefs_before(first: &LogLine, all: &[LogLine]) -> Vec<LogLine> {
-    let before =
-        |line: &&LogLine| line.process == first.process && line.timestamp <= first.timestamp;
+/// Returns the last line of each state event that the process of `line` had logged by then.
+fn process_state_at(line: &LogLine, all_lines: &[LogLine]) -> Vec<LogLine> {
+    let is_earlier =
+        |other: &&LogLine| other.process == line.process && other.timestamp <= line.timestamp;
     let latest = |event: &&str| {
-        let mut of_event = all
+        let mut with_event = all_lines
             .iter()
-            .filter(before)
-            .filter(|line| line.event == **event);
-        of_event.next_back().cloned()
+            .filter(is_earlier)
+            .filter(|other| other.event == **event);
+        with_event.next_back().cloned()
     };
-    let mut beliefs: Vec<LogLine> = BELIEFS.iter().filter_map(latest).collect();
-    beliefs.extend(quarantine_before(first, all));
-    beliefs.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
-    beliefs
+    let mut state: Vec<LogLine> = STATE_EVENTS.iter().filter_map(latest).collect();
+    state.extend(quarantine_at(line, all_lines));
+    state.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
+    state
 }
 
-/// The line by which the same process began to keep the request from its servers.
-fn quarantine_before(first: &LogLine, all: &[LogLine]) -> Option<LogLine> {
-    let target = first.fields.get("target")?;
-    let mut began = all.iter().filter(|line| {
-        line.event == "request_quarantined"
-            && line.process == first.process
-            && line.timestamp <= first.timestamp
-            && line.fields.get("target") == Some(target)
+/// Returns the line with which the process of `line` last began to quarantine its request.
+fn quarantine_at(line: &LogLine, all_lines: &[LogLine]) -> Option<LogLine> {
+    let target = line.fields.get("target")?;
+    let mut quarantines = all_lines.iter().filter(|other| {
+        other.event == "request_quarantined"
+            && other.process == line.process
+            && other.timestamp <= line.timestamp
+            && other.fields.get("target") == Some(target)
     });
-    began.next_back().cloned()
+    quarantines.next_back().cloned()
 }
 
-/// What one line says, in words.
-fn verdict(line: &LogLine) -> String {
+/// Describes one log line of a request in a sentence.
+fn summarize(line: &LogLine) -> String {
     let number = |key: &str| {
         line.fields
             .get(key)
@@ -117,45 +121,51 @@
             .unwrap_or_default()
     };
     let process = &line.process;
-    let after = number("after_ms");
-    let parts = format!("{} of {} shards", number("arrived"), number("shards"));
-    let extra = match (number("extra"), number("unaffordable")) {
-        (0, 0) => "no second attempt was due".to_owned(),
-        (sent, 0) => format!("{sent} second attempts were sent"),
-        (sent, refused) => {
-            format!("{sent} second attempts were sent, {refused} were beyond the budget")
+    let elapsed_ms = number("after_ms");
+    let arrived = format!("{} of {} shards", number("arrived"), number("shards"));
+    let attempts = match (number("extra"), number("unaffordable")) {
+        (0, 0) => "no extra attempt was needed".to_owned(),
+        (sent, 0) => format!("{sent} extra attempts were sent"),
+        (sent, unaffordable) => {
+            format!("{sent} extra attempts were sent, {unaffordable} exceeded the retry budget")
         }
     };
     let missing = match (text("missing"), text("awaited")) {
-        ("", "") => "nothing was awaited any more".to_owned(),
+        ("", "") => "no shard was pending".to_owned(),
         (missing, "") => format!("missing: {missing}"),
-        ("", awaited) => format!("still awaited: {awaited}"),
-        (missing, awaited) => format!("missing: {missing}; still awaited: {awaited}"),
+        ("", awaited) => format!("still pending: {awaited}"),
+        (missing, awaited) => format!("missing: {missing}; still pending: {awaited}"),
     };
-    let lost = match text("lost") {
+    let lost_connections = match text("lost") {
         "" => String::new(),
-        lost => format!("; the connections to these servers ended under it: {lost}"),
+        lost => format!("; connections to these servers were lost during the request: {lost}"),
     };
     match line.event.as_str() {
         "refused" if line.fields.contains_key("target") => format!(
-            "{process} refused it at once: {}; it may be tried again in {} s",
+            "{process} refused it immediately: {}; it may be retried in {} s",
             text("reason"),
             number("left_ms") / 1_000
         ),
         "refused" => format!(
-            "{process} refused it at once: {} ({} open)",
+            "{process} refused it immediately: {} ({} open)",
             text("reason"),
             number("open")
         ),
         "partial" => {
-            format!("{process} answered after {after} ms with {parts}; {extra}; {missing}")
+            format!(
+                "{process} sent a partial response after {elapsed_ms} ms with {arrived}; {attempts}; {missing}"
+            )
         }
-        "late" => format!("{process} answered whole but after its aim, after {after} ms; {extra}"),
+        "late" => format!(
+            "{process} sent a complete response after {elapsed_ms} ms, later than the latency target; {attempts}"
+        ),
         "failed" if line.fields.contains_key("shards") => {
-            format!("{process} gave it up after {after} ms with {parts}; {extra}; {missing}{lost}")
+            format!(
+                "{process} failed it after {elapsed_ms} ms with {arrived}; {attempts}; {missing}{lost_connections}"
+            )
         }
         "failed" => format!(
-            "{process} gave it up after {after} ms with status {}: {}{lost}",
+            "{process} failed it after {elapsed_ms} ms with status {}: {}{lost_connections}",
             number("status"),
             text("reason")
         ),
--- a/crates/sablehaven-cli/src/lib.rs
+++ b/crates/sablehaven-cli/src/lib.rs
@@ -1,8 +1,8 @@
-//! The command line of Sablehaven: one subcommand a role, checks of settings and schemas, and every
-//! operator action.
+//! The command line of Sablehaven, with subcommands that run the roles, check settings and schemas,
+//! inspect data folders and logs, and perform operator actions.
 //!
-//! The binary is a thin `main`; everything is here so that test programs can run a role with the
-//! same code.
+//! All code is in this library rather than in `main`, so that test programs run roles with the same
+//! code as the binary.
 
 mod arguments;
 mod data_command;
@@ -25,14 +25,14 @@
 
 use clap::ArgMatches;
 
-/// Runs the command line and returns the process's exit code (see [`ExitStatus`]).
+/// Runs the command line and returns the exit code of the process (see [`ExitStatus`]).
 ///
-/// Errors go to standard error, results to standard output.
+/// Results are written to standard output and errors to standard error.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = match command().try_get_matches_from(arguments) {
         Ok(matches) => matches,
         Err(error) => {
-            // Nothing can be done when the terminal is gone.
+            // A failure to write to the terminal cannot be reported anywhere.
             let _ = error.print();
             return if error.use_stderr() {
                 ExitStatus::Usage.into()
--- a/crates/sablehaven-cli/src/operator/apply.rs
+++ b/crates/sablehaven-cli/src/operator/apply.rs
@@ -1,4 +1,4 @@
-//! Changing the configuration and waiting until a version is in force.
+//! Operator commands that change the configuration and that wait until a version is in force.
 
 use std::{
     path::PathBuf,
@@ -15,10 +15,11 @@
 use super::{Context, OperatorClient};
 use crate::error::{CommandError, ExitStatus};
 
-/// The longest wait that one request to control asks for; the client asks again until its own limit.
-const WAIT_STEP: Duration = Duration::from_secs(2);
+/// Maximum time that a single wait request asks control to wait. The client repeats the request until
+/// its own timeout.
+const MAX_WAIT_PER_REQUEST: Duration = Duration::from_secs(2);
 
-/// What an apply with `--wait` prints.
+/// Printed result of `operator apply`.
 #[derive(Debug, Serialize)]
 struct ApplyResult<'a> {
     command_id: &'a CommandId,
@@ -29,22 +30,22 @@
 }
 
 impl OperatorClient {
-    /// Sends a change of the configuration; safe to send again with the same command id.
+    /// Sends a change of the configuration. Sending the same command id again is safe.
     pub async fn apply(&self, command: &ApplyCommand) -> Result<ApplyOutcome, CommandError> {
         self.post(paths::APPLY, command).await
     }
 
-    /// Waits until the version is in force at every agent, at most for the client's limit.
+    /// Waits until the version is in force at every agent, for at most the timeout of the client.
     ///
-    /// A reply whose `in_force` is false names the agents where it is not.
+    /// If the reply has `in_force: false`, it lists the agents at which the version is not in force.
     pub async fn wait(&self, version: u64) -> Result<WaitReply, CommandError> {
-        let end = Instant::now() + self.limit();
+        let deadline = Instant::now() + self.timeout();
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            let step = left.min(WAIT_STEP).as_millis();
-            let path = format!("{}?version={version}&timeout_ms={step}", paths::WAIT);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let wait_ms = remaining.min(MAX_WAIT_PER_REQUEST).as_millis();
+            let path = format!("{}?version={version}&timeout_ms={wait_ms}", paths::WAIT);
             let reply: WaitReply = self.get(&path).await?;
-            if reply.in_force || left.is_zero() {
+            if reply.in_force || remaining.is_zero() {
                 return Ok(reply);
             }
         }
@@ -55,8 +56,8 @@
     context: &Context,
     matches: &ArgMatches,
 ) -> Result<ExitStatus, CommandError> {
-    let command = command(matches)?;
-    // Named before it is sent, so that it can be sent again after a lost reply.
+    let command = read_command(matches)?;
+    // Printed before the command is sent, so that it can be resent if the reply is lost.
     eprintln!("command id: {}", command.command_id);
     let outcome = context.client.apply(&command).await?;
     let wait = match outcome {
@@ -97,14 +98,14 @@
     })
 }
 
-fn command(matches: &ArgMatches) -> Result<ApplyCommand, CommandError> {
+fn read_command(matches: &ArgMatches) -> Result<ApplyCommand, CommandError> {
     let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
     let change = match matches.get_one::<PathBuf>("configuration") {
         Some(path) => ConfigurationChange::ReplaceAll {
             configuration: read_json::<Configuration>(path)?,
         },
         None => {
-            let path: &PathBuf = matches.get_one("change").expect("clap requires one");
+            let path: &PathBuf = matches.get_one("change").expect("clap requires the change");
             read_json(path)?
         }
     };
@@ -124,16 +125,16 @@
     })
 }
 
-/// Unique for one operator at one moment on one machine.
+/// Generates a command id from operator, time and process id. It is unique per operator and machine.
 fn new_command_id(operator: &OperatorId) -> CommandId {
     let now = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let process = std::process::id();
-    CommandId(format!("{operator}-{:x}-{process:x}", now.as_nanos()))
+    let process_id = std::process::id();
+    CommandId(format!("{operator}-{:x}-{process_id:x}", now.as_nanos()))
 }
 
-fn read_json<Value: DeserializeOwned>(path: &PathBuf) -> Result<Value, CommandError> {
+fn read_json<Document: DeserializeOwned>(path: &PathBuf) -> Result<Document, CommandError> {
     let text = std::fs::read_to_string(path).map_err(|source| CommandError::Read {
         path: path.clone(),
         source,
@@ -153,7 +154,7 @@
         } => {
             let winner = winner.as_ref().map(|winner| {
                 format!(
-                    "; version {} was made by {} with command {} ({})",
+                    "; version {} was created by {} with command {} ({})",
                     winner.version, winner.operator, winner.command_id, winner.reason
                 )
             });
@@ -163,10 +164,7 @@
             )
         }
         ApplyOutcome::Invalid { reasons } => {
-            format!(
-                "not valid, nothing was changed:\n  {}",
-                reasons.join("\n  ")
-            )
+            format!("invalid, nothing was changed:\n  {}", reasons.join("\n  "))
         }
     };
     match wait {
@@ -177,17 +175,17 @@
 
 fn describe_wait(reply: &WaitReply) -> String {
     if reply.in_force {
-        return format!("version {} is in force everywhere", reply.version);
+        return format!("version {} is in force at every agent", reply.version);
     }
-    let mut text = format!("version {} is not in force everywhere", reply.version);
+    let mut text = format!("version {} is not in force at every agent", reply.version);
     for agent in &reply.behind {
         text.push_str(&format!(
-            "\n  agent {} has version {}, its last lease is {} ms old",
+            "\n  agent {} has version {}, last lease granted {} ms ago",
             agent.agent, agent.version, agent.lease_age_ms
         ));
     }
     if reply.settling {
-        text.push_str("\n  the leader is new, and agents may be unknown to it yet");
+        text.push_str("\n  the leader was elected recently and may not know all agents yet");
     }
     text
 }
--- a/crates/sablehaven-cli/src/operator/client.rs
+++ b/crates/sablehaven-cli/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! The operators' connection to the control replicas.
+//! HTTP client for the operator API of the control replicas.
 
 use std::{
     net::SocketAddr,
@@ -10,71 +10,75 @@
 
 use crate::error::CommandError;
 
-/// Pause between two rounds over all addresses while no leader answers.
-const ROUND_PAUSE: Duration = Duration::from_millis(100);
+/// Delay between two rounds over all addresses while no leader responds.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time that one request may take beyond what it asks control to wait.
-const REQUEST_LIMIT: Duration = Duration::from_secs(5);
+/// Margin that is added to the client's timeout to get the timeout of a single request, since a
+/// request may ask control to wait.
+const REQUEST_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
-/// Time that a connection attempt may take, so that a cut-off replica does not hold up the others.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of a connection attempt. It is short so that an unreachable replica does not delay requests
+/// to the others.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends operators' requests to whichever control replica leads.
+/// Sends operator requests to the control replica that is the leader.
 ///
-/// A request is sent again, to the same or another replica, while no leader answers; that is safe
-/// because every operator request takes effect once however often it is sent (a command id, a
-/// replica or an address names it).
+/// While no leader responds, a request is retried at the same or another replica. This is safe because
+/// operator requests are idempotent: each is identified by a command id, a replica or an address and
+/// takes effect once, however often it is sent.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     http: Client,
     control: Vec<SocketAddr>,
-    limit: Duration,
+    timeout: Duration,
 }
 
-/// A control replica's word that another one leads (status 421).
+/// Response body with status 421, sent by a replica that is not the leader.
 #[derive(Debug, Deserialize)]
 struct NotLeaderBody {
     leader: Option<SocketAddr>,
 }
 
-/// A refusal with its reason, as control words it.
+/// Response body of an error.
 #[derive(Debug, Deserialize)]
 struct ErrorBody {
     error: String,
 }
 
-/// What one replica answered.
-enum Answer<Response> {
-    Done(Response),
-    Follow(SocketAddr),
-    TryAnother(String),
+/// Result of sending a request to one replica.
+enum SendResult<Response> {
+    Success(Response),
+    /// The replica is not the leader and names the one that is.
+    Redirect(SocketAddr),
+    /// Another replica should be tried, for this reason.
+    TryNext(String),
 }
 
 impl OperatorClient {
-    /// A client of the control replicas with these HTTP addresses that looks for a leader for at
-    /// most `limit`.
-    pub fn new(control: Vec<SocketAddr>, limit: Duration) -> Result<Self, CommandError> {
+    /// Creates a client for the control replicas with these HTTP addresses. It looks for a leader for
+    /// at most `timeout`.
+    pub fn new(control: Vec<SocketAddr>, timeout: Duration) -> Result<Self, CommandError> {
         let http = Client::builder()
-            .connect_timeout(CONNECT_LIMIT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .build()
             .map_err(|error| CommandError::Operator {
-                step: "set up the HTTP client".to_owned(),
+                operation: "creating the HTTP client".to_owned(),
                 peer: "this process".to_owned(),
                 reason: error.to_string(),
             })?;
         Ok(Self {
             http,
             control,
-            limit,
+            timeout,
         })
     }
 
-    /// The time for which the client looks for a leader.
-    pub fn limit(&self) -> Duration {
-        self.limit
+    /// Returns the time for which the client looks for a leader.
+    pub fn timeout(&self) -> Duration {
+        self.timeout
     }
 
-    /// Sends a GET request.
+    /// Sends a GET request to the leader.
     pub async fn get<Response: DeserializeOwned>(
         &self,
         path: &str,
@@ -83,7 +87,7 @@
             .await
     }
 
-    /// Sends a POST request with a JSON body.
+    /// Sends a POST request with a JSON body to the leader.
     pub async fn post<Request: Serialize, Response: DeserializeOwned>(
         &self,
         path: &str,
@@ -95,78 +99,89 @@
         .await
     }
 
+    /// Sends a request to the addresses in turn, and to the leader that they name, until one of them
+    /// handles it or the timeout has passed.
     async fn send<Response: DeserializeOwned>(
         &self,
         path: &str,
         request: impl Fn(SocketAddr) -> RequestBuilder,
     ) -> Result<Response, CommandError> {
-        let end = Instant::now() + self.limit;
+        let deadline = Instant::now() + self.timeout;
         loop {
             let mut reasons = Vec::new();
             for &address in &self.control {
-                match self.ask(address, path, &request).await? {
-                    Answer::Done(response) => return Ok(response),
-                    Answer::TryAnother(reason) => reasons.push(reason),
-                    Answer::Follow(leader) => match self.ask(leader, path, &request).await? {
-                        Answer::Done(response) => return Ok(response),
-                        Answer::TryAnother(reason) => reasons.push(reason),
-                        Answer::Follow(_) => reasons.push(format!("{leader}: does not lead")),
-                    },
+                match self.send_to(address, path, &request).await? {
+                    SendResult::Success(response) => return Ok(response),
+                    SendResult::TryNext(reason) => reasons.push(reason),
+                    SendResult::Redirect(leader) => {
+                        match self.send_to(leader, path, &request).await? {
+                            SendResult::Success(response) => return Ok(response),
+                            SendResult::TryNext(reason) => reasons.push(reason),
+                            SendResult::Redirect(_) => {
+                                reasons.push(format!("{leader}: is not the leader"))
+                            }
+                        }
+                    }
                 }
             }
-            if Instant::now() + ROUND_PAUSE >= end {
+            if Instant::now() + RETRY_DELAY >= deadline {
                 return Err(CommandError::Unavailable {
-                    step: path.to_owned(),
+                    operation: path.to_owned(),
                     reasons: reasons.join("; "),
                 });
             }
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn ask<Response: DeserializeOwned>(
+    /// Sends a request to one replica.
+    async fn send_to<Response: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
         request: &impl Fn(SocketAddr) -> RequestBuilder,
-    ) -> Result<Answer<Response>, CommandError> {
-        let sent = request(address)
-            .timeout(self.limit + REQUEST_LIMIT)
+    ) -> Result<SendResult<Response>, CommandError> {
+        let result = request(address)
+            .timeout(self.timeout + REQUEST_TIMEOUT_MARGIN)
             .send()
             .await;
-        let response = match sent {
+        let response = match result {
             Ok(response) => response,
-            Err(error) => return Ok(Answer::TryAnother(describe(address, &error))),
+            Err(error) => return Ok(SendResult::TryNext(describe(address, &error))),
         };
         let status = response.status();
         let body = match response.bytes().await {
             Ok(body) => body,
-            Err(error) => return Ok(Answer::TryAnother(describe(address, &error))),
+            Err(error) => return Ok(SendResult::TryNext(describe(address, &error))),
         };
         if status.is_success() {
             return serde_json::from_slice(&body)
-                .map(Answer::Done)
-                .map_err(|error| refused(path, address, error.to_string()));
+                .map(SendResult::Success)
+                .map_err(|error| operator_error(path, address, error.to_string()));
         }
         match status {
             StatusCode::MISDIRECTED_REQUEST => Ok(not_leader(address, &body)),
-            StatusCode::SERVICE_UNAVAILABLE => Ok(Answer::TryAnother(format!(
+            StatusCode::SERVICE_UNAVAILABLE => Ok(SendResult::TryNext(format!(
                 "{address}: {}",
                 error_text(&body)
             ))),
-            _ => Err(refused(path, address, error_text(&body))),
+            _ => Err(operator_error(path, address, error_text(&body))),
         }
     }
 }
 
-fn not_leader<Response>(address: SocketAddr, body: &[u8]) -> Answer<Response> {
-    let named = serde_json::from_slice::<NotLeaderBody>(body);
-    match named.ok().and_then(|named| named.leader) {
-        Some(leader) => Answer::Follow(leader),
-        None => Answer::TryAnother(format!("{address}: knows no leader")),
+/// Interprets the body of a response with status 421.
+fn not_leader<Response>(address: SocketAddr, body: &[u8]) -> SendResult<Response> {
+    let body = serde_json::from_slice::<NotLeaderBody>(body);
+    match body.ok().and_then(|body| body.leader) {
+        Some(leader) => SendResult::Redirect(leader),
+        None => SendResult::TryNext(format!(
+            "{address}: not the leader, and the leader is unknown"
+        )),
     }
 }
 
+/// Returns the error in a response body, or the body itself if it is not a JSON error.
 fn error_text(body: &[u8]) -> String {
     match serde_json::from_slice::<ErrorBody>(body) {
         Ok(body) => body.error,
@@ -174,21 +189,21 @@
     }
 }
 
-fn refused(path: &str, address: SocketAddr, reason: String) -> CommandError {
+fn operator_error(path: &str, address: SocketAddr, reason: String) -> CommandError {
     CommandError::Operator {
-        step: path.to_owned(),
+        operation: path.to_owned(),
         peer: address.to_string(),
         reason,
     }
 }
 
-/// The error with its causes, which reqwest leaves out of its own text.
+/// Formats an error with its sources, which the display text of a reqwest error leaves out.
 fn describe(address: SocketAddr, error: &reqwest::Error) -> String {
     let mut text = format!("{address}: {error}");
-    let mut cause = std::error::Error::source(error);
-    while let Some(error) = cause {
+    let mut source = std::error::Error::source(error);
+    while let Some(error) = source {
         text.push_str(&format!(": {error}"));
-        cause = error.source();
+        source = error.source();
     }
     text
 }
--- a/crates/sablehaven-cli/src/operator/control_machines.rs
+++ b/crates/sablehaven-cli/src/operator/control_machines.rs
@@ -1,4 +1,4 @@
-//! Adding, removing and replacing control replicas, and handing leadership over.
+//! Operator commands that add, remove and replace control replicas, and that transfer leadership.
 
 use std::net::SocketAddr;
 
@@ -60,7 +60,7 @@
     let started: TransferStarted = context.client.post(paths::TRANSFER, &request).await?;
     context.output.print(&started, || {
         format!(
-            "leadership of group {} is being handed to {}; `operator status` shows when it is done",
+            "transfer of the leadership of group {} to {} started; `operator status` shows the leader",
             started.group, started.to
         )
     })?;
@@ -70,10 +70,12 @@
 fn describe(outcome: &ReplicasOutcome) -> String {
     match outcome {
         ReplicasOutcome::Started { change } => {
-            format!("change {change} has started; `operator status` shows when it is done")
+            format!(
+                "change {change} started; `operator status` shows whether it is still in progress"
+            )
         }
         ReplicasOutcome::Busy { current } => {
-            format!("another change is not done yet: {current:?}")
+            format!("another change is in progress: {current:?}")
         }
         ReplicasOutcome::Refused { reason } => format!("refused: {reason}"),
         ReplicasOutcome::Recorded => "recorded".to_owned(),
--- a/crates/sablehaven-cli/src/operator/mod.rs
+++ b/crates/sablehaven-cli/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! `sablehaven operator`: every action of an operator, each with a table or JSON as its result.
+//! The `sablehaven operator` command. Each of its actions prints its result as text or JSON.
 
 mod apply;
 mod client;
@@ -15,7 +15,7 @@
 use crate::error::{CommandError, ExitStatus};
 use crate::output::Output;
 
-/// What every operator action needs.
+/// Client and output format that an action uses.
 struct Context {
     client: OperatorClient,
     output: Output,
@@ -33,7 +33,7 @@
     let Some((action, action_matches)) = matches.subcommand() else {
         unreachable!("clap requires a subcommand");
     };
-    let context = context(matches, action_matches)?;
+    let context = new_context(matches, action_matches)?;
     match action {
         "apply" => apply::apply(&context, action_matches).await,
         "wait" => apply::wait(&context, action_matches).await,
@@ -45,21 +45,21 @@
         "ledger" => reads::ledger(&context, action_matches).await,
         "transfer-leadership" => control_machines::transfer(&context, action_matches).await,
         "control" => control_machines::run(&context, action_matches).await,
-        _ => unreachable!("clap knows every action"),
+        _ => unreachable!("clap rejects unknown actions"),
     }
 }
 
-fn context(matches: &ArgMatches, action_matches: &ArgMatches) -> Result<Context, CommandError> {
+fn new_context(matches: &ArgMatches, action_matches: &ArgMatches) -> Result<Context, CommandError> {
     let control: Vec<SocketAddr> = matches
         .get_many("control")
         .unwrap_or_default()
         .copied()
         .collect();
-    let limit_ms: u64 = *action_matches
+    let timeout_ms: u64 = *action_matches
         .get_one("timeout_ms")
-        .expect("the time has a default");
+        .expect("the timeout has a default");
     Ok(Context {
-        client: OperatorClient::new(control, Duration::from_millis(limit_ms))?,
+        client: OperatorClient::new(control, Duration::from_millis(timeout_ms))?,
         output: Output::new(action_matches.get_flag("json")),
     })
 }
--- a/crates/sablehaven-cli/src/operator/quotas.rs
+++ b/crates/sablehaven-cli/src/operator/quotas.rs
@@ -1,4 +1,4 @@
-//! What tenants have of their quotas, over all control replicas.
+//! Operator command that shows the quota usage of tenants, summed over all control replicas.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,44 +12,45 @@
     output::table,
 };
 
-/// Time in which a replica answers for its part; one that is down must not hold up the others' figures.
-const REPLICA_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of the request to one replica. It is short so that a replica that is down does not delay the
+/// usage of the others.
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What tenants have of their quotas.
+/// Quota usage of all tenants.
 #[derive(Debug, Serialize)]
 struct QuotaReport {
     tenants: Vec<QuotaUsage>,
-    /// Replicas whose part is not in the figures, and why.
+    /// Replicas whose usage is not included in `tenants`, each with the reason.
     missing: Vec<String>,
 }
 
 pub(super) async fn quotas(context: &Context) -> Result<ExitStatus, CommandError> {
     let status: ControlStatus = context.client.get(paths::STATUS).await?;
-    let mut parts = Vec::new();
+    let mut usages = Vec::new();
     let mut missing = Vec::new();
     for replica in &status.replicas {
-        match ask(replica).await {
-            Ok(part) => parts.push(part),
+        match fetch_usage(replica).await {
+            Ok(usage) => usages.push(usage),
             Err(error) => missing.push(format!("{}: {error}", replica.replica)),
         }
     }
     let report = QuotaReport {
-        tenants: sum(parts),
+        tenants: sum_by_tenant(usages),
         missing,
     };
     context.output.print(&report, || describe(&report))?;
     Ok(ExitStatus::Success)
 }
 
-async fn ask(replica: &ReplicaState) -> Result<Vec<QuotaUsage>, CommandError> {
-    let client = OperatorClient::new(vec![replica.addresses.http], REPLICA_LIMIT)?;
+async fn fetch_usage(replica: &ReplicaState) -> Result<Vec<QuotaUsage>, CommandError> {
+    let client = OperatorClient::new(vec![replica.addresses.http], REPLICA_TIMEOUT)?;
     client.get(paths::QUOTAS).await
 }
 
-/// The parts of all replicas together, by tenant.
-fn sum(parts: Vec<Vec<QuotaUsage>>) -> Vec<QuotaUsage> {
+/// Adds up the usage of all replicas by tenant.
+fn sum_by_tenant(usages: Vec<Vec<QuotaUsage>>) -> Vec<QuotaUsage> {
     let mut sums: BTreeMap<TenantName, QuotaUsage> = BTreeMap::new();
-    for usage in parts.into_iter().flatten() {
+    for usage in usages.into_iter().flatten() {
         match sums.get_mut(&usage.tenant) {
             Some(sum) => {
                 sum.granted += usage.granted;
@@ -69,7 +70,10 @@
         let quota = usage.quota;
         [
             usage.tenant.to_string(),
-            quota.map_or_else(|| "any".to_owned(), |quota| quota.per_second.to_string()),
+            quota.map_or_else(
+                || "unlimited".to_owned(),
+                |quota| quota.per_second.to_string(),
+            ),
             quota.map_or_else(String::new, |quota| quota.burst.to_string()),
             usage.granted.to_string(),
             usage.refused.to_string(),
@@ -78,12 +82,17 @@
     });
     let mut text = table(
         [
-            "tenant", "a second", "burst", "granted", "refused", "left now",
+            "tenant",
+            "per second",
+            "burst",
+            "granted",
+            "refused",
+            "tokens left",
         ],
         rows,
     );
     for replica in &report.missing {
-        text.push_str(&format!("not in the figures: {replica}\n"));
+        text.push_str(&format!("not included in the sums: {replica}\n"));
     }
     text
 }
--- a/crates/sablehaven-cli/src/operator/reads.rs
+++ b/crates/sablehaven-cli/src/operator/reads.rs
@@ -1,4 +1,4 @@
-//! Actions that only look.
+//! Operator commands that only read.
 
 use clap::ArgMatches;
 use sablehaven_consensus::ReplicaId;
@@ -19,7 +19,7 @@
 ) -> Result<ExitStatus, CommandError> {
     let configuration: Configuration = context
         .client
-        .get(&path(paths::CONFIGURATION, matches))
+        .get(&read_path(paths::CONFIGURATION, matches))
         .await?;
     context.output.print(&configuration, || {
         let rows = configuration.services.iter().map(|(name, service)| {
@@ -46,7 +46,10 @@
     context: &Context,
     matches: &ArgMatches,
 ) -> Result<ExitStatus, CommandError> {
-    let history: Vec<CommandRecord> = context.client.get(&path(paths::HISTORY, matches)).await?;
+    let history: Vec<CommandRecord> = context
+        .client
+        .get(&read_path(paths::HISTORY, matches))
+        .await?;
     context.output.print(&history, || {
         let rows = history.iter().map(|record| {
             [
@@ -58,7 +61,7 @@
             ]
         });
         table(
-            ["version", "at (ms)", "operator", "command", "reason"],
+            ["version", "time (ms)", "operator", "command", "reason"],
             rows,
         )
     })?;
@@ -69,7 +72,10 @@
     context: &Context,
     matches: &ArgMatches,
 ) -> Result<ExitStatus, CommandError> {
-    let backends: Vec<BackendRecord> = context.client.get(&path(paths::BACKENDS, matches)).await?;
+    let backends: Vec<BackendRecord> = context
+        .client
+        .get(&read_path(paths::BACKENDS, matches))
+        .await?;
     context.output.print(&backends, || {
         let rows = backends.iter().map(|backend| {
             [
@@ -96,8 +102,9 @@
     Ok(ExitStatus::Success)
 }
 
-/// The path of a reading, with or without proof of being current.
-fn path(path: &str, matches: &ArgMatches) -> String {
+/// Returns the path of a read request, which with `--unconfirmed` also accepts a reply without proof
+/// that it is current.
+fn read_path(path: &str, matches: &ArgMatches) -> String {
     if matches.get_flag("unconfirmed") {
         format!("{path}?unconfirmed=true")
     } else {
@@ -124,7 +131,7 @@
         request: text("request").into(),
         issued_at_ms: *matches
             .get_one("issued_at_ms")
-            .expect("clap requires the time"),
+            .expect("clap requires the issue time"),
     };
     let answer: ClaimAnswer = context.client.post(paths::LOOK_UP, &key).await?;
     context.output.print(&answer, || describe_claim(&answer))?;
@@ -133,16 +140,20 @@
 
 fn describe_claim(answer: &ClaimAnswer) -> String {
     match answer {
-        ClaimAnswer::Free => "not in the ledger: it did not run".to_owned(),
-        ClaimAnswer::Held => "claimed and not settled: it may run now or have run".to_owned(),
+        ClaimAnswer::Free => "not in the ledger: the request did not run".to_owned(),
+        ClaimAnswer::Held => {
+            "claimed but not settled: the request may be running or may have run".to_owned()
+        }
         ClaimAnswer::Settled(RecordedOutcome::Done { body }) => {
             format!("done, with a reply of {} bytes", body.len())
         }
         ClaimAnswer::Settled(RecordedOutcome::Unknown) => {
-            "dispatched once; whether it ran is not known".to_owned()
+            "dispatched once: whether the request ran is unknown".to_owned()
         }
         ClaimAnswer::BelowHorizon { horizon_ms } => {
-            format!("issued before the horizon ({horizon_ms} ms): forgotten, it can never run")
+            format!(
+                "issued before the horizon ({horizon_ms} ms): its entry is no longer kept, and it can no longer run"
+            )
         }
         other => format!("{other:?}"),
     }
@@ -152,28 +163,28 @@
     let formed = if status.is_formed {
         "formed"
     } else {
-        "waits to form a deployment or to be added"
+        "waiting to form a deployment or to be added to one"
     };
-    let leader = name_or(status.leader, "none known");
+    let leader = id_or(status.leader, "unknown");
     let mut text = format!(
-        "deployment {}, asked replica {}: {formed}; leader {leader}; configuration version {}\n\n",
+        "deployment {}, responding replica {}: {formed}; leader {leader}; configuration version {}\n\n",
         status.deployment, status.replica, status.configuration_version
     );
     if let Some(change) = &status.change {
-        text.push_str(&format!("change under way: {change:?}\n\n"));
+        text.push_str(&format!("change in progress: {change:?}\n\n"));
     }
     text.push_str(&replica_table(&status.replicas));
     text.push('\n');
     text.push_str(&group_table(&status.groups));
     text.push_str(&format!(
-        "\n{} relays, {} agents behind them\n",
+        "\n{} relays with {} agents\n",
         status.relays.len(),
         status.agents.len()
     ));
     if !status.held_back.is_empty() {
         let names: Vec<&str> = status.held_back.iter().map(|id| id.as_str()).collect();
         text.push_str(&format!(
-            "suspected, kept in service by the floor: {}\n",
+            "suspected, but kept in service by the removal limit or for shard coverage: {}\n",
             names.join(", ")
         ));
     }
@@ -193,13 +204,13 @@
 }
 
 fn group_table(groups: &[GroupStatus]) -> String {
-    let head = [
+    let header = [
         "group", "leader", "term", "commit", "applied", "voters", "learners",
     ];
     let rows = groups.iter().map(|group| {
         [
             group.group.to_string(),
-            name_or(group.leader, "-"),
+            id_or(group.leader, "-"),
             group.term.to_string(),
             group.commit.to_string(),
             group.applied.to_string(),
@@ -207,9 +218,9 @@
             group.learners.len().to_string(),
         ]
     });
-    table(head, rows)
+    table(header, rows)
 }
 
-fn name_or(replica: Option<ReplicaId>, otherwise: &str) -> String {
-    replica.map_or_else(|| otherwise.to_owned(), |replica| replica.to_string())
+fn id_or(replica: Option<ReplicaId>, default: &str) -> String {
+    replica.map_or_else(|| default.to_owned(), |replica| replica.to_string())
 }
--- a/crates/sablehaven-cli/src/output.rs
+++ b/crates/sablehaven-cli/src/output.rs
@@ -1,10 +1,10 @@
-//! How results are printed.
+//! Output of command results as text or JSON.
 
 use serde::Serialize;
 
 use crate::error::CommandError;
 
-/// Prints results as text or as JSON.
+/// Prints results in the selected format.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Output {
     json: bool,
@@ -15,7 +15,7 @@
         Self { json }
     }
 
-    /// Prints the value as JSON if that was asked for, else the text.
+    /// Prints `value` as JSON if JSON was requested, and otherwise the text.
     pub(crate) fn print(
         self,
         value: &impl Serialize,
@@ -31,26 +31,26 @@
     }
 }
 
-/// Lines of columns, each as wide as its widest cell.
+/// Formats a table whose columns are as wide as their widest cell.
 pub(crate) fn table<const COLUMNS: usize>(
-    head: [&str; COLUMNS],
+    header: [&str; COLUMNS],
     rows: impl IntoIterator<Item = [String; COLUMNS]>,
 ) -> String {
-    let mut lines = vec![head.map(str::to_owned)];
-    lines.extend(rows);
+    let mut table_rows = vec![header.map(str::to_owned)];
+    table_rows.extend(rows);
     let mut widths = [0; COLUMNS];
-    for line in &lines {
-        for (width, cell) in widths.iter_mut().zip(line) {
+    for row in &table_rows {
+        for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
         }
     }
     let mut text = String::new();
-    for line in &lines {
-        let mut row = String::new();
-        for (width, cell) in widths.iter().zip(line) {
-            row.push_str(&format!("{cell:width$}  "));
+    for row in &table_rows {
+        let mut line = String::new();
+        for (width, cell) in widths.iter().zip(row) {
+            line.push_str(&format!("{cell:width$}  "));
         }
-        text.push_str(row.trim_end());
+        text.push_str(line.trim_end());
         text.push('\n');
     }
     text
--- a/crates/sablehaven-cli/src/role_command.rs
+++ b/crates/sablehaven-cli/src/role_command.rs
@@ -1,4 +1,5 @@
-//! `sablehaven control`, `relay`, `agent` and `gateway`: runs one role until it is told to stop.
+//! The `sablehaven control`, `relay`, `agent` and `gateway` commands, which run one role until it fails
+//! or a signal stops it.
 
 use std::{future::Future, path::PathBuf, pin::Pin};
 
@@ -16,13 +17,16 @@
     settings::{self, RoleName, SettingOverride, Settings},
 };
 
-type Finished<'a, Output> = Pin<Box<dyn Future<Output = Output> + 'a>>;
+type BoxFuture<'a, Output> = Pin<Box<dyn Future<Output = Output> + 'a>>;
 
-/// A started role of any kind.
+/// Common interface of the handles of all roles.
 trait RunningRole {
+    /// Addresses on which the role listens.
     fn addresses(&self) -> BoundAddresses;
-    fn failed(&mut self) -> Finished<'_, String>;
-    fn stop(self: Box<Self>) -> Finished<'static, ()>;
+    /// Completes with the reason if the role fails.
+    fn failed(&mut self) -> BoxFuture<'_, String>;
+    /// Performs a planned stop, which lets requests in flight complete.
+    fn stop(self: Box<Self>) -> BoxFuture<'static, ()>;
 }
 
 macro_rules! running_role {
@@ -32,11 +36,11 @@
                 <$handle>::addresses(self)
             }
 
-            fn failed(&mut self) -> Finished<'_, String> {
+            fn failed(&mut self) -> BoxFuture<'_, String> {
                 Box::pin(<$handle>::failed(self))
             }
 
-            fn stop(self: Box<Self>) -> Finished<'static, ()> {
+            fn stop(self: Box<Self>) -> BoxFuture<'static, ()> {
                 Box::pin(<$handle>::stop(*self))
             }
         }
@@ -50,9 +54,9 @@
     sablehaven_gateway::Handle,
 );
 
-/// Runs the role in four phases: load and check the settings, start, print the bound addresses as
-/// one JSON line on standard output, and on SIGTERM or SIGINT stop without interrupting a request.
-/// A second signal during the stop ends the process at once.
+/// Runs a role in four phases: it loads and checks the settings, starts the role, prints the bound
+/// addresses as one JSON line on standard output, and stops without interrupting requests on SIGTERM
+/// or SIGINT. A second signal during the stop terminates the process immediately.
 pub(crate) fn run(role: RoleName, matches: &ArgMatches) -> Result<ExitStatus, CommandError> {
     let path = matches.get_one::<PathBuf>("settings");
     let overrides: Vec<SettingOverride> = matches
@@ -73,9 +77,9 @@
         .enable_all()
         .build()
         .map_err(CommandError::Runtime)?;
-    // A gateway's tasks share state without locks, so they stay on this thread.
-    let running = run_until_stopped(role, loaded.settings, telemetry);
-    LocalSet::new().block_on(&runtime, running)
+    // The tasks of a gateway share state without locks, so they must stay on this thread.
+    let role_future = run_until_stopped(role, loaded.settings, telemetry);
+    LocalSet::new().block_on(&runtime, role_future)
 }
 
 async fn run_until_stopped(
@@ -98,8 +102,8 @@
     }
     tokio::select! {
         () = running.stop() => Ok(ExitStatus::Success),
-        _ = terminate.recv() => Err(role_error(role, &"stop: told to stop a second time")),
-        _ = interrupt.recv() => Err(role_error(role, &"stop: told to stop a second time")),
+        _ = terminate.recv() => Err(role_error(role, &"planned stop aborted by a second signal")),
+        _ = interrupt.recv() => Err(role_error(role, &"planned stop aborted by a second signal")),
     }
 }
 
@@ -108,23 +112,23 @@
     settings: Settings,
     telemetry: Telemetry,
 ) -> Result<Box<dyn RunningRole>, CommandError> {
-    let error = |reason: String| role_error(role, &reason);
+    let failure = |reason: String| role_error(role, &reason);
     let running: Box<dyn RunningRole> = match role {
         RoleName::Control => {
-            let started = sablehaven_control::start(settings.control, telemetry).await;
-            Box::new(started.map_err(|reason| error(reason.to_string()))?)
+            let result = sablehaven_control::start(settings.control, telemetry).await;
+            Box::new(result.map_err(|error| failure(error.to_string()))?)
         }
         RoleName::Relay => {
-            let started = sablehaven_relay::start(settings.relay, telemetry).await;
-            Box::new(started.map_err(|reason| error(reason.to_string()))?)
+            let result = sablehaven_relay::start(settings.relay, telemetry).await;
+            Box::new(result.map_err(|error| failure(error.to_string()))?)
         }
         RoleName::Agent => {
-            let started = sablehaven_agent::start(settings.agent, telemetry).await;
-            Box::new(started.map_err(|reason| error(reason.to_string()))?)
+            let result = sablehaven_agent::start(settings.agent, telemetry).await;
+            Box::new(result.map_err(|error| failure(error.to_string()))?)
         }
         RoleName::Gateway => {
-            let started = sablehaven_gateway::start(settings.gateway, HeaderNames::default());
-            Box::new(started.map_err(|reason| error(reason.to_string()))?)
+            let result = sablehaven_gateway::start(settings.gateway, HeaderNames::default());
+            Box::new(result.map_err(|error| failure(error.to_string()))?)
         }
     };
     Ok(running)
--- a/crates/sablehaven-cli/src/schema_command.rs
+++ b/crates/sablehaven-cli/src/schema_command.rs
@@ -1,4 +1,4 @@
-//! `sablehaven schema`: checks a deployment's schema and writes its typed clients.
+//! The `sablehaven schema` command, which checks a schema and generates its typed clients.
 
 use std::path::PathBuf;
 
@@ -49,7 +49,8 @@
     Ok(ExitStatus::Success)
 }
 
-/// Reads and parses the schema; `None` after every problem was written to standard error.
+/// Reads and parses a schema. If it is invalid, writes every problem to standard error and returns
+/// `None`.
 fn load(path: &PathBuf) -> Result<Option<DeploymentSchema>, CommandError> {
     let text = std::fs::read_to_string(path).map_err(|source| CommandError::Read {
         path: path.clone(),
--- a/crates/sablehaven-cli/src/settings.rs
+++ b/crates/sablehaven-cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: one TOML section a role, with overrides from the command line.
+//! The settings file, which has one TOML section per role, and overrides from the command line.
 
 use std::{
     collections::BTreeSet,
@@ -10,21 +10,21 @@
 use sablehaven_types::SettingError;
 use serde::{Deserialize, Serialize};
 
-/// Settings of every role; a process reads its own section.
+/// Settings of all roles. A process uses the section of its role.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// A control replica.
+    /// Settings of a control replica.
     pub control: sablehaven_control::Config,
-    /// A relay.
+    /// Settings of a relay.
     pub relay: sablehaven_relay::Config,
-    /// An agent.
+    /// Settings of an agent.
     pub agent: sablehaven_agent::Config,
-    /// A gateway.
+    /// Settings of a gateway.
     pub gateway: sablehaven_gateway::Config,
 }
 
-/// A role that a process can take.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RoleName {
     /// A control replica.
@@ -38,10 +38,11 @@
 }
 
 impl RoleName {
-    /// Every role.
+    /// All roles.
     pub const ALL: [Self; 4] = [Self::Control, Self::Relay, Self::Agent, Self::Gateway];
 
-    /// The role's name, which is also its subcommand and its section in the settings file.
+    /// Returns the name of the role, which is also the name of its subcommand and of its section in the
+    /// settings file.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Control => "control",
@@ -58,40 +59,40 @@
     }
 }
 
-/// Errors of loading settings; each names the file or the key.
+/// Errors that occur while settings are loaded. Each message names the file or the key.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum SettingsError {
-    /// read settings {path}: {source}
+    /// failed to read settings {path}: {source}
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// parse settings {path}: {reason}
+    /// failed to parse settings {path}: {reason}
     Parse {
-        /// The file.
+        /// Path of the file, or a description of the source if there is no file.
         path: String,
-        /// What does not fit, with its line.
+        /// Description of the error, with its line in the file.
         reason: String,
     },
-    /// override '{text}': {reason}
+    /// invalid override '{text}': {reason}
     Override {
-        /// The override as given.
+        /// Text of the override, or its key.
         text: String,
-        /// What does not fit.
+        /// Description of the error.
         reason: &'static str,
     },
-    /// settings {path} are not valid:{problems}
+    /// settings {path} are invalid:{problems}
     Invalid {
-        /// The file.
+        /// Path of the file, or a description of the source if there is no file.
         path: String,
-        /// Every setting that cannot be used.
+        /// All invalid settings.
         problems: SettingProblems,
     },
 }
 
-/// Every setting that cannot be used, one a line.
+/// All invalid settings, displayed one per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingProblems(pub Vec<SettingError>);
 
@@ -104,7 +105,7 @@
     }
 }
 
-/// One `--set section.key=value` of the command line.
+/// One `--set section.key=value` argument of the command line.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct SettingOverride {
     keys: Vec<String>,
@@ -115,16 +116,16 @@
     type Err = SettingsError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refuse = |reason| SettingsError::Override {
+        let invalid = |reason| SettingsError::Override {
             text: text.to_owned(),
             reason,
         };
         let (path, value) = text
             .split_once('=')
-            .ok_or_else(|| refuse("expected section.key=value"))?;
+            .ok_or_else(|| invalid("expected section.key=value"))?;
         let keys: Vec<String> = path.trim().split('.').map(str::to_owned).collect();
         if keys.len() < 2 || keys.iter().any(String::is_empty) {
-            return Err(refuse("expected a key such as agent.http_listen"));
+            return Err(invalid("expected a key such as agent.http_listen"));
         }
         Ok(Self {
             keys,
@@ -133,7 +134,8 @@
     }
 }
 
-/// A value as TOML; what is not TOML by itself, such as an address, is taken as text.
+/// Parses a value as TOML. A value that is not valid TOML, such as an unquoted address, becomes a
+/// string.
 fn parse_value(text: &str) -> toml::Value {
     let document = format!("value = {text}");
     match document.parse::<toml::Table>() {
@@ -144,29 +146,32 @@
     }
 }
 
-/// Settings as loaded, and which sections were given.
+/// Loaded settings.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadedSettings {
     pub(crate) settings: Settings,
+    /// Roles whose sections were checked: those present in the file or the overrides, and the required
+    /// one.
     pub(crate) sections: BTreeSet<RoleName>,
 }
 
-/// Reads the file, applies the overrides and checks the given sections and `required`.
+/// Reads the file, applies the overrides, and checks the sections that are present and the section of
+/// the `required` role.
 pub(crate) fn load(
     path: Option<&Path>,
     overrides: &[SettingOverride],
     required: Option<RoleName>,
 ) -> Result<LoadedSettings, SettingsError> {
-    let name = path.map_or_else(
-        || "of the command line".to_owned(),
+    let source = path.map_or_else(
+        || "from the command line".to_owned(),
         |path| path.display().to_string(),
     );
     let mut table = match path {
         Some(path) => read_table(path)?,
         None => toml::Table::new(),
     };
-    for change in overrides {
-        apply_override(&mut table, change)?;
+    for setting in overrides {
+        apply_override(&mut table, setting)?;
     }
     let mut sections: BTreeSet<RoleName> = RoleName::ALL
         .into_iter()
@@ -174,13 +179,13 @@
         .collect();
     sections.extend(required);
     let settings: Settings = table.try_into().map_err(|error| SettingsError::Parse {
-        path: name.clone(),
+        path: source.clone(),
         reason: error.to_string().trim_end().to_owned(),
     })?;
     let problems = validate(&settings, &sections);
     if !problems.is_empty() {
         return Err(SettingsError::Invalid {
-            path: name,
+            path: source,
             problems: SettingProblems(problems),
         });
     }
@@ -192,7 +197,7 @@
         path: path.to_owned(),
         source,
     })?;
-    // Parsed into the typed settings first, so that an error names its line in the file.
+    // Parsed as typed settings first, because these errors contain the line in the file.
     toml::from_str::<Settings>(&text)
         .map_err(|error| error.to_string())
         .and_then(|_| {
@@ -205,24 +210,24 @@
         })
 }
 
-fn apply_override(table: &mut toml::Table, change: &SettingOverride) -> Result<(), SettingsError> {
-    let (last, sections) = change
+fn apply_override(table: &mut toml::Table, setting: &SettingOverride) -> Result<(), SettingsError> {
+    let (last_key, section_keys) = setting
         .keys
         .split_last()
         .expect("an override has at least two keys");
     let mut table = table;
-    for key in sections {
+    for key in section_keys {
         let section = table
             .entry(key.clone())
             .or_insert_with(|| toml::Value::Table(toml::Table::new()));
         table = section
             .as_table_mut()
             .ok_or_else(|| SettingsError::Override {
-                text: change.keys.join("."),
-                reason: "a part of the key names a value, not a section",
+                text: setting.keys.join("."),
+                reason: "a component of the key before the last is a value, not a section",
             })?;
     }
-    table.insert(last.clone(), change.value.clone());
+    table.insert(last_key.clone(), setting.value.clone());
     Ok(())
 }
 
--- a/crates/sablehaven-cli/src/settings_command.rs
+++ b/crates/sablehaven-cli/src/settings_command.rs
@@ -1,4 +1,4 @@
-//! `sablehaven settings`: checks a settings file and prints the template of every key.
+//! The `sablehaven settings` command, which checks a settings file and prints a template.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
     settings,
 };
 
-/// Every key with its default and its meaning.
+/// Settings file that contains every key with its default and its description.
 const TEMPLATE: &str = include_str!("../settings-template.toml");
 
 pub(crate) fn run(matches: &ArgMatches) -> Result<ExitStatus, CommandError> {
@@ -30,7 +30,10 @@
         println!("{}: section [{role}] is valid", path.display());
     }
     if loaded.sections.is_empty() {
-        println!("{}: no section; every key has its default", path.display());
+        println!(
+            "{}: no section, all settings have their defaults",
+            path.display()
+        );
     }
     Ok(ExitStatus::Success)
 }
--- a/crates/sablehaven-cli/tests/explain.rs
+++ b/crates/sablehaven-cli/tests/explain.rs
@@ -1,9 +1,9 @@
-//! From a request's id to its cause, by saved logs.
+//! Tests of the explanation of a request's outcome from saved logs.
 
-use sablehaven_cli::explain::{explain, read_lines};
+use sablehaven_cli::explain::{explain, parse_log};
 use serde_json::{Value, json};
 
-fn line(second: u32, fields: &Value) -> String {
+fn log_line(second: u32, fields: &Value) -> String {
     let timestamp = format!("2026-02-25T20:31:{second:02}.000000+00:00");
     json!({"timestamp": timestamp, "level": "WARN", "message": "request", "kvs": fields})
         .to_string()
@@ -11,37 +11,37 @@
 
 fn log() -> String {
     [
-        "this is no record".to_owned(),
-        line(1, &json!({"event": "routes_in_force", "version": 4, "former": 0})),
-        line(2, &json!({"event": "listing_in_force", "term": 2, "reading": 1, "servers": 70})),
-        line(3, &json!({"event": "routes_in_force", "version": 7, "former": 4})),
-        line(4, &json!({"event": "partial", "request": "q-1", "shards": 10, "arrived": 9, "extra": 1,
+        "this is not a record".to_owned(),
+        log_line(1, &json!({"event": "routes_in_force", "version": 4, "former": 0})),
+        log_line(2, &json!({"event": "listing_in_force", "term": 2, "reading": 1, "servers": 70})),
+        log_line(3, &json!({"event": "routes_in_force", "version": 7, "former": 4})),
+        log_line(4, &json!({"event": "partial", "request": "q-1", "shards": 10, "arrived": 9, "extra": 1,
                         "unaffordable": 2, "after_ms": 230, "missing": "s3: not sent: connect refused"})),
-        line(5, &json!({"event": "refused", "request": "q-2", "reason": "too many requests", "open": 512})),
-        line(6, &json!({"event": "failed", "request": "q-3", "status": 502, "after_ms": 12,
+        log_line(5, &json!({"event": "refused", "request": "q-2", "reason": "too many requests", "open": 512})),
+        log_line(6, &json!({"event": "failed", "request": "q-3", "status": 502, "after_ms": 12,
                         "reason": "outcome unknown: connection reset"})),
-        line(7, &json!({"event": "routes_in_force", "version": 9, "former": 7})),
+        log_line(7, &json!({"event": "routes_in_force", "version": 9, "former": 7})),
     ]
     .join("\n")
 }
 
 #[test]
-fn a_partial_answer_names_its_missing_shards_and_the_budget() {
-    let found = explain("q-1", read_lines("front-1", &log()));
-    assert_eq!(found.verdicts.len(), 1);
-    let verdict = &found.verdicts[0];
+fn partial_response_summary_names_missing_shards_and_exceeded_budget() {
+    let explanation = explain("q-1", parse_log("front-1", &log()));
+    assert_eq!(explanation.summaries.len(), 1);
+    let summary = &explanation.summaries[0];
     for part in [
         "front-1",
         "230 ms",
         "9 of 10 shards",
-        "beyond the budget",
+        "exceeded the retry budget",
         "s3: not sent",
     ] {
-        assert!(verdict.contains(part), "{part} in {verdict}");
+        assert!(summary.contains(part), "{part} in {summary}");
     }
-    // What it believed then, not before and not later.
-    let versions: Vec<_> = found
-        .beliefs
+    // The state at the time of the request, neither an older nor a newer one.
+    let versions: Vec<_> = explanation
+        .process_state
         .iter()
         .map(|line| line.fields.get("version"))
         .collect();
@@ -50,75 +50,71 @@
 }
 
 #[test]
-fn a_refusal_names_its_reason() {
-    let found = explain("q-2", read_lines("front-1", &log()));
+fn refusal_summary_contains_its_reason() {
+    let explanation = explain("q-2", parse_log("front-1", &log()));
     assert!(
-        found.verdicts[0].contains("too many requests (512 open)"),
+        explanation.summaries[0].contains("too many requests (512 open)"),
         "{:?}",
-        found.verdicts
+        explanation.summaries
     );
 }
 
 #[test]
-fn a_failure_names_its_status_and_cause() {
-    let found = explain("q-3", read_lines("front-1", &log()));
-    let verdict = &found.verdicts[0];
+fn failure_summary_contains_status_and_cause() {
+    let explanation = explain("q-3", parse_log("front-1", &log()));
+    let summary = &explanation.summaries[0];
     assert!(
-        verdict.contains("status 502") && verdict.contains("connection reset"),
-        "{verdict}"
+        summary.contains("status 502") && summary.contains("connection reset"),
+        "{summary}"
     );
 }
 
 #[test]
-fn lines_of_several_processes_are_told_apart_and_ordered() {
-    let first = line(
+fn merged_log_lines_are_attributed_to_processes_and_sorted_by_time() {
+    let first = log_line(
         9,
         &json!({"event": "failed", "request": "q-4", "status": 503, "reason": "late"}),
     );
-    let second = line(
+    let second = log_line(
         8,
         &json!({"event": "refused", "request": "q-4", "reason": "early", "open": 1}),
     );
-    let gathered = format!("   0.5 front-a {first}\n   0.4 front-b {second}\n");
-    let found = explain("q-4", read_lines("all", &gathered));
-    let processes: Vec<&str> = found
+    let merged = format!("   0.5 front-a {first}\n   0.4 front-b {second}\n");
+    let explanation = explain("q-4", parse_log("all", &merged));
+    let processes: Vec<&str> = explanation
         .lines
         .iter()
         .map(|line| line.process.as_str())
         .collect();
     assert_eq!(processes, ["front-b", "front-a"]);
-    assert!(
-        explain("q-5", read_lines("all", &gathered))
-            .lines
-            .is_empty()
-    );
+    assert!(explain("q-5", parse_log("all", &merged)).lines.is_empty());
 }
 
 #[test]
-fn a_request_that_crashes_servers_names_them_and_when_it_was_quarantined() {
+fn summary_of_crashing_request_names_servers_and_shows_quarantine() {
     let log = [
-        line(1, &json!({"event": "request_quarantined", "target": "00ab", "crashes": 2, "lost": 12})),
-        line(2, &json!({"event": "request_quarantined", "target": "00cd", "crashes": 2, "lost": 9})),
-        line(3, &json!({"event": "failed", "request": "q-1", "target": "00ab", "shards": 10, "arrived": 0,
+        log_line(1, &json!({"event": "request_quarantined", "target": "00ab", "crashes": 2, "lost": 12})),
+        log_line(2, &json!({"event": "request_quarantined", "target": "00cd", "crashes": 2, "lost": 9})),
+        log_line(3, &json!({"event": "failed", "request": "q-1", "target": "00ab", "shards": 10, "arrived": 0,
                         "lost": "i-1, i-2", "after_ms": 90})),
-        line(4, &json!({"event": "refused", "request": "q-2", "target": "00ab", "left_ms": 290_000,
+        log_line(4, &json!({"event": "refused", "request": "q-2", "target": "00ab", "left_ms": 290_000,
                         "reason": "it has crashed servers"})),
     ]
     .join("\n");
-    let failed = explain("q-1", read_lines("front-1", &log));
+    let failed = explain("q-1", parse_log("front-1", &log));
     assert!(
-        failed.verdicts[0].contains("i-1, i-2"),
+        failed.summaries[0].contains("i-1, i-2"),
         "{:?}",
-        failed.verdicts
+        failed.summaries
     );
-    let refused = explain("q-2", read_lines("front-1", &log));
-    let verdict = &refused.verdicts[0];
+    let refused = explain("q-2", parse_log("front-1", &log));
+    let summary = &refused.summaries[0];
     assert!(
-        verdict.contains("it has crashed servers") && verdict.contains("290 s"),
-        "{verdict}"
+        summary.contains("it has crashed servers") && summary.contains("290 s"),
+        "{summary}"
     );
     let targets: Vec<_> = refused
-        .beliefs
+        .process_state
         .iter()
         .map(|line| &line.fields["target"])
         .collect();
