--- a/crates/sablehaven-cli/src/arguments.rs
+++ b/crates/sablehaven-cli/src/arguments.rs
@@ -25,7 +25,7 @@
         )
         .subcommand(role_command(
             "control",
-            "Runs a control replica, which stores configuration, membership and request ledger",
+            "Runs a control replica, which keeps configuration, membership and request ledger on disk",
         ))
         .subcommand(role_command(
             "relay",
@@ -33,7 +33,7 @@
         ))
         .subcommand(role_command(
             "agent",
-            "Runs an agent, which executes the queries of callers on the same host",
+            "Runs an agent, which serves the requests of callers on the same host",
         ))
         .subcommand(role_command(
             "gateway",
--- a/crates/sablehaven-cli/src/explain.rs
+++ b/crates/sablehaven-cli/src/explain.rs
@@ -20,8 +20,9 @@
 pub struct Explanation {
     /// Log lines that name the request, in order of time.
     pub lines: Vec<LogLine>,
-    /// State of the process that logged the first of these lines, as of that line: its last line of
-    /// each event in [`STATE_EVENTS`], and of the quarantine of the request, in order of time.
+    /// State of the process that logged the first of these lines, at the time of that line: its last
+    /// line of each event that describes its state, and the last one that quarantined the request, in
+    /// order of time.
     pub process_state: Vec<LogLine>,
     /// One sentence for each line in `lines` that explains the outcome.
     pub summaries: Vec<String>,
@@ -77,7 +78,8 @@
     }
 }
 
-/// Returns the last line of each state event that the process of `line` had logged by then.
+/// Returns, for each state event, the last line that the process of `line` logged up to the time of
+/// `line`, and likewise for the quarantine of the request.
 fn process_state_at(line: &LogLine, all_lines: &[LogLine]) -> Vec<LogLine> {
     let is_earlier =
         |other: &&LogLine| other.process == line.process && other.timestamp <= line.timestamp;
@@ -94,7 +96,8 @@
     state
 }
 
-/// Returns the line with which the process of `line` last began to quarantine its request.
+/// Returns the last line up to the time of `line` with which the same process put the request into
+/// quarantine.
 fn quarantine_at(line: &LogLine, all_lines: &[LogLine]) -> Option<LogLine> {
     let target = line.fields.get("target")?;
     let mut quarantines = all_lines.iter().filter(|other| {
@@ -142,12 +145,12 @@
     };
     match line.event.as_str() {
         "refused" if line.fields.contains_key("target") => format!(
-            "{process} refused it immediately: {}; it may be retried in {} s",
+            "{process} refused the request immediately: {}; it may be retried in {} s",
             text("reason"),
             number("left_ms") / 1_000
         ),
         "refused" => format!(
-            "{process} refused it immediately: {} ({} open)",
+            "{process} refused the request immediately: {} ({} open)",
             text("reason"),
             number("open")
         ),
@@ -161,11 +164,11 @@
         ),
         "failed" if line.fields.contains_key("shards") => {
             format!(
-                "{process} failed it after {elapsed_ms} ms with {arrived}; {attempts}; {missing}{lost_connections}"
+                "{process} failed the request after {elapsed_ms} ms with {arrived}; {attempts}; {missing}{lost_connections}"
             )
         }
         "failed" => format!(
-            "{process} failed it after {elapsed_ms} ms with status {}: {}{lost_connections}",
+            "{process} failed the request after {elapsed_ms} ms with status {}: {}{lost_connections}",
             number("status"),
             text("reason")
         ),
--- a/crates/sablehaven-cli/src/operator/apply.rs
+++ b/crates/sablehaven-cli/src/operator/apply.rs
@@ -56,7 +56,7 @@
     context: &Context,
     matches: &ArgMatches,
 ) -> Result<ExitStatus, CommandError> {
-    let command = read_command(matches)?;
+    let command = parse_apply_command(matches)?;
     // Printed before the command is sent, so that it can be resent if the reply is lost.
     eprintln!("command id: {}", command.command_id);
     let outcome = context.client.apply(&command).await?;
@@ -98,7 +98,7 @@
     })
 }
 
-fn read_command(matches: &ArgMatches) -> Result<ApplyCommand, CommandError> {
+fn parse_apply_command(matches: &ArgMatches) -> Result<ApplyCommand, CommandError> {
     let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
     let change = match matches.get_one::<PathBuf>("configuration") {
         Some(path) => ConfigurationChange::ReplaceAll {
@@ -125,7 +125,8 @@
     })
 }
 
-/// Generates a command id from operator, time and process id. It is unique per operator and machine.
+/// Generates a command id from operator, time and process id. Two ids of the same operator differ if
+/// they are generated at different times or, on one machine, by different processes.
 fn new_command_id(operator: &OperatorId) -> CommandId {
     let now = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/sablehaven-cli/src/operator/client.rs
+++ b/crates/sablehaven-cli/src/operator/client.rs
@@ -13,8 +13,8 @@
 /// Delay between two rounds over all addresses while no leader responds.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Margin that is added to the client's timeout to get the timeout of a single request, since a
-/// request may ask control to wait.
+/// Time that a single request may take in addition to the client's timeout, for which the request may
+/// ask control to wait.
 const REQUEST_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
 /// Timeout of a connection attempt. It is short so that an unreachable replica does not delay requests
@@ -47,6 +47,7 @@
 
 /// Result of sending a request to one replica.
 enum SendResult<Response> {
+    /// The replica handled the request.
     Success(Response),
     /// The replica is not the leader and names the one that is.
     Redirect(SocketAddr),
--- a/crates/sablehaven-cli/src/operator/quotas.rs
+++ b/crates/sablehaven-cli/src/operator/quotas.rs
@@ -12,8 +12,8 @@
     output::table,
 };
 
-/// Timeout of the request to one replica. It is short so that a replica that is down does not delay the
-/// usage of the others.
+/// Time for which an unavailable replica is retried. It is short so that a replica that is down does not
+/// delay the usage of the others.
 const REPLICA_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Quota usage of all tenants.
--- a/crates/sablehaven-cli/tests/commands.rs
+++ b/crates/sablehaven-cli/tests/commands.rs
@@ -11,7 +11,7 @@
     Command::new(env!("CARGO_BIN_EXE_sablehaven"))
         .args(arguments)
         .output()
-        .expect("failed to run the binary")
+        .expect("the binary runs")
 }
 
 fn assert_exit(output: &Output, status: ExitStatus) {
@@ -30,7 +30,7 @@
 
 fn write_file(folder: &Path, name: &str, contents: &str) -> String {
     let path = folder.join(name);
-    std::fs::write(&path, contents).expect("failed to write the file");
+    std::fs::write(&path, contents).expect("the file is written");
     path.display().to_string()
 }
 
@@ -72,7 +72,7 @@
 
 #[test]
 fn settings_check_reports_key_value_and_range_of_invalid_setting() {
-    let folder = tempfile::tempdir().expect("failed to create a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let path = write_file(
         folder.path(),
         "settings.toml",
@@ -90,7 +90,7 @@
 
 #[test]
 fn settings_check_reports_line_of_unknown_key() {
-    let folder = tempfile::tempdir().expect("failed to create a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let path = write_file(folder.path(), "settings.toml", "[agent]\nhttp_listn = 1\n");
     let output = run_sablehaven(&["settings", "check", &path]);
     assert_exit(&output, ExitStatus::Invalid);
@@ -101,7 +101,7 @@
 
 #[test]
 fn settings_check_reports_valid_section() {
-    let folder = tempfile::tempdir().expect("failed to create a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let contents = "[relay]\ndeployment = \"trinacria\"\ncontrol = [\"127.0.0.1:7101\"]\n\
                     [relay.placement]\nregion = \"palermo\"\nzone = \"palermo-a\"\n";
     let path = write_file(folder.path(), "settings.toml", contents);
@@ -128,7 +128,7 @@
 
 #[test]
 fn schema_check_reports_file_line_and_reason() {
-    let folder = tempfile::tempdir().expect("failed to create a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let path = write_file(
         folder.path(),
         "bad.proto",
@@ -171,7 +171,7 @@
 
 #[test]
 fn data_inspect_reports_missing_identity() {
-    let folder = tempfile::tempdir().expect("failed to create a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let output = run_sablehaven(&["data", "inspect", &folder.path().display().to_string()]);
     assert_exit(&output, ExitStatus::Success);
     assert!(text(&output.stdout).contains("no identity"));
