--- a/crates/sablehaven-cli/src/role_command.rs
+++ b/crates/sablehaven-cli/src/role_command.rs
@@ -97,7 +97,7 @@
         reason = running.failed() => Some(reason),
     };
     if let Some(reason) = failure {
-        telemetry.ring().write_out(&reason);
+        telemetry.ring().dump(&reason);
         return Err(role_error(role, &reason));
     }
     tokio::select! {
--- a/crates/sablehaven-control/src/gateways/registry.rs
+++ b/crates/sablehaven-control/src/gateways/registry.rs
@@ -270,5 +270,5 @@
 /// Whether a list of servers differs from the former one in a way that gateways must know.
 fn has_changes(former: &[ListedServer], next: &[ListedServer]) -> bool {
     let mut pairs = former.iter().zip(next);
-    former.len() != next.len() || pairs.any(|(former, next)| next.is_news_after(former))
+    former.len() != next.len() || pairs.any(|(former, next)| next.is_update_to(former))
 }
--- a/crates/sablehaven-control/src/routes/service.rs
+++ b/crates/sablehaven-control/src/routes/service.rs
@@ -75,7 +75,7 @@
         }
         let allowed = read(&self.context.state, |state| {
             let current = state.routes().current();
-            current.map(|current| current.document.regions_of(host))
+            current.map(|current| current.document.allowed_regions_of_host(host))
         });
         self.context
             .gateways
--- a/crates/sablehaven-gateway/src/request/lateness.rs
+++ b/crates/sablehaven-gateway/src/request/lateness.rs
@@ -36,7 +36,7 @@
 }
 
 impl BodyObserver for SendObserver {
-    fn taken(self) {
+    fn last_frame_taken(self) {
         let overrun = self.planned_at.elapsed();
         self.profile
             .record_overrun(self.gateway.clock.now(), overrun);
--- a/crates/sablehaven-gateway/src/role.rs
+++ b/crates/sablehaven-gateway/src/role.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use hyper::{Request, Response, StatusCode, body::Incoming};
-use sablehaven_http::{ConnectionBounds, ServerSignals, WholeBody, accept_connections, listen};
+use sablehaven_http::{ConnectionLimits, ServerSignals, WholeBody, accept_connections, listen};
 use sablehaven_types::{BoundAddresses, SettingError};
 use tokio::{
     net::TcpListener,
@@ -164,9 +164,9 @@
     let settings_source = Rc::clone(&gateway);
     let bounds = move || {
         let limits = settings_source.limits();
-        ConnectionBounds {
-            max_head_bytes: limits.max_header_bytes,
-            head_timeout: Duration::from_millis(limits.header_timeout_ms),
+        ConnectionLimits {
+            max_header_bytes: limits.max_header_bytes,
+            header_timeout: Duration::from_millis(limits.header_timeout_ms),
             idle_timeout: Duration::from_millis(limits.idle_timeout_ms),
         }
     };
@@ -177,9 +177,9 @@
 
 /// Serves the readiness check until the process ends.
 async fn accept_readiness(gateway: Rc<Gateway>, listener: TcpListener) {
-    let bounds = || ConnectionBounds {
-        max_head_bytes: 8 * 1024,
-        head_timeout: Duration::from_secs(3),
+    let bounds = || ConnectionLimits {
+        max_header_bytes: 8 * 1024,
+        header_timeout: Duration::from_secs(3),
         idle_timeout: Duration::from_secs(60),
     };
     let handler =
--- a/crates/sablehaven-gateway/src/servers/attempt.rs
+++ b/crates/sablehaven-gateway/src/servers/attempt.rs
@@ -18,7 +18,7 @@
     Method, StatusCode, Uri,
     header::{HeaderMap, HeaderValue},
 };
-use sablehaven_http::{ConnectError, open};
+use sablehaven_http::{ConnectError, connect};
 use tokio::{
     sync::oneshot,
     task::{AbortHandle, spawn_local},
@@ -257,7 +257,7 @@
 /// that: networks reset connections too, and so do servers that keep running.
 async fn is_gone(gateway: &Gateway, server: &Server) -> bool {
     let source = gateway.config.connect_from;
-    match open(
+    match connect(
         source,
         server.address,
         connect_timeout(server),
--- a/crates/sablehaven-gateway/src/servers/connection_pool.rs
+++ b/crates/sablehaven-gateway/src/servers/connection_pool.rs
@@ -8,7 +8,7 @@
 };
 
 use hyper::{client::conn::http1::SendRequest, header::HeaderMap};
-use sablehaven_http::{ConnectError, WholeBody, open};
+use sablehaven_http::{ConnectError, WholeBody, connect};
 use tokio::{sync::Notify, task::spawn_local};
 
 use super::connection_share::ConnectionShare;
@@ -158,7 +158,7 @@
         let permit = Permit {
             state: Rc::clone(&self.state),
         };
-        let opened = open(source, self.address, connect_timeout, TCP_USER_TIMEOUT).await?;
+        let opened = connect(source, self.address, connect_timeout, TCP_USER_TIMEOUT).await?;
         let connection = opened.connection;
         spawn_local(async move {
             // The request that uses the connection reports its errors.
--- a/crates/sablehaven-gateway/tests/gateway/support/caller.rs
+++ b/crates/sablehaven-gateway/tests/gateway/support/caller.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::{Request, StatusCode, header::HeaderMap};
-use sablehaven_http::{Opened, WholeBody, open};
+use sablehaven_http::{OpenConnection, WholeBody};
 
 use super::WAIT_TIMEOUT;
 
@@ -81,10 +81,10 @@
 }
 
 async fn connect(address: SocketAddr) -> hyper::client::conn::http1::SendRequest<WholeBody> {
-    let opened = open(None, address, WAIT_TIMEOUT, WAIT_TIMEOUT)
+    let opened = sablehaven_http::connect(None, address, WAIT_TIMEOUT, WAIT_TIMEOUT)
         .await
         .expect("connect");
-    let Opened {
+    let OpenConnection {
         sender, connection, ..
     } = opened;
     tokio::spawn(async move {
--- a/crates/sablehaven-http/examples/connection_memory.rs
+++ b/crates/sablehaven-http/examples/connection_memory.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::Request;
-use sablehaven_http::{WholeBody, open};
+use sablehaven_http::{WholeBody, connect};
 use tokio::task::{LocalSet, spawn_local};
 
 fn resident_kb() -> u64 {
@@ -37,7 +37,7 @@
         let mut senders = Vec::new();
         for _ in 0..count {
             let limit = Duration::from_secs(1);
-            let opened = open(None, address, limit, limit).await.expect("connect");
+            let opened = connect(None, address, limit, limit).await.expect("connect");
             let connection = opened.connection;
             spawn_local(async move {
                 let _ = connection.await;
--- a/crates/sablehaven-http/src/client.rs
+++ b/crates/sablehaven-http/src/client.rs
@@ -44,7 +44,7 @@
 }
 
 /// An open connection: the sender, and the task that must be run for it.
-pub struct Opened {
+pub struct OpenConnection {
     /// Sends requests, one at a time. Dropping the answer of one closes the connection.
     pub sender: SendRequest<WholeBody>,
     /// Drives the connection until it closes.
@@ -58,14 +58,14 @@
 ///
 /// # Errors
 /// See [`ConnectError`].
-pub async fn open(
+pub async fn connect(
     source: Option<IpAddr>,
     address: SocketAddr,
     limit: Duration,
     user_timeout: Duration,
-) -> Result<Opened, ConnectError> {
+) -> Result<OpenConnection, ConnectError> {
     let started = Instant::now();
-    let stream = match timeout(limit, connect(source, address, user_timeout)).await {
+    let stream = match timeout(limit, connect_tcp(source, address, user_timeout)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(source)) => return Err(ConnectError::Failed { address, source }),
         Err(_) => return Err(ConnectError::TimedOut { address }),
@@ -76,14 +76,14 @@
     let handshake = builder.handshake(TokioIo::new(stream)).await;
     let (sender, connection) =
         handshake.map_err(|source| ConnectError::Handshake { address, source })?;
-    Ok(Opened {
+    Ok(OpenConnection {
         sender,
         connection,
         round_trip,
     })
 }
 
-async fn connect(
+async fn connect_tcp(
     source: Option<IpAddr>,
     address: SocketAddr,
     user_timeout: Duration,
--- a/crates/sablehaven-http/src/lib.rs
+++ b/crates/sablehaven-http/src/lib.rs
@@ -9,9 +9,9 @@
 mod server;
 mod watched_stream;
 
-pub use client::{ConnectError, Opened, open};
+pub use client::{ConnectError, OpenConnection, connect};
 pub use observed_body::{BodyObserver, ObservedBody};
-pub use server::{ConnectionBounds, ServerSignals, accept_connections, listen, serve_connection};
+pub use server::{ConnectionLimits, ServerSignals, accept_connections, listen, serve_connection};
 
 /// A body that is whole in memory.
 pub type WholeBody = http_body_util::Full<bytes::Bytes>;
--- a/crates/sablehaven-http/src/observed_body.rs
+++ b/crates/sablehaven-http/src/observed_body.rs
@@ -14,7 +14,7 @@
 /// Is told once when a body is sent.
 pub trait BodyObserver {
     /// The connection has taken the last frame and writes it now.
-    fn taken(self);
+    fn last_frame_taken(self);
 }
 
 /// A whole body with an observer. The observer is dropped untold where the caller leaves before, and where the
@@ -43,7 +43,7 @@
         if self.body.is_end_stream()
             && let Some(observer) = self.observer.take()
         {
-            observer.taken();
+            observer.last_frame_taken();
         }
         frame
     }
--- a/crates/sablehaven-http/src/observed_body/tests.rs
+++ b/crates/sablehaven-http/src/observed_body/tests.rs
@@ -10,7 +10,7 @@
 struct CountingObserver(Rc<Cell<u32>>);
 
 impl BodyObserver for CountingObserver {
-    fn taken(self) {
+    fn last_frame_taken(self) {
         self.0.set(self.0.get() + 1);
     }
 }
--- a/crates/sablehaven-http/src/server.rs
+++ b/crates/sablehaven-http/src/server.rs
@@ -28,11 +28,11 @@
 
 /// How long a caller may take and rest, and how much it may send before its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConnectionBounds {
+pub struct ConnectionLimits {
     /// Largest head, in bytes; a larger one is answered 431.
-    pub max_head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest time for a head, from its first byte.
-    pub head_timeout: Duration,
+    pub header_timeout: Duration,
     /// Longest rest between two requests.
     pub idle_timeout: Duration,
 }
@@ -64,7 +64,7 @@
 /// `bounds` is asked for each connection, since they may change while the process runs.
 pub async fn accept_connections<Handler, Answering, Answer>(
     listener: TcpListener,
-    bounds: impl Fn() -> ConnectionBounds,
+    bounds: impl Fn() -> ConnectionLimits,
     signals: ServerSignals,
     handler: Handler,
 ) where
@@ -90,7 +90,7 @@
 /// Serves one connection until it ends. The handler's future is dropped when the caller leaves.
 pub async fn serve_connection<Handler, Answering, Answer>(
     stream: TcpStream,
-    bounds: ConnectionBounds,
+    bounds: ConnectionLimits,
     signals: ServerSignals,
     handler: Handler,
 ) where
@@ -119,7 +119,7 @@
     });
     let mut builder = Builder::new();
     builder
-        .max_buf_size(bounds.max_head_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(bounds.max_header_bytes.max(LEAST_BUFFER_BYTES))
         .auto_date_header(false);
     let mut connection = pin!(builder.serve_connection(stream, service));
     let mut is_closing = false;
@@ -132,7 +132,7 @@
                 connection.as_mut().graceful_shutdown();
             }
             () = sleep_until(next_look(&activity, bounds)) => match activity.waiting() {
-                Waiting::Reading(since) if since.elapsed() >= bounds.head_timeout => return,
+                Waiting::Reading(since) if since.elapsed() >= bounds.header_timeout => return,
                 Waiting::Resting(since) if since.elapsed() >= bounds.idle_timeout => {
                     is_closing = true;
                     connection.as_mut().graceful_shutdown();
@@ -143,15 +143,15 @@
     }
 }
 
-fn next_look(activity: &Activity, bounds: ConnectionBounds) -> Instant {
+fn next_look(activity: &Activity, bounds: ConnectionLimits) -> Instant {
     let at = match activity.waiting() {
-        Waiting::Busy => std::time::Instant::now() + bounds.head_timeout,
+        Waiting::Busy => std::time::Instant::now() + bounds.header_timeout,
         Waiting::Resting(since) => {
             // A head may begin to arrive meanwhile, so no look is farther away than its time.
-            let head = std::time::Instant::now() + bounds.head_timeout;
+            let head = std::time::Instant::now() + bounds.header_timeout;
             (since + bounds.idle_timeout).min(head)
         }
-        Waiting::Reading(since) => since + bounds.head_timeout,
+        Waiting::Reading(since) => since + bounds.header_timeout,
     };
     let soonest = std::time::Instant::now() + Duration::from_millis(10);
     Instant::from_std(at.max(soonest))
--- a/crates/sablehaven-telemetry/src/ring.rs
+++ b/crates/sablehaven-telemetry/src/ring.rs
@@ -55,7 +55,7 @@
     }
 
     /// Writes the ring to standard error and empties it, unless that was done a moment ago.
-    pub fn write_out(&self, cause: &str) {
+    pub fn dump(&self, cause: &str) {
         let mut state = self.lock();
         let now = Instant::now();
         let too_soon = state
@@ -126,7 +126,7 @@
         let formatted = self.layout.format(record, diagnostics)?;
         self.ring.push(formatted);
         if record.level() >= Level::Error {
-            self.ring.write_out("an error was logged");
+            self.ring.dump("an error was logged");
         }
         Ok(())
     }
--- a/crates/sablehaven-telemetry/src/telemetry.rs
+++ b/crates/sablehaven-telemetry/src/telemetry.rs
@@ -58,7 +58,7 @@
         let ring = self.ring.clone();
         let previous = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |panic| {
-            ring.write_out("a thread panicked");
+            ring.dump("a thread panicked");
             previous(panic);
         }));
         Ok(())
--- a/crates/sablehaven-types/src/lib.rs
+++ b/crates/sablehaven-types/src/lib.rs
@@ -49,7 +49,7 @@
     CallerLimits, Gather, RequestKind, Route, RouteDocument, RouteError, RouteTarget,
     RoutedService, WeightedService,
 };
-pub use routes_change::{RoutePlace, RoutesChange};
+pub use routes_change::{RouteKey, RoutesChange};
 pub use setting::{SettingChecks, SettingError};
 pub use tenant::{KeyDigest, RequestQuota, Tenant};
 pub use tokens::{
--- a/crates/sablehaven-types/src/listing.rs
+++ b/crates/sablehaven-types/src/listing.rs
@@ -41,7 +41,7 @@
 
     /// Whether this entry says something that the `former` one of the same server did not. That a server has
     /// become warm is no news: whoever knew that it was cold counts down by itself.
-    pub fn is_news_after(&self, former: &Self) -> bool {
+    pub fn is_update_to(&self, former: &Self) -> bool {
         let has_turned_cold = self.is_cold() && !former.is_cold();
         has_turned_cold
             || self.id != former.id
@@ -90,7 +90,7 @@
         let changed = next.servers.iter().filter(|server| {
             before
                 .get(&server.id)
-                .is_none_or(|known| server.is_news_after(known))
+                .is_none_or(|known| server.is_update_to(known))
         });
         Self {
             base: base.number,
--- a/crates/sablehaven-types/src/routes.rs
+++ b/crates/sablehaven-types/src/routes.rs
@@ -146,37 +146,37 @@
         service: ServiceName,
     },
     /// route '{route}': another route has the same host and path prefix
-    SamePlace {
+    DuplicateRouteKey {
         /// The route.
         route: String,
     },
     /// route '{route}': the weights sum to 0
-    NoWeight {
+    ZeroWeightSum {
         /// The route.
         route: String,
     },
     /// route '{route}': a weight is negative or not a number
-    BadWeight {
+    InvalidWeight {
         /// The route.
         route: String,
     },
     /// route '{route}': the time-out is 0
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
     /// route '{route}': the path prefix must begin and end with a slash
-    BadPrefix {
+    InvalidPathPrefix {
         /// The route.
         route: String,
     },
     /// route '{route}': no shards are named, or one is named twice
-    BadShards {
+    InvalidShards {
         /// The route.
         route: String,
     },
     /// route '{route}': min_coverage is not between 0 and 1
-    BadCoverage {
+    InvalidMinCoverage {
         /// The route.
         route: String,
     },
@@ -186,17 +186,17 @@
         route: String,
     },
     /// tenant '{tenant}': another tenant has the same name
-    SameTenant {
+    DuplicateTenant {
         /// The tenant.
         tenant: TenantName,
     },
     /// tenant '{tenant}': another tenant has one of its keys
-    SharedKey {
+    DuplicateKey {
         /// The tenant that names it last.
         tenant: TenantName,
     },
     /// tenant '{tenant}': its name must not be empty and have no control characters
-    BadTenantName {
+    InvalidTenantName {
         /// The tenant, with those characters escaped.
         tenant: TenantName,
     },
@@ -206,7 +206,7 @@
         tenant: TenantName,
     },
     /// tenant '{tenant}': the rate must be above 0 and the burst 0 or more, both finite
-    BadQuota {
+    InvalidQuota {
         /// The tenant.
         tenant: TenantName,
     },
@@ -224,7 +224,7 @@
             let place = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
             if !places.insert(place) {
                 let route = route.name.clone();
-                return Err(RouteError::SamePlace { route });
+                return Err(RouteError::DuplicateRouteKey { route });
             }
         }
         validate_tenants(&self.tenants)
@@ -233,7 +233,7 @@
 
 impl RouteDocument {
     /// The regions that some route of a host is bound to; unrestricted where none is.
-    pub fn regions_of(&self, host: &str) -> AllowedRegions {
+    pub fn allowed_regions_of_host(&self, host: &str) -> AllowedRegions {
         let routes = self.routes.iter();
         let of_host = routes.filter(|route| route.host.eq_ignore_ascii_case(host));
         let named = of_host.flat_map(|route| route.allowed_regions.iter());
@@ -277,11 +277,11 @@
             });
         }
         if self.timeout_ms == 0 {
-            return Err(RouteError::NoTimeout { route: route() });
+            return Err(RouteError::ZeroTimeout { route: route() });
         }
         let prefix = &self.path_prefix;
         if !prefix.starts_with('/') || !prefix.ends_with('/') {
-            return Err(RouteError::BadPrefix { route: route() });
+            return Err(RouteError::InvalidPathPrefix { route: route() });
         }
         match &self.target {
             RouteTarget::Service(_) => Ok(()),
@@ -296,13 +296,13 @@
             .iter()
             .any(|part| !part.weight.is_finite() || part.weight < 0.0)
         {
-            return Err(RouteError::BadWeight { route });
+            return Err(RouteError::InvalidWeight { route });
         }
         let sum: f64 = parts.iter().map(|part| part.weight).sum();
         if sum > 0.0 {
             Ok(())
         } else {
-            Err(RouteError::NoWeight { route })
+            Err(RouteError::ZeroWeightSum { route })
         }
     }
 
@@ -310,10 +310,10 @@
         let route = self.name.clone();
         let distinct: BTreeSet<_> = gather.shards.iter().collect();
         if gather.shards.is_empty() || distinct.len() != gather.shards.len() {
-            return Err(RouteError::BadShards { route });
+            return Err(RouteError::InvalidShards { route });
         }
         if !(0.0..=1.0).contains(&gather.min_coverage) {
-            return Err(RouteError::BadCoverage { route });
+            return Err(RouteError::InvalidMinCoverage { route });
         }
         if self.kind != RequestKind::Safe {
             return Err(RouteError::UnsafeGather { route });
--- a/crates/sablehaven-types/src/routes_change.rs
+++ b/crates/sablehaven-types/src/routes_change.rs
@@ -14,7 +14,7 @@
     /// The version that it leads to.
     pub version: u64,
     /// Places whose route is gone.
-    pub gone_routes: BTreeSet<RoutePlace>,
+    pub gone_routes: BTreeSet<RouteKey>,
     /// Routes that are new or differ.
     pub routes: Vec<Route>,
     /// Services that are gone.
@@ -31,14 +31,14 @@
 
 /// The place of a route, which no two routes of a valid document share.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RoutePlace {
+pub struct RouteKey {
     /// The host, in lower case.
     pub host: String,
     /// The start of the path.
     pub path_prefix: String,
 }
 
-impl RoutePlace {
+impl RouteKey {
     fn of(route: &Route) -> Self {
         Self {
             host: route.host.to_ascii_lowercase(),
@@ -94,7 +94,7 @@
 impl RoutesChange {
     /// What leads from one valid document to another.
     pub fn between(base: &RouteDocument, next: &RouteDocument) -> Self {
-        let routes = Difference::between(&base.routes, &next.routes, RoutePlace::of);
+        let routes = Difference::between(&base.routes, &next.routes, RouteKey::of);
         let tenants = Difference::between(&base.tenants, &next.tenants, tenant_name);
         let gone_services = base.services.keys();
         let gone_services = gone_services.filter(|name| !next.services.contains_key(*name));
@@ -126,12 +126,7 @@
         services.extend(self.services.clone());
         Some(RouteDocument {
             version: self.version,
-            routes: replaced(
-                &base.routes,
-                &self.gone_routes,
-                &self.routes,
-                RoutePlace::of,
-            ),
+            routes: replaced(&base.routes, &self.gone_routes, &self.routes, RouteKey::of),
             services,
             limits: self.limits.unwrap_or(base.limits),
             tenants: replaced(
--- a/crates/sablehaven-types/src/tenant_rules.rs
+++ b/crates/sablehaven-types/src/tenant_rules.rs
@@ -15,13 +15,13 @@
         tenant.validate()?;
         let name = || tenant.name.clone();
         if !names.insert(&tenant.name) {
-            return Err(RouteError::SameTenant { tenant: name() });
+            return Err(RouteError::DuplicateTenant { tenant: name() });
         }
         for key in &tenant.keys {
             // A tenant that names one of its keys twice means nothing else by it.
             let owner = *owners.entry(*key).or_insert(&tenant.name);
             if owner != &tenant.name {
-                return Err(RouteError::SharedKey { tenant: name() });
+                return Err(RouteError::DuplicateKey { tenant: name() });
             }
         }
     }
@@ -34,14 +34,14 @@
         // Servers are told the name in a header.
         if name.is_empty() || name.chars().any(char::is_control) {
             let tenant = name.escape_debug().to_string().into();
-            return Err(RouteError::BadTenantName { tenant });
+            return Err(RouteError::InvalidTenantName { tenant });
         }
         let tenant = || self.name.clone();
         if self.keys.iter().any(KeyDigest::is_of_empty_key) {
             return Err(RouteError::EmptyKey { tenant: tenant() });
         }
         if self.quota.is_some_and(|quota| !quota.is_valid()) {
-            return Err(RouteError::BadQuota { tenant: tenant() });
+            return Err(RouteError::InvalidQuota { tenant: tenant() });
         }
         Ok(())
     }
--- a/crates/sablehaven-types/src/tenant_rules/tests.rs
+++ b/crates/sablehaven-types/src/tenant_rules/tests.rs
@@ -73,13 +73,13 @@
     let tenant_b = "b".into();
     assert_eq!(
         error_of(shared, "'b'"),
-        RouteError::SharedKey { tenant: tenant_b }
+        RouteError::DuplicateKey { tenant: tenant_b }
     );
     let same = vec![tenant("a", &[KEY]), tenant("a", &["a-2"])];
     let tenant_a = "a".into();
     assert_eq!(
         error_of(same, "'a'"),
-        RouteError::SameTenant { tenant: tenant_a }
+        RouteError::DuplicateTenant { tenant: tenant_a }
     );
 }
 
@@ -93,7 +93,7 @@
     for (name, shown) in [("", "''"), ("a\r\nx", "a\\r\\nx"), ("\u{7f}", "\\u{7f}")] {
         let named = vec![tenant(name, &[KEY])];
         let error = error_of(named, "tenant");
-        assert!(matches!(error, RouteError::BadTenantName { .. }));
+        assert!(matches!(error, RouteError::InvalidTenantName { .. }));
         assert!(error.to_string().contains(shown), "{error}");
     }
 }
@@ -111,7 +111,7 @@
     ];
     for (per_second, burst) in bad {
         let error = error_of(vec![limited("a", per_second, burst)], "'a'");
-        assert!(matches!(error, RouteError::BadQuota { .. }));
+        assert!(matches!(error, RouteError::InvalidQuota { .. }));
     }
 }
 
