--- a/crates/sablehaven-http/src/observed_body/tests.rs
+++ b/crates/sablehaven-http/src/observed_body/tests.rs
@@ -28,7 +28,7 @@
 async fn the_observer_is_notified_once_when_the_last_frame_is_taken() {
     let (mut body, notifications) = body_with_counter("records");
     assert_eq!(notifications.get(), 0);
-    let frame = body.frame().await.expect("a frame").expect("no error");
+    let frame = body.frame().await.expect("a frame").expect("whole");
     assert_eq!(frame.into_data().expect("data"), "records");
     assert_eq!(notifications.get(), 1);
     assert!(body.frame().await.is_none());
--- a/crates/sablehaven-telemetry/src/handlers.rs
+++ b/crates/sablehaven-telemetry/src/handlers.rs
@@ -1,23 +1,27 @@
-//! HTTP handlers for metrics, health and the log ring.
+//! HTTP handlers for metrics, health checks and the log ring.
 
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, async_trait, http::StatusCode};
 
 use crate::Telemetry;
 
-enum Page {
+/// The endpoints that every role serves.
+enum Endpoint {
     Metrics,
+    /// The liveness check.
     Live,
+    /// The readiness check.
     Ready,
+    /// The contents of the log ring.
     Log,
 }
 
-struct PageHandler {
+struct EndpointHandler {
     telemetry: Telemetry,
-    page: Page,
+    endpoint: Endpoint,
 }
 
 #[async_trait]
-impl Handler for PageHandler {
+impl Handler for EndpointHandler {
     async fn handle(
         &self,
         _request: &mut Request,
@@ -25,17 +29,17 @@
         response: &mut Response,
         _control: &mut FlowCtrl,
     ) {
-        match self.page {
-            Page::Metrics => response.render(self.telemetry.encode_metrics()),
-            Page::Live => response.render("live\n"),
-            Page::Ready => self.render_ready(response),
-            Page::Log => response.render(self.telemetry.ring().contents()),
+        match self.endpoint {
+            Endpoint::Metrics => response.render(self.telemetry.encode_metrics()),
+            Endpoint::Live => response.render("live\n"),
+            Endpoint::Ready => self.render_readiness(response),
+            Endpoint::Log => response.render(self.telemetry.ring().contents()),
         }
     }
 }
 
-impl PageHandler {
-    fn render_ready(&self, response: &mut Response) {
+impl EndpointHandler {
+    fn render_readiness(&self, response: &mut Response) {
         if self.telemetry.is_ready() {
             response.render("ready\n");
             return;
@@ -46,13 +50,16 @@
 }
 
 pub(crate) fn router(telemetry: Telemetry) -> Router {
-    let page = |path: &str, page: Page| {
+    let route = |path: &str, endpoint: Endpoint| {
         let telemetry = telemetry.clone();
-        Router::with_path(path).get(PageHandler { telemetry, page })
+        Router::with_path(path).get(EndpointHandler {
+            telemetry,
+            endpoint,
+        })
     };
     Router::new()
-        .push(page("metrics", Page::Metrics))
-        .push(page("health/live", Page::Live))
-        .push(page("health/ready", Page::Ready))
-        .push(page("debug/log", Page::Log))
+        .push(route("metrics", Endpoint::Metrics))
+        .push(route("health/live", Endpoint::Live))
+        .push(route("health/ready", Endpoint::Ready))
+        .push(route("debug/log", Endpoint::Log))
 }
--- a/crates/sablehaven-telemetry/src/lib.rs
+++ b/crates/sablehaven-telemetry/src/lib.rs
@@ -1,7 +1,10 @@
-//! The in-memory log ring, the metrics registry and the HTTP handlers that show them.
+//! Logging, metrics and health checks of a process, and the HTTP handlers that serve them.
 //!
-//! Log records go to a ring in memory. The ring is written out when something goes wrong: on an
-//! error record, on a panic, and when a role ends with an error. Otherwise a process logs nothing.
+//! A process installs one of two loggers:
+//!
+//! - [`Telemetry::install_logger`] appends log records to a ring in memory. The ring is written to standard error after a
+//!   failure: on an error record, on a panic, and when a role ends with an error. Otherwise the process writes no logs.
+//! - [`install_line_logger`] writes every log record to standard output.
 
 mod handlers;
 mod line_log;
--- a/crates/sablehaven-telemetry/src/line_log.rs
+++ b/crates/sablehaven-telemetry/src/line_log.rs
@@ -1,4 +1,5 @@
-//! Structured logs on standard output: one JSON line a record, bounded, never blocking.
+//! Structured logs on standard output: one line of JSON per record. The rate is limited, and logging never blocks the
+//! caller on the output.
 
 use std::{
     io::Write,
@@ -18,34 +19,34 @@
 
 use crate::TelemetryError;
 
-/// Lines that may wait for the writer; more are dropped and counted.
-const QUEUED_LINES: usize = 512;
-/// Lines that may be written in a row after a quiet time.
+/// The capacity of the queue to the writer thread, in lines. Lines that do not fit are dropped and counted.
+const QUEUE_CAPACITY_LINES: usize = 512;
+/// The burst of the rate limit: the number of lines that may be written at once after a period without logs.
 const BURST_LINES: f64 = 200.0;
-/// Lines a second beyond that; more are dropped and counted.
+/// The sustained rate limit. Lines above it are dropped and counted.
 const LINES_PER_SECOND: f64 = 50.0;
 
-/// Longest time for the lines under way when a process ends.
-const FLUSH_LIMIT: Duration = Duration::from_millis(50);
+/// The longest time to wait at the end of the process until the queued lines are written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Sends this process's log records to standard output, through a bounded queue and a writer of its
-/// own: a reader that stops reading slows nothing. What is dropped is counted, and the count logged.
+/// Writes this process's log records to standard output. A bounded queue passes them to a writer thread, so that a
+/// reader that stops reading does not slow down the process. Dropped lines are counted, and the count is logged.
 ///
 /// # Errors
-/// [`TelemetryError::LoggerInstalled`] where another logger is installed,
-/// [`TelemetryError::WriterThread`] where the writer cannot be started.
+/// Returns [`TelemetryError::LoggerInstalled`] if another logger is already installed, and
+/// [`TelemetryError::WriterThread`] if the writer thread cannot be started.
 pub fn install_line_logger() -> Result<(), TelemetryError> {
-    let (lines, queue) = sync_channel(QUEUED_LINES);
+    let (sender, receiver) = sync_channel(QUEUE_CAPACITY_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
     let append = LineAppend {
-        lines,
+        queue: sender,
         dropped: Arc::clone(&dropped),
-        allowance: Mutex::new(Allowance::new()),
+        rate_limiter: Mutex::new(RateLimiter::new()),
         layout: JsonLayout::default(),
     };
     std::thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write_lines(&queue, &dropped))
+        .spawn(move || write_lines(&receiver, &dropped))
         .map_err(|source| TelemetryError::WriterThread { source })?;
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
@@ -57,46 +58,49 @@
         .map_err(|_| TelemetryError::LoggerInstalled)
 }
 
+/// Formats log records and queues the lines for the writer thread.
 #[derive(Debug)]
 struct LineAppend {
-    lines: SyncSender<Work>,
+    queue: SyncSender<WriterMessage>,
+    /// The number of lines dropped since the count was last logged.
     dropped: Arc<AtomicU64>,
-    allowance: Mutex<Allowance>,
+    rate_limiter: Mutex<RateLimiter>,
     layout: JsonLayout,
 }
 
-/// What the writer is given.
+/// A message to the writer thread.
 #[derive(Debug)]
-enum Work {
+enum WriterMessage {
     Line(Vec<u8>),
-    /// Answered when everything before it is written.
+    /// Acknowledged through the sender when all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// Lines that may still be written.
+/// A token bucket, in which each line takes one token.
 #[derive(Debug)]
-struct Allowance {
-    lines: f64,
-    at: Instant,
+struct RateLimiter {
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl Allowance {
+impl RateLimiter {
     fn new() -> Self {
         Self {
-            lines: BURST_LINES,
-            at: Instant::now(),
+            tokens: BURST_LINES,
+            refilled_at: Instant::now(),
         }
     }
 
-    fn take(&mut self, now: Instant) -> bool {
-        let elapsed = now.saturating_duration_since(self.at);
-        self.at = now;
-        let earned = elapsed.as_secs_f64() * LINES_PER_SECOND;
-        self.lines = (self.lines + earned).min(BURST_LINES);
-        if self.lines < 1.0 {
+    /// Returns whether a line may be written now, and takes a token if so.
+    fn try_acquire(&mut self, now: Instant) -> bool {
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        self.refilled_at = now;
+        let refill = elapsed.as_secs_f64() * LINES_PER_SECOND;
+        self.tokens = (self.tokens + refill).min(BURST_LINES);
+        if self.tokens < 1.0 {
             return false;
         }
-        self.lines -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -108,50 +112,52 @@
         diagnostics: &[Box<dyn Diagnostic>],
     ) -> Result<(), logforth::Error> {
         let is_allowed = {
-            let mut allowance = self
-                .allowance
+            let mut rate_limiter = self
+                .rate_limiter
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            allowance.take(Instant::now())
+            rate_limiter.try_acquire(Instant::now())
         };
-        // Before anything is formatted: what is dropped must cost nothing.
+        // Checked before formatting, so that dropped records cost almost nothing.
         if !is_allowed {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         let mut line = self.layout.format(record, diagnostics)?;
         line.push(b'\n');
-        if let Err(TrySendError::Full(_)) = self.lines.try_send(Work::Line(line)) {
+        if let Err(TrySendError::Full(_)) = self.queue.try_send(WriterMessage::Line(line)) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
 
     fn flush(&self) -> Result<(), logforth::Error> {
-        let (done, written) = sync_channel(1);
-        if self.lines.try_send(Work::Flush(done)).is_ok() {
-            // A reader that has stopped reading holds nobody up for longer.
-            let _ = written.recv_timeout(FLUSH_LIMIT);
+        let (done, flushed) = sync_channel(1);
+        if self.queue.try_send(WriterMessage::Flush(done)).is_ok() {
+            // The timeout ensures that a reader that has stopped reading cannot block the end of the process.
+            let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
-/// A failed write to standard output has nowhere to be reported, so its result is dropped.
-fn write_lines(queue: &Receiver<Work>, dropped: &AtomicU64) {
+/// The loop of the writer thread. Errors of writing to standard output are ignored, because there is nowhere to report
+/// them.
+fn write_lines(queue: &Receiver<WriterMessage>, dropped: &AtomicU64) {
     let mut output = std::io::stdout();
-    while let Ok(work) = queue.recv() {
-        let mut line = match work {
-            Work::Line(line) => line,
-            Work::Flush(done) => {
+    while let Ok(message) = queue.recv() {
+        let mut line = match message {
+            WriterMessage::Line(line) => line,
+            WriterMessage::Flush(done) => {
                 let _ = done.send(());
                 continue;
             }
         };
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
             line.extend_from_slice(
-                format!("{{\"event\":\"log_lines_dropped\",\"lines\":{lost}}}\n").as_bytes(),
+                format!("{{\"event\":\"log_lines_dropped\",\"lines\":{dropped_lines}}}\n")
+                    .as_bytes(),
             );
         }
         let _ = output.write_all(&line);
--- a/crates/sablehaven-telemetry/src/line_log/tests.rs
+++ b/crates/sablehaven-telemetry/src/line_log/tests.rs
@@ -1,20 +1,23 @@
-//! Tests of the bounds.
+//! Tests of the rate limit.
 
 use std::time::{Duration, Instant};
 
-use super::{Allowance, BURST_LINES, LINES_PER_SECOND};
+use super::{BURST_LINES, LINES_PER_SECOND, RateLimiter};
 
 #[test]
-fn lines_are_bounded_over_time_and_a_quiet_time_allows_a_burst() {
-    let mut allowance = Allowance::new();
+fn the_rate_is_limited_and_a_period_without_lines_allows_a_burst() {
+    let mut rate_limiter = RateLimiter::new();
     let start = Instant::now();
-    let mut taken = 0;
+    let mut accepted = 0;
     for millisecond in 0..10_000 {
-        taken += u32::from(allowance.take(start + Duration::from_millis(millisecond)));
+        accepted += u32::from(rate_limiter.try_acquire(start + Duration::from_millis(millisecond)));
     }
-    let most = BURST_LINES + 10.0 * LINES_PER_SECOND;
-    assert!(f64::from(taken) <= most + 1.0);
-    assert!(f64::from(taken) >= most - 2.0);
+    let expected = BURST_LINES + 10.0 * LINES_PER_SECOND;
+    assert!(f64::from(accepted) <= expected + 1.0);
+    assert!(f64::from(accepted) >= expected - 2.0);
     let later = start + Duration::from_secs(60);
-    assert_eq!((0..500).filter(|_| allowance.take(later)).count(), 200);
+    assert_eq!(
+        (0..500).filter(|_| rate_limiter.try_acquire(later)).count(),
+        200
+    );
 }
--- a/crates/sablehaven-telemetry/src/ring.rs
+++ b/crates/sablehaven-telemetry/src/ring.rs
@@ -9,41 +9,42 @@
 
 use logforth::{Append, Diagnostic, Layout, layout::JsonLayout, record::Level, record::Record};
 
-/// Records that the ring holds; at about 300 bytes a record the ring stays below 1 MB.
+/// The capacity of the ring, in records. At about 300 bytes per record, the ring stays below 1 MB.
 pub const RING_CAPACITY: usize = 2_000;
 
-/// Least time between two writes of the ring, so that a storm of errors cannot fill a disk.
-const MINIMUM_WRITE_INTERVAL: Duration = Duration::from_secs(5);
+/// The minimum time between two dumps of the ring, so that a burst of errors cannot fill a disk.
+const MIN_DUMP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A shared, bounded ring of log records in JSON, one object a record.
+/// A bounded ring of log records, each of which is a JSON object. Clones share the same ring.
 #[derive(Clone, Debug)]
 pub struct LogRing {
-    shared: Arc<Mutex<RingState>>,
+    state: Arc<Mutex<RingState>>,
 }
 
 #[derive(Debug)]
 struct RingState {
     role: String,
     records: VecDeque<Vec<u8>>,
-    dropped: u64,
-    last_write: Option<Instant>,
+    /// The number of records overwritten since the last dump.
+    overwritten: u64,
+    last_dump: Option<Instant>,
 }
 
 impl LogRing {
-    /// An empty ring for a process of the given role.
+    /// Creates an empty ring for a process of the given role.
     pub fn new(role: &str) -> Self {
         let state = RingState {
             role: role.to_owned(),
             records: VecDeque::with_capacity(RING_CAPACITY),
-            dropped: 0,
-            last_write: None,
+            overwritten: 0,
+            last_dump: None,
         };
         Self {
-            shared: Arc::new(Mutex::new(state)),
+            state: Arc::new(Mutex::new(state)),
         }
     }
 
-    /// The records held now, oldest first, one a line.
+    /// Returns the records in the ring, oldest first, one per line.
     pub fn contents(&self) -> String {
         let state = self.lock();
         let mut text = String::new();
@@ -54,44 +55,45 @@
         text
     }
 
-    /// Writes the ring to standard error and empties it, unless that was done a moment ago.
+    /// Writes the records to standard error and empties the ring. Does nothing if the last dump was only a few seconds
+    /// ago.
     pub fn dump(&self, cause: &str) {
         let mut state = self.lock();
         let now = Instant::now();
-        let too_soon = state
-            .last_write
-            .is_some_and(|last| now.duration_since(last) < MINIMUM_WRITE_INTERVAL);
-        if too_soon {
+        let is_too_soon = state
+            .last_dump
+            .is_some_and(|last| now.duration_since(last) < MIN_DUMP_INTERVAL);
+        if is_too_soon {
             return;
         }
-        state.last_write = Some(now);
+        state.last_dump = Some(now);
         let records = std::mem::take(&mut state.records);
-        let dropped = std::mem::take(&mut state.dropped);
+        let overwritten = std::mem::take(&mut state.overwritten);
         let role = state.role.clone();
         drop(state);
-        write_records(&role, cause, dropped, &records);
+        write_records(&role, cause, overwritten, &records);
     }
 
     fn push(&self, record: Vec<u8>) {
         let mut state = self.lock();
         if state.records.len() == RING_CAPACITY {
             state.records.pop_front();
-            state.dropped += 1;
+            state.overwritten += 1;
         }
         state.records.push_back(record);
     }
 
     fn lock(&self) -> MutexGuard<'_, RingState> {
-        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A failed write to standard error has nowhere to be reported, so its result is dropped.
-fn write_records(role: &str, cause: &str, dropped: u64, records: &VecDeque<Vec<u8>>) {
+/// Writes records to standard error. Errors are ignored, because there is nowhere to report them.
+fn write_records(role: &str, cause: &str, overwritten: u64, records: &VecDeque<Vec<u8>>) {
     let mut output = std::io::stderr().lock();
     let _ = writeln!(
         output,
-        "# log ring of {role}: {cause} ({} records, {dropped} older ones overwritten)",
+        "# log ring of {role}: {cause} ({} records, {overwritten} older ones overwritten)",
         records.len()
     );
     for record in records {
@@ -101,7 +103,7 @@
     let _ = output.flush();
 }
 
-/// Puts records into the ring and writes it out on an error record.
+/// Appends log records to the ring, and dumps the ring on an error record.
 #[derive(Debug)]
 pub(crate) struct RingAppend {
     ring: LogRing,
--- a/crates/sablehaven-telemetry/src/telemetry.rs
+++ b/crates/sablehaven-telemetry/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! What a process shows of itself.
+//! The log ring, metrics and readiness of a role.
 
 use std::sync::{
     Arc, Mutex, PoisonError,
@@ -14,37 +14,40 @@
     ring::{LogRing, RingAppend},
 };
 
-/// Errors of setting up telemetry.
+/// Why a logger could not be installed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum TelemetryError {
-    /// install the log ring: another logger is installed in this process
+    /// install the logger: another logger is already installed in this process
     LoggerInstalled,
-    /// start log writer: {source}
+    /// start the log writer thread: {source}
     WriterThread {
-        /// The cause.
+        /// The error of starting the thread.
         source: std::io::Error,
     },
 }
 
-/// The log ring, the metrics and the readiness of one role; cheap to clone.
+/// The log ring, the metrics and the readiness of one role. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Telemetry {
     ring: LogRing,
     registry: Arc<Mutex<Registry>>,
-    ready: Arc<AtomicBool>,
+    is_ready: Arc<AtomicBool>,
 }
 
 impl Telemetry {
-    /// Telemetry of one role; several may stand in one process.
+    /// Creates the telemetry of one role. One process may have several.
     pub fn new(role: &str) -> Self {
         Self {
             ring: LogRing::new(role),
             registry: Arc::new(Mutex::new(Registry::with_prefix("sablehaven"))),
-            ready: Arc::new(AtomicBool::new(false)),
+            is_ready: Arc::new(AtomicBool::new(false)),
         }
     }
 
-    /// Sends this process's log records to the ring, and writes the ring out on a panic.
+    /// Installs a logger that appends this process's log records to the ring, and a panic hook that dumps the ring.
+    ///
+    /// # Errors
+    /// Returns [`TelemetryError::LoggerInstalled`] if another logger is already installed.
     pub fn install_logger(&self) -> Result<(), TelemetryError> {
         let append = RingAppend::new(self.ring.clone());
         logforth::starter_log::builder()
@@ -64,37 +67,37 @@
         Ok(())
     }
 
-    /// The log ring.
+    /// Returns the log ring.
     pub fn ring(&self) -> &LogRing {
         &self.ring
     }
 
-    /// Registers metrics; names get the prefix `sablehaven_`.
+    /// Registers metrics. The prefix `sablehaven_` is added to their names.
     pub fn register(&self, add: impl FnOnce(&mut Registry)) {
         let mut registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         add(&mut registry);
     }
 
-    /// The metrics in Prometheus text.
+    /// Encodes the metrics in the Prometheus text format.
     pub fn encode_metrics(&self) -> String {
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
-        // Encoding into a `String` cannot fail; an empty page would show if it did.
+        // Encoding into a `String` cannot fail. If it did, the response would be empty.
         let _ = encode(&mut text, &registry);
         text
     }
 
-    /// Says whether the process takes new work.
-    pub fn set_ready(&self, ready: bool) {
-        self.ready.store(ready, Ordering::Release);
+    /// Sets whether the process accepts new requests, as the readiness check reports.
+    pub fn set_ready(&self, is_ready: bool) {
+        self.is_ready.store(is_ready, Ordering::Release);
     }
 
-    /// Whether the process takes new work.
+    /// Returns whether the process accepts new requests.
     pub fn is_ready(&self) -> bool {
-        self.ready.load(Ordering::Acquire)
+        self.is_ready.load(Ordering::Acquire)
     }
 
-    /// Routes `/metrics`, `/health/live`, `/health/ready` and `/debug/log`.
+    /// Returns a router that serves `/metrics`, `/health/live`, `/health/ready` and `/debug/log`.
     pub fn router(&self) -> Router {
         handlers::router(self.clone())
     }
--- a/crates/sablehaven-types/src/routes_change/tests.rs
+++ b/crates/sablehaven-types/src/routes_change/tests.rs
@@ -132,7 +132,7 @@
     let mut next = base.clone();
     next.version = 2;
     next.tenants[5_000].keys[0] = KeyDigest::of(b"another");
-    let size = |bytes: Result<Vec<u8>, _>| bytes.expect("encode").len();
+    let size = |bytes: Result<Vec<u8>, _>| bytes.expect("encode the value").len();
     let document_bytes = size(rmp_serde::to_vec(&next));
     let change_bytes = size(rmp_serde::to_vec(&RoutesChange::between(&base, &next)));
     println!(
