--- a/crates/sablehaven-http/src/observed_body.rs
+++ b/crates/sablehaven-http/src/observed_body.rs
@@ -17,8 +17,8 @@
     fn last_frame_taken(self);
 }
 
-/// A [`WholeBody`] with an observer. The observer is dropped without a notification if the caller disconnects before the
-/// last frame is taken, and if the body is empty, because a connection does not poll an empty body.
+/// A [`WholeBody`] with an observer. The observer is dropped without a notification if the caller disconnects before
+/// the last frame is taken, and if the body is empty, because a connection does not poll an empty body.
 pub struct ObservedBody<Observer> {
     body: WholeBody,
     observer: Option<Observer>,
--- a/crates/sablehaven-http/src/server.rs
+++ b/crates/sablehaven-http/src/server.rs
@@ -46,8 +46,8 @@
     pub closing: CancellationToken,
 }
 
-/// Listens on an address. Sets `SO_REUSEADDR`, so that the address can be reused immediately after a previous process has
-/// ended.
+/// Listens on an address. Sets `SO_REUSEADDR`, so that the address can be reused immediately after a previous process
+/// has ended.
 ///
 /// # Errors
 /// Returns the operating system's error if the socket cannot be bound.
@@ -61,8 +61,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections until [`ServerSignals::closing`] and serves each in a local task of its own. `limits` is called for
-/// each connection, since the limits may change while the process runs.
+/// Accepts connections until [`ServerSignals::closing`] and serves each in a local task of its own. `limits` is called
+/// for each connection, since the limits may change while the process runs.
 pub async fn accept_connections<Handler, ResponseFuture, ResponseBody>(
     listener: TcpListener,
     limits: impl Fn() -> ConnectionLimits,
--- a/crates/sablehaven-telemetry/src/lib.rs
+++ b/crates/sablehaven-telemetry/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A process installs one of two loggers:
 //!
-//! - [`Telemetry::install_logger`] appends log records to a ring in memory. The ring is written to standard error after a
-//!   failure: on an error record, on a panic, and when a role ends with an error. Otherwise the process writes no logs.
+//! - [`Telemetry::install_logger`] appends log records to a ring in memory. The ring is written to standard error after
+//!   a failure: on an error record, on a panic, and when a role ends with an error. Otherwise the process writes no logs.
 //! - [`install_line_logger`] writes every log record to standard output.
 
 mod handlers;
--- a/crates/sablehaven-telemetry/src/line_log.rs
+++ b/crates/sablehaven-telemetry/src/line_log.rs
@@ -36,17 +36,17 @@
 /// Returns [`TelemetryError::LoggerInstalled`] if another logger is already installed, and
 /// [`TelemetryError::WriterThread`] if the writer thread cannot be started.
 pub fn install_line_logger() -> Result<(), TelemetryError> {
-    let (sender, receiver) = sync_channel(QUEUE_CAPACITY_LINES);
+    let (queue, messages) = sync_channel(QUEUE_CAPACITY_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
     let append = LineAppend {
-        queue: sender,
+        queue,
         dropped: Arc::clone(&dropped),
         rate_limiter: Mutex::new(RateLimiter::new()),
         layout: JsonLayout::default(),
     };
     std::thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write_lines(&receiver, &dropped))
+        .spawn(move || write_lines(&messages, &dropped))
         .map_err(|source| TelemetryError::WriterThread { source })?;
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
@@ -143,9 +143,9 @@
 
 /// The loop of the writer thread. Errors of writing to standard output are ignored, because there is nowhere to report
 /// them.
-fn write_lines(queue: &Receiver<WriterMessage>, dropped: &AtomicU64) {
+fn write_lines(messages: &Receiver<WriterMessage>, dropped: &AtomicU64) {
     let mut output = std::io::stdout();
-    while let Ok(message) = queue.recv() {
+    while let Ok(message) = messages.recv() {
         let mut line = match message {
             WriterMessage::Line(line) => line,
             WriterMessage::Flush(done) => {
--- a/crates/sablehaven-types/src/http.rs
+++ b/crates/sablehaven-types/src/http.rs
@@ -6,10 +6,10 @@
 //!
 //! The agent sends a `POST` request to back ends at the same path, over HTTP/2 without TLS (prior knowledge). The body
 //! is the method's request message in protobuf, and the headers hold the attempt's metadata. A reply with status 200
-//! must echo attempt, shard and snapshot, or it is discarded. A refusal must echo the attempt. If it does not, it proves
-//! nothing about a non-idempotent request, and the outcome of that request is unknown. The agent forwards the [`CALLER`],
-//! [`REQUEST_ID`] and [`ISSUED_AT_MS`] of a non-idempotent request to the back end, which can use them to keep its own
-//! record. The agent cancels an attempt by resetting its HTTP/2 stream.
+//! must echo attempt, shard and snapshot, or it is discarded. A refusal must echo the attempt. If it does not, it
+//! proves nothing about a non-idempotent request, and the outcome of that request is unknown. The agent forwards the
+//! [`CALLER`], [`REQUEST_ID`] and [`ISSUED_AT_MS`] of a non-idempotent request to the back end, which can use them to
+//! keep its own record. The agent cancels an attempt by resetting its HTTP/2 stream.
 
 /// The content type of protobuf bodies.
 pub const CONTENT_TYPE_PROTOBUF: &str = "application/x-protobuf";
@@ -20,8 +20,8 @@
 pub const CALLER: &str = "sablehaven-caller";
 /// Caller to agent: the caller's id for the request. Required for non-idempotent requests.
 pub const REQUEST_ID: &str = "sablehaven-request-id";
-/// Caller to agent: when the request was first issued, in milliseconds since the Unix epoch. Required for non-idempotent
-/// requests. A resend repeats the time of the first issue.
+/// Caller to agent: when the request was first issued, in milliseconds since the Unix epoch. Required for
+/// non-idempotent requests. A resend repeats the time of the first issue.
 pub const ISSUED_AT_MS: &str = "sablehaven-issued-at-ms";
 /// Caller to agent (`1`): the caller has sent this request before and does not know its outcome. A refusal before the
 /// ledger was consulted then reports the outcome "unknown", because the earlier request may have run.
--- a/crates/sablehaven-types/src/ledger.rs
+++ b/crates/sablehaven-types/src/ledger.rs
@@ -11,8 +11,9 @@
     pub caller: CallerId,
     /// The caller's id for the request.
     pub request: RequestId,
-    /// When the caller issued the request, in milliseconds since the Unix epoch. It is part of the key because the ledger
-    /// discards keys issued before its horizon and refuses them from then on, so that no discarded request runs again.
+    /// When the caller issued the request, in milliseconds since the Unix epoch. It is part of the key because the
+    /// ledger discards keys issued before its horizon and refuses them from then on, so that no discarded request runs
+    /// again.
     pub issued_at_ms: u64,
 }
 
--- a/crates/sablehaven-types/src/lib.rs
+++ b/crates/sablehaven-types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Data types that every role shares, such as identifiers, routes, configuration, membership records and outcomes.
 //!
-//! The types are plain data: they read no clock, do no I/O and make no decisions. A field that holds a duration is in milliseconds, as its
-//! suffix `_ms` shows. Indexes and versions start at 1; 0 means "none yet".
+//! The types are plain data: they read no clock, do no I/O and make no decisions. A field that holds a duration is in
+//! milliseconds, as its suffix `_ms` shows. Indexes and versions start at 1; 0 means "none yet".
 
 mod allowed_regions;
 mod configuration;
--- a/crates/sablehaven-types/src/routes.rs
+++ b/crates/sablehaven-types/src/routes.rs
@@ -326,8 +326,8 @@
     /// Returns the minimum number of shards that a response must cover; at least 1.
     pub fn min_shards(&self) -> usize {
         let shards = self.shards.len();
-        // Finds the smallest sufficient count by comparing fractions. Rounding `shards * min_coverage` up could be off by
-        // one.
+        // Finds the smallest sufficient count by comparing fractions. Rounding `shards * min_coverage` up could be off
+        // by one.
         (0..=shards)
             .find(|count| *count as f64 / shards as f64 >= self.min_coverage)
             .unwrap_or(shards)
--- a/crates/sablehaven-types/src/routes_change.rs
+++ b/crates/sablehaven-types/src/routes_change.rs
@@ -6,8 +6,8 @@
 
 use crate::{CallerLimits, Route, RouteDocument, RoutedService, ServiceName, Tenant, TenantName};
 
-/// The difference between two versions of the routes. Sending only the difference keeps an update small if, for example,
-/// one of thousands of tenants changes.
+/// The difference between two versions of the routes. Sending only the difference keeps an update small if, for
+/// example, one of thousands of tenants changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutesChange {
     /// The version to which the change applies. A receiver with a different version cannot apply it.
@@ -72,7 +72,8 @@
     }
 }
 
-/// Applies a difference: returns the items of `before` without the removed and changed ones, followed by the changed ones.
+/// Applies a difference: returns the items of `before` without the removed and changed ones, followed by the changed
+/// ones.
 fn apply_difference<Key: Ord, Item: Clone>(
     before: &[Item],
     gone: &BTreeSet<Key>,
--- a/crates/sablehaven-types/src/tenant.rs
+++ b/crates/sablehaven-types/src/tenant.rs
@@ -41,8 +41,8 @@
 
 /// The stored form of an API key: the first half of its SHA-256 digest.
 ///
-/// Keys are compared by digest. A reader of the state of a gateway or replica therefore cannot recover a usable key, and
-/// the time that a lookup takes reveals nothing about existing keys.
+/// Keys are compared by digest. A reader of the state of a gateway or replica therefore cannot recover a usable key,
+/// and the time that a lookup takes reveals nothing about existing keys.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u64; 2]);
 
