--- a/crates/sablehaven-http/src/client.rs
+++ b/crates/sablehaven-http/src/client.rs
@@ -29,7 +29,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// connect to {address}: not done in time
+    /// connect to {address}: timed out
     TimedOut {
         /// The server.
         address: SocketAddr,
--- a/crates/sablehaven-types/src/ledger.rs
+++ b/crates/sablehaven-types/src/ledger.rs
@@ -20,7 +20,7 @@
 /// A request to the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerRequest {
-    /// Claims the key before the request is dispatched for the only time.
+    /// Claims the key. The agent must hold the claim before it dispatches the request, which happens only once.
     Claim {
         /// The key.
         key: LedgerKey,
--- a/crates/sablehaven-types/src/listing.rs
+++ b/crates/sablehaven-types/src/listing.rs
@@ -59,7 +59,7 @@
 pub struct ListingNumber {
     /// The term of the leader that read the list.
     pub term: u64,
-    /// The count of that leader's readings that differ from the reading before.
+    /// The number of that leader's readings so far that differed from their previous reading.
     pub reading: u64,
 }
 
@@ -139,7 +139,8 @@
 }
 
 impl ServerListing {
-    /// Removes entries with duplicate ids: of several entries with the same id, the one with the latest start is kept.
+    /// Returns the entries without duplicate ids. Of several entries with the same id, the one with the latest start is
+    /// kept; of several with that start, the first.
     pub fn latest_starts(servers: Vec<ListedServer>) -> Vec<ListedServer> {
         let mut latest: HashMap<BackendId, Option<u64>> = HashMap::with_capacity(servers.len());
         for server in &servers {
--- a/crates/sablehaven-types/src/quota_tolerance.rs
+++ b/crates/sablehaven-types/src/quota_tolerance.rs
@@ -15,7 +15,7 @@
     pub window_ms: u64,
     /// The excess over the quota that is allowed, in thousandths of the quota.
     pub excess_permille: u32,
-    /// The number of requests per window that are allowed in addition.
+    /// The number of requests per window that are allowed in addition to the quota and its excess.
     pub slack: u32,
 }
 
--- a/crates/sablehaven-types/src/routes.rs
+++ b/crates/sablehaven-types/src/routes.rs
@@ -70,7 +70,7 @@
 pub enum RouteTarget {
     /// One server of a service.
     Service(ServiceName),
-    /// One server of one of the services, which is selected at random by weight.
+    /// One server of one service, which is selected at random by weight.
     Split(Vec<WeightedService>),
     /// One server of every shard.
     Gather(Gather),
--- a/crates/sablehaven-types/src/tokens.rs
+++ b/crates/sablehaven-types/src/tokens.rs
@@ -51,7 +51,7 @@
     NoPart,
 }
 
-/// A request for tokens from a replica whose part of a tenant's quota is exhausted to another replica.
+/// A request for tokens that a replica sends to another one when its own part of a tenant's quota is exhausted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanRequest {
     /// The number of this request. The loan echoes it, so that a loan that arrives too late can be recognized.
