--- a/crates/sablehaven-types/src/process.rs
+++ b/crates/sablehaven-types/src/process.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The addresses on which a process listens. A field is `None` until its socket is bound, or if the process has none.
+/// The addresses on which a process listens. A field is `None` if the role has no such interface.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoundAddresses {
     /// The HTTP interface, for callers, operators, health checks and metrics.
--- a/crates/sablehaven-types/src/routes.rs
+++ b/crates/sablehaven-types/src/routes.rs
@@ -192,7 +192,7 @@
     },
     /// tenant '{tenant}': another tenant has one of its keys
     DuplicateKey {
-        /// The last tenant with the key, in the order of the document.
+        /// The later of the two tenants with the key, in the order of the document.
         tenant: TenantName,
     },
     /// tenant '{tenant}': its name must not be empty and have no control characters
