--- a/crates/sablehaven-schema/src/body/depth.rs
+++ b/crates/sablehaven-schema/src/body/depth.rs
@@ -4,7 +4,7 @@
 
 use super::{
     BodyError, BodyLimits,
-    place::{Place, for_each_inner, path_of},
+    field_path::{Place, for_each_inner, path_of},
 };
 
 /// Refuses a message that is nested more deeply than the limits allow.
--- a/crates/sablehaven-schema/src/body/mod.rs
+++ b/crates/sablehaven-schema/src/body/mod.rs
@@ -4,9 +4,9 @@
 //! `lines[2].quantity`.
 
 mod depth;
+mod field_path;
 mod json;
 mod locate;
-mod place;
 mod protobuf;
 mod request;
 mod unique_keys;
--- a/crates/sablehaven-schema/src/body/protobuf.rs
+++ b/crates/sablehaven-schema/src/body/protobuf.rs
@@ -6,9 +6,9 @@
 use super::{
     BodyError, BodyLimits,
     depth::check_depth,
+    field_path::{Place, for_each_inner, path_of},
     join,
     locate::locate,
-    place::{Place, for_each_inner, path_of},
 };
 
 /// Reads a caller's request from protobuf.
