--- a/crates/sablehaven-schema/examples/schema_bench.rs
+++ b/crates/sablehaven-schema/examples/schema_bench.rs
@@ -1,5 +1,5 @@
-//! Processor time of the schema's work in an agent: loading a schema, reading a request, reading and
-//! merging the shards' replies, writing the answer.
+//! Measures the time an agent spends on schema operations: parsing a schema, decoding a request,
+//! decoding and merging the shards' replies, and encoding the response.
 //!
 //! Usage: `cargo run --release -p sablehaven-schema --example schema_bench [-- --rounds N]`.
 
@@ -20,9 +20,9 @@
 use sablehaven_types::ShardId;
 use serde_json::json;
 
-/// Elements of each shard's reply, as many as a caller of the stock search gets by default.
-const ITEMS: usize = 20;
-/// Numbers of shards that one query asks.
+/// Elements in each shard's reply; equals the default limit of the stock search.
+const ITEMS_PER_REPLY: usize = 20;
+/// Numbers of shards in a query's fan-out.
 const SHARD_COUNTS: [u32; 4] = [5, 15, 30, 55];
 
 fn main() {
@@ -35,9 +35,14 @@
                 .help("Repetitions of each measurement"),
         )
         .get_matches();
-    let rounds = *arguments.get_one("rounds").expect("it has a default");
-    let text = schema_text();
-    println!("{:<44} {:>10} {:>10}", "microseconds of", "median", "least");
+    let rounds = *arguments
+        .get_one("rounds")
+        .expect("--rounds has a default value");
+    let text = read_schema();
+    println!(
+        "{:<44} {:>10} {:>10}",
+        "microseconds of", "median", "minimum"
+    );
     measure("load the schema of trinacria", rounds, || {
         parse(&text);
     });
@@ -49,7 +54,7 @@
     measure_replies(search, rounds);
 }
 
-fn schema_text() -> String {
+fn read_schema() -> String {
     let path = "../../deployments/trinacria/schema.proto";
     fs::read_to_string(PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(path))
         .expect("the schema is committed")
@@ -62,12 +67,12 @@
 fn measure_requests(search: &MethodSchema, rounds: u32) {
     let json = br#"{"text":"pasta","category":"PRODUCT_CATEGORY_PASTA","minimumQuantityKg":10}"#;
     measure("read a request from JSON", rounds, || {
-        black_box(decode_json(&search.input, json)).expect("it fits");
+        black_box(decode_json(&search.input, json)).expect("the body decodes");
     });
-    let request = decode_json(&search.input, json).expect("it fits");
+    let request = decode_json(&search.input, json).expect("the body decodes");
     let bytes = encode_protobuf(&request);
     measure("read a request from protobuf", rounds, || {
-        black_box(decode_protobuf(&search.input, &bytes)).expect("it fits");
+        black_box(decode_protobuf(&search.input, &bytes)).expect("the body decodes");
     });
     measure("write a request as protobuf", rounds, || {
         black_box(encode_protobuf(&request));
@@ -76,23 +81,23 @@
 
 fn measure_replies(search: &MethodSchema, rounds: u32) {
     let request = DynamicMessage::new(search.input.clone());
-    let bytes = reply_bytes(search);
+    let bytes = encoded_reply(search);
     measure("read a reply of 20 elements", rounds, || {
-        black_box(decode_reply(&search.output, &bytes)).expect("it fits");
+        black_box(decode_reply(&search.output, &bytes)).expect("the body decodes");
     });
     for count in SHARD_COUNTS {
         measure(&format!("read and merge {count} replies"), rounds, || {
-            black_box(read_and_merge(search, &request, &bytes, count));
+            black_box(decode_and_merge(search, &request, &bytes, count));
         });
     }
-    let answer = read_and_merge(search, &request, &bytes, 55);
+    let merged = decode_and_merge(search, &request, &bytes, 55);
     measure("write an answer of 20 elements as JSON", rounds, || {
-        black_box(encode_json(&answer)).expect("it has a JSON form");
+        black_box(encode_json(&merged)).expect("the message has a JSON form");
     });
 }
 
-fn reply_bytes(search: &MethodSchema) -> Vec<u8> {
-    let matches: Vec<_> = (0..ITEMS)
+fn encoded_reply(search: &MethodSchema) -> Vec<u8> {
+    let matches: Vec<_> = (0..ITEMS_PER_REPLY)
         .map(|item| {
             json!({
                 "depotId": format!("depot-{item}"),
@@ -104,37 +109,39 @@
         })
         .collect();
     let reply = json!({ "matches": matches, "depotsWithStock": "20", "totalQuantityKg": "120" });
-    let message = decode_json(&search.output, reply.to_string().as_bytes()).expect("it fits");
+    let message =
+        decode_json(&search.output, reply.to_string().as_bytes()).expect("the body decodes");
     encode_protobuf(&message)
 }
 
-fn read_and_merge(
+fn decode_and_merge(
     search: &MethodSchema,
     request: &DynamicMessage,
     bytes: &[u8],
     shards: u32,
 ) -> DynamicMessage {
-    let read = |shard| {
-        let reply = decode_reply(&search.output, bytes).expect("it fits");
+    let decode = |shard| {
+        let reply = decode_reply(&search.output, bytes).expect("the body decodes");
         (ShardId(shard), reply)
     };
-    let replies: BTreeMap<_, _> = (0..shards).map(read).collect();
-    merge(search, replies, request).expect("it merges")
+    let replies: BTreeMap<_, _> = (0..shards).map(decode).collect();
+    merge(search, replies, request).expect("the replies merge")
 }
 
-/// Prints the median and the least time of one call, after as many calls to warm up.
-fn measure(name: &str, rounds: u32, mut work: impl FnMut()) {
-    (0..rounds).for_each(|_| work());
-    let mut times: Vec<Duration> = (0..rounds)
+/// Calls `operation` `rounds` times to warm up and `rounds` times timed, then prints the median and
+/// minimum time of a call.
+fn measure(name: &str, rounds: u32, mut operation: impl FnMut()) {
+    (0..rounds).for_each(|_| operation());
+    let mut durations: Vec<Duration> = (0..rounds)
         .map(|_| {
             let start = Instant::now();
-            work();
+            operation();
             start.elapsed()
         })
         .collect();
-    times.sort();
-    let microseconds = |time: Duration| time.as_secs_f64() * 1e6;
-    let median = microseconds(times[times.len() / 2]);
-    let least = microseconds(times[0]);
-    println!("{name:<44} {median:>10.1} {least:>10.1}");
+    durations.sort();
+    let microseconds = |duration: Duration| duration.as_secs_f64() * 1e6;
+    let median = microseconds(durations[durations.len() / 2]);
+    let minimum = microseconds(durations[0]);
+    println!("{name:<44} {median:>10.1} {minimum:>10.1}");
 }
--- a/crates/sablehaven-schema/examples/write_deployment.rs
+++ b/crates/sablehaven-schema/examples/write_deployment.rs
@@ -1,7 +1,7 @@
 //! Writes `deployments/<name>/configuration.json` from the deployment's schema and fleet file.
 //!
-//! Usage: `cargo run -p sablehaven-schema --example write_deployment [-- --check]`. With `--check`
-//! nothing is written; the program fails if a file is not current.
+//! Usage: `cargo run -p sablehaven-schema --example write_deployment [-- --check]`. With `--check`,
+//! the program writes nothing and fails if a file is out of date.
 
 use std::{
     fs,
@@ -13,7 +13,7 @@
 
 const DEPLOYMENTS: [&str; 2] = ["trinacria", "tareas"];
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 fn main() -> ExitCode {
     let check = std::env::args().any(|argument| argument == "--check");
@@ -27,7 +27,7 @@
     ExitCode::SUCCESS
 }
 
-fn write_deployment(folder: &Path, check: bool) -> Result<(), Failure> {
+fn write_deployment(folder: &Path, check: bool) -> Result<(), BoxError> {
     let text = configuration_text(folder)?;
     let path = folder.join("configuration.json");
     if !check {
@@ -36,26 +36,26 @@
     if fs::read_to_string(&path)? == text {
         return Ok(());
     }
-    Err(format!("{} is not current", path.display()).into())
+    Err(format!("{} is out of date", path.display()).into())
 }
 
-fn configuration_text(folder: &Path) -> Result<String, Failure> {
+fn configuration_text(folder: &Path) -> Result<String, BoxError> {
     let schema_text = fs::read_to_string(folder.join("schema.proto"))?;
-    let schema = DeploymentSchema::parse("schema.proto", &schema_text).map_err(lines)?;
+    let schema = DeploymentSchema::parse("schema.proto", &schema_text).map_err(join_lines)?;
     let fleet = FleetFile::parse(&fs::read_to_string(folder.join("fleet.toml"))?)?;
     let errors = fleet.validate("");
     if !errors.is_empty() {
-        return Err(lines(errors).into());
+        return Err(join_lines(errors).into());
     }
     let problems = fleet.check_schema(&schema);
     if !problems.is_empty() {
-        return Err(lines(problems).into());
+        return Err(join_lines(problems).into());
     }
     let configuration = fleet.configuration(&schema, &fleet.full);
     Ok(serde_json::to_string_pretty(&configuration)? + "\n")
 }
 
-fn lines<Line: ToString>(problems: Vec<Line>) -> String {
-    let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
+fn join_lines<T: ToString>(messages: Vec<T>) -> String {
+    let lines: Vec<_> = messages.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/crates/sablehaven-schema/src/body/field_path.rs
+++ b/crates/sablehaven-schema/src/body/field_path.rs
@@ -1,4 +1,4 @@
-//! Where in a body a message stands.
+//! The path of a message within a body.
 
 use std::fmt;
 
@@ -6,56 +6,60 @@
 
 use super::BodyError;
 
-/// A message within a body. Only a chain of references, so that walking a body that fits allocates
-/// nothing; the path is written out once a body is refused.
+/// The path of a message within a body, as a linked list on the stack.
+///
+/// Traversing a valid body thus allocates nothing; the path is formatted only for an error.
 #[derive(Clone, Copy)]
-pub(super) struct Place<'a> {
-    parent: Option<&'a Place<'a>>,
+pub(super) struct FieldPath<'a> {
+    parent: Option<&'a FieldPath<'a>>,
     field: &'a FieldDescriptor,
-    element: Element<'a>,
+    subscript: Subscript<'a>,
 }
 
+/// Selects one message of a field.
 #[derive(Clone, Copy)]
-enum Element<'a> {
-    Single,
+enum Subscript<'a> {
+    /// The field is neither a list nor a map.
+    Singular,
     Index(usize),
     Key(&'a MapKey),
 }
 
-impl fmt::Display for Place<'_> {
+impl fmt::Display for FieldPath<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         if let Some(parent) = self.parent {
             write!(formatter, "{parent}.")?;
         }
         formatter.write_str(self.field.name())?;
-        match self.element {
-            Element::Single => Ok(()),
-            Element::Index(index) => write!(formatter, "[{index}]"),
-            Element::Key(key) => write!(formatter, "[{}]", Value::from(key.clone())),
+        match self.subscript {
+            Subscript::Singular => Ok(()),
+            Subscript::Index(index) => write!(formatter, "[{index}]"),
+            Subscript::Key(key) => write!(formatter, "[{}]", Value::from(key.clone())),
         }
     }
 }
 
-/// The path of a place; empty for the body itself.
-pub(super) fn path_of(place: Option<&Place<'_>>) -> String {
-    place.map(Place::to_string).unwrap_or_default()
+/// Formats a path; empty for the body itself.
+pub(super) fn path_text(path: Option<&FieldPath<'_>>) -> String {
+    path.map(FieldPath::to_string).unwrap_or_default()
 }
 
-/// Calls `visit` with each message directly inside another.
-pub(super) fn for_each_inner(
+/// Calls `visit` with each message that is a direct field value, list element or map value of
+/// `message`.
+pub(super) fn for_each_submessage(
     message: &DynamicMessage,
-    parent: Option<&Place<'_>>,
-    visit: &mut dyn FnMut(&DynamicMessage, &Place<'_>) -> Result<(), BodyError>,
+    parent: Option<&FieldPath<'_>>,
+    visit: &mut dyn FnMut(&DynamicMessage, &FieldPath<'_>) -> Result<(), BodyError>,
 ) -> Result<(), BodyError> {
     for (field, value) in message.fields() {
         let field = &field;
-        let mut visit_value = |value: &Value, element: Element<'_>| match value {
+        let mut visit_value = |value: &Value, subscript: Subscript<'_>| match value {
             Value::Message(inner) => visit(
                 inner,
-                &Place {
+                &FieldPath {
                     parent,
                     field,
-                    element,
+                    subscript,
                 },
             ),
             _ => Ok(()),
@@ -63,15 +67,15 @@
         match value {
             Value::List(list) => {
                 for (index, value) in list.iter().enumerate() {
-                    visit_value(value, Element::Index(index))?;
+                    visit_value(value, Subscript::Index(index))?;
                 }
             }
             Value::Map(map) => {
                 for (key, value) in map {
-                    visit_value(value, Element::Key(key))?;
+                    visit_value(value, Subscript::Key(key))?;
                 }
             }
-            single => visit_value(single, Element::Single)?,
+            singular => visit_value(singular, Subscript::Singular)?,
         }
     }
     Ok(())
--- a/crates/sablehaven-schema/src/body/json.rs
+++ b/crates/sablehaven-schema/src/body/json.rs
@@ -1,4 +1,4 @@
-//! JSON bodies, in the canonical mapping of Protocol Buffers.
+//! Decodes and encodes JSON bodies in the canonical JSON mapping of Protocol Buffers.
 
 use prost_reflect::{DynamicMessage, MessageDescriptor, SerializeOptions};
 use serde::de::DeserializeSeed;
@@ -7,9 +7,9 @@
 use super::{BodyError, BodyLimits, unique_keys::UniqueKeys};
 use crate::nesting::check_json_nesting;
 
-/// Reads a caller's request from JSON.
+/// Decodes a caller's request from JSON.
 ///
-/// Refuses unknown fields, keys given twice, and anything over [`BodyLimits::REQUEST`].
+/// Rejects unknown fields, duplicate keys, and bodies that exceed [`BodyLimits::REQUEST`].
 pub fn decode_json(
     descriptor: &MessageDescriptor,
     bytes: &[u8],
@@ -17,12 +17,13 @@
     let limits = BodyLimits::REQUEST;
     limits.check_bytes(bytes.len())?;
     check_json_nesting(bytes, limits.max_depth).map_err(|_| limits.too_deep(""))?;
-    read(bytes, UniqueKeys)?;
-    read(bytes, descriptor.clone())
+    deserialize(bytes, UniqueKeys)?;
+    deserialize(bytes, descriptor.clone())
 }
 
-/// Reads the whole of a JSON text; an error carries the path at which it arose.
-fn read<'de, Seed: DeserializeSeed<'de>>(
+/// Deserializes a JSON text and rejects trailing characters; an error carries the path of the value at
+/// which it occurred.
+fn deserialize<'de, Seed: DeserializeSeed<'de>>(
     bytes: &'de [u8],
     seed: Seed,
 ) -> Result<Seed::Value, BodyError> {
@@ -36,15 +37,16 @@
     Ok(value)
 }
 
-/// The path of the value that was read last; a key that could not be read adds nothing to it.
+/// The path of the value that was deserialized last, without the trailing `?` or `.` that the tracker
+/// writes for a key that it could not read.
 fn path_text(track: Track) -> String {
     let path = track.path().to_string();
     path.trim_end_matches(['?', '.']).to_owned()
 }
 
-/// Writes a message as JSON; fields with their default value are written too.
+/// Encodes a message as JSON, including fields that have their default value.
 ///
-/// Fails only for values that JSON's mapping cannot express, such as a time stamp out of range.
+/// Fails only for values that the JSON mapping cannot represent, such as a timestamp out of range.
 pub fn encode_json(message: &DynamicMessage) -> Result<serde_json::Value, BodyError> {
     let options = SerializeOptions::new().skip_default_fields(false);
     message
--- a/crates/sablehaven-schema/src/body/mod.rs
+++ b/crates/sablehaven-schema/src/body/mod.rs
@@ -1,7 +1,7 @@
-//! Bodies of requests and replies, as JSON and as protobuf.
+//! Decodes and encodes request and reply bodies, as JSON and as protobuf.
 //!
-//! A body that does not fit its message is refused with the path of the field to blame, such as
-//! `lines[2].quantity`.
+//! The error for a body that does not match its message type contains the path of the invalid field,
+//! such as `lines[2].quantity`.
 
 mod depth;
 mod field_path;
@@ -14,16 +14,16 @@
 pub use json::{decode_json, encode_json};
 pub use protobuf::{decode_protobuf, decode_reply, encode_protobuf};
 
-/// The path that stands for the body as a whole.
+/// The path of an error that concerns the whole body.
 const WHOLE_BODY: &str = "(body)";
 
-/// A body that does not fit its message.
+/// An error for a body that does not match its message type.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 #[displaydoc("field '{path}': {message}")]
 pub struct BodyError {
-    /// The field to blame; `(body)` where it is the body as a whole.
+    /// The path of the invalid field; `(body)` if the error concerns the whole body.
     pub path: String,
-    /// The reason.
+    /// What is wrong with the field.
     pub message: String,
 }
 
@@ -41,22 +41,22 @@
     }
 }
 
-/// What a body may cost before it is refused.
+/// Size and nesting limits of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyLimits {
-    /// The longest body, in bytes.
+    /// The maximum length in bytes.
     pub max_bytes: usize,
-    /// The deepest nesting of messages and lists.
+    /// The maximum nesting depth: of messages in protobuf, of objects and arrays in JSON.
     pub max_depth: usize,
 }
 
 impl BodyLimits {
-    /// Limits of a caller's request.
+    /// The limits of a caller's request.
     pub const REQUEST: Self = Self {
         max_bytes: 256 * 1024,
         max_depth: 32,
     };
-    /// Limits of a back end's reply.
+    /// The limits of a back end's reply.
     pub const REPLY: Self = Self {
         max_bytes: 4 * 1024 * 1024,
         max_depth: 32,
@@ -77,8 +77,8 @@
     }
 }
 
-/// Appends a field's name to a path.
-fn join(path: &str, name: &str) -> String {
+/// Appends a field name to a path.
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() {
         name.to_owned()
     } else {
--- a/crates/sablehaven-schema/src/body/request.rs
+++ b/crates/sablehaven-schema/src/body/request.rs
@@ -1,4 +1,4 @@
-//! Checks of a request beyond its types.
+//! Validates a decoded request against its method's rules.
 
 use prost_reflect::DynamicMessage;
 
@@ -6,7 +6,8 @@
 use crate::schema::{FieldMerge, Limit, MethodKind, MethodSchema};
 
 impl MethodSchema {
-    /// Checks what the method's rules demand of a request: a key, and a limit within its range.
+    /// Checks that the request has the key by which its method chooses the shard, and that no limit in a
+    /// query exceeds its maximum.
     pub fn check_request(&self, request: &DynamicMessage) -> Result<(), BodyError> {
         match &self.kind {
             MethodKind::Lookup { key } | MethodKind::Once { key } => {
--- a/crates/sablehaven-schema/src/body/unique_keys.rs
+++ b/crates/sablehaven-schema/src/body/unique_keys.rs
@@ -1,12 +1,12 @@
-//! Refuses JSON objects that give a key twice.
+//! Rejects JSON objects with duplicate keys.
 //!
-//! The decoder would keep the last value and drop the first without a word.
+//! The decoder would silently drop all but the last value of such a key.
 
 use std::{collections::HashSet, fmt};
 
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-/// Reads any JSON value and keeps nothing of it; an error if an object gives a key twice.
+/// Deserializes and discards any JSON value; fails if an object has a duplicate key.
 #[derive(Clone, Copy)]
 pub(super) struct UniqueKeys;
 
