--- a/crates/sablehaven-schema/src/compatibility.rs
+++ b/crates/sablehaven-schema/src/compatibility.rs
@@ -1,4 +1,4 @@
-//! Finds changes of a schema that would break callers, back ends or indexes that are in use.
+//! Detects schema changes that break callers, back ends or existing indexes.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +7,21 @@
 
 use crate::schema::{DeploymentSchema, FieldMerge, Merge, MethodKind, MethodSchema};
 
-/// A change that breaks a method in use.
+/// A schema change that breaks a method in use.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, displaydoc::Display, thiserror::Error)]
 #[displaydoc("method {method}: {reason}")]
 pub struct BreakingChange {
-    /// The method's path.
+    /// The method's HTTP path.
     pub method: String,
     /// What changed.
     pub reason: String,
 }
 
-/// Every change from `old` to `new` that breaks a method of a service `in_use`.
+/// Returns every change from `old` to `new` that breaks a method of a service listed in `in_use`.
 ///
-/// A change breaks if a request or reply written for one schema would be refused or misread under
-/// the other, or if a key would be looked for in another shard. New methods, new fields, new enum
-/// values and other deadlines break nothing.
+/// A change is breaking if a request or reply encoded under one schema would be rejected or
+/// misinterpreted under the other, or if a key would map to a different shard. New methods, new
+/// fields, new enum values and changed deadlines are not breaking.
 pub fn check_change(
     old: &DeploymentSchema,
     new: &DeploymentSchema,
@@ -37,37 +37,35 @@
 fn check_method(old: &MethodSchema, new_schema: &DeploymentSchema) -> Vec<BreakingChange> {
     let reasons = match new_schema.method(&old.service, &old.name) {
         None => vec!["is gone".to_owned()],
-        Some(new) => reasons_of_method(old, new),
+        Some(new) => method_reasons(old, new),
     };
-    let breaking = |reason| BreakingChange {
+    let breaking_change = |reason| BreakingChange {
         method: old.path.clone(),
         reason,
     };
-    reasons.into_iter().map(breaking).collect()
+    reasons.into_iter().map(breaking_change).collect()
 }
 
-fn reasons_of_method(old: &MethodSchema, new: &MethodSchema) -> Vec<String> {
-    let mut reasons = reasons_of_kind(&old.kind, &new.kind);
-    for (what, old, new) in [
+fn method_reasons(old: &MethodSchema, new: &MethodSchema) -> Vec<String> {
+    let mut reasons = kind_reasons(&old.kind, &new.kind);
+    for (message_name, old, new) in [
         ("request", &old.input, &new.input),
         ("reply", &old.output, &new.output),
     ] {
-        let mut comparison = Comparison::default();
-        comparison.compare_messages(what, old, new);
+        let mut comparison = MessageComparison::default();
+        comparison.compare_messages(message_name, old, new);
         reasons.extend(comparison.reasons);
     }
     reasons
 }
 
-fn reasons_of_kind(old: &MethodKind, new: &MethodKind) -> Vec<String> {
+fn kind_reasons(old: &MethodKind, new: &MethodKind) -> Vec<String> {
     match (old, new) {
         (MethodKind::Query { merge: old }, MethodKind::Query { merge: new }) => {
-            reasons_of_merge(old, new)
+            merge_reasons(old, new)
         }
         (MethodKind::Lookup { key: old }, MethodKind::Lookup { key: new })
-        | (MethodKind::Once { key: old }, MethodKind::Once { key: new }) => {
-            reasons_of_key(old, new)
-        }
+        | (MethodKind::Once { key: old }, MethodKind::Once { key: new }) => key_reasons(old, new),
         _ => vec![format!("was a {}, is a {}", kind_name(old), kind_name(new))],
     }
 }
@@ -80,7 +78,7 @@
     }
 }
 
-fn reasons_of_key(old: &FieldDescriptor, new: &FieldDescriptor) -> Vec<String> {
+fn key_reasons(old: &FieldDescriptor, new: &FieldDescriptor) -> Vec<String> {
     if old.number() == new.number() {
         return Vec::new();
     }
@@ -91,7 +89,7 @@
     )]
 }
 
-fn reasons_of_merge(old: &Merge, new: &Merge) -> Vec<String> {
+fn merge_reasons(old: &Merge, new: &Merge) -> Vec<String> {
     let mut reasons = Vec::new();
     for old_rule in &old.rules {
         let number = old_rule.field().number();
@@ -100,13 +98,13 @@
             .iter()
             .find(|rule| rule.field().number() == number);
         if let Some(new_rule) = new_rule {
-            reasons.extend(reason_of_rule(old_rule, new_rule));
+            reasons.extend(rule_reason(old_rule, new_rule));
         }
     }
     reasons
 }
 
-fn reason_of_rule(old: &FieldMerge, new: &FieldMerge) -> Option<String> {
+fn rule_reason(old: &FieldMerge, new: &FieldMerge) -> Option<String> {
     let name = old.field().name();
     if merge_name(old) != merge_name(new) {
         return Some(format!(
@@ -136,17 +134,19 @@
     }
 }
 
-/// Compares messages and all that they hold; each pair once, since messages may hold themselves.
+/// Compares message types and, recursively, the types of their fields.
+///
+/// Each pair of types is compared only once, since types may be recursive.
 #[derive(Default)]
-struct Comparison {
+struct MessageComparison {
     reasons: Vec<String>,
-    compared: BTreeSet<(String, String)>,
+    compared_pairs: BTreeSet<(String, String)>,
 }
 
-impl Comparison {
+impl MessageComparison {
     fn compare_messages(&mut self, path: &str, old: &MessageDescriptor, new: &MessageDescriptor) {
         let pair = (old.full_name().to_owned(), new.full_name().to_owned());
-        if !self.compared.insert(pair) {
+        if !self.compared_pairs.insert(pair) {
             return;
         }
         for old_field in old.fields() {
@@ -163,10 +163,10 @@
             self.reasons
                 .push(format!("field '{path}' is now called '{}'", new.name()));
         }
-        let (old_shape, new_shape) = (shape(old), shape(new));
-        if old_shape != new_shape {
+        let (old_type, new_type) = (field_type(old), field_type(new));
+        if old_type != new_type {
             self.reasons
-                .push(format!("field '{path}' was {old_shape}, is {new_shape}"));
+                .push(format!("field '{path}' was {old_type}, is {new_type}"));
             return;
         }
         match (old.kind(), new.kind()) {
@@ -189,8 +189,9 @@
     }
 }
 
-/// What a field's encoding depends on, apart from the messages or enums that it holds.
-fn shape(field: &FieldDescriptor) -> String {
+/// Describes a field's type as far as its encoding depends on it, without the name of its message or
+/// enum type.
+fn field_type(field: &FieldDescriptor) -> String {
     let kind = match field.kind() {
         Kind::Message(_) => "message".to_owned(),
         Kind::Enum(_) => "enum".to_owned(),
@@ -199,7 +200,7 @@
     let oneof = field
         .containing_oneof()
         .filter(|oneof| !oneof.is_synthetic());
-    let within = oneof.map_or(String::new(), |oneof| {
+    let oneof_suffix = oneof.map_or(String::new(), |oneof| {
         format!(" of oneof '{}'", oneof.name())
     });
     if field.is_map() {
@@ -207,6 +208,6 @@
     } else if field.is_list() {
         format!("repeated {kind}")
     } else {
-        format!("{kind}{within}")
+        format!("{kind}{oneof_suffix}")
     }
 }
--- a/crates/sablehaven-schema/src/compile.rs
+++ b/crates/sablehaven-schema/src/compile.rs
@@ -1,8 +1,8 @@
-//! Compiles a schema's text to descriptors, with the options file and Google's standard files built in.
+//! Compiles a schema to descriptors; the options file and Google's standard files are built in.
 //!
-//! `protox` parses, `prost-reflect` links. Its own `Compiler` is not used, because it places every
-//! problem by a search through the whole text: 15,000 problems in a text within the size limit took
-//! it 19 seconds in a release build.
+//! `protox` parses and `prost-reflect` links. The `Compiler` of `protox` is not used, because it searches
+//! the whole text for the position of each problem: 15,000 problems in a text within the size limit
+//! took it 19 seconds in a release build.
 
 use std::collections::BTreeSet;
 
@@ -17,33 +17,35 @@
     problem::{Position, SchemaProblem},
 };
 
-/// The name under which a schema imports the options.
+/// The path under which a schema imports the options file.
 pub const OPTIONS_FILE: &str = "sablehaven/options.proto";
-/// The options file's text.
+/// The text of the options file.
 pub const OPTIONS_TEXT: &str = include_str!("../proto/sablehaven/options.proto");
-/// The longest schema text that is accepted, in bytes.
+/// The maximum length of a schema, in bytes.
 pub const MAX_SCHEMA_BYTES: usize = 256 * 1024;
 
-/// The deepest nesting of brackets in a schema; ours use about 6.
+/// The maximum nesting depth of brackets in a schema; the schemas in `deployments/` use about 6.
 const MAX_SCHEMA_NESTING: usize = 32;
-/// Problems that are placed exactly, one by one. Of more linker problems only the first is placed; of
-/// more option problems the others stand at their option's statement.
-pub(crate) const MAX_PLACED_PROBLEMS: usize = 100;
-/// The longest message of a compiler error, in characters.
+/// The maximum number of problems that get an exact position, since each one costs a search.
+///
+/// If there are more linker problems, only the first one is reported, with the number of the others.
+/// Option problems past the maximum are reported at the start of their option statement.
+pub(crate) const MAX_LOCATED_PROBLEMS: usize = 100;
+/// The maximum length of a compiler error message, in characters.
 const MAX_MESSAGE_CHARACTERS: usize = 400;
-/// The name under which the schema itself is compiled.
+/// The file name under which the schema itself is compiled.
 const SCHEMA_FILE: &str = "schema.proto";
 
-/// A schema that compiled: every descriptor, and the schema's own file among them.
-pub(crate) struct Compiled {
-    /// All descriptors, of the imported files too.
+/// The descriptors of a schema that compiled.
+pub(crate) struct CompiledSchema {
+    /// All descriptors, including those of the imported files.
     pub pool: DescriptorPool,
-    /// The schema's own file.
+    /// The descriptor of the schema file itself.
     pub file: FileDescriptor,
 }
 
-/// Compiles a schema, or says what the compiler found wrong.
-pub(crate) fn compile(source: Source<'_>) -> Result<Compiled, Vec<SchemaProblem>> {
+/// Compiles a schema, or returns the problems that the compiler found.
+pub(crate) fn compile(source: Source<'_>) -> Result<CompiledSchema, Vec<SchemaProblem>> {
     source.check_size()?;
     source.check_nesting()?;
     let file = source.parse()?;
@@ -51,10 +53,10 @@
     source.link(imported, file)
 }
 
-/// A schema's text and the name by which problems call it.
+/// A schema's text and the file name that its problems show.
 #[derive(Clone, Copy)]
 pub(crate) struct Source<'a> {
-    /// The name.
+    /// The file name.
     pub file_name: &'a str,
     /// The text.
     pub text: &'a str,
@@ -97,19 +99,19 @@
     fn parse(&self) -> Result<FileDescriptorProto, Vec<SchemaProblem>> {
         match File::from_source(SCHEMA_FILE, self.text) {
             Ok(file) => Ok(file.file_descriptor_proto().clone()),
-            // A parse error without a label says that the text ended too early.
-            Err(error) => Err(self.place(&error, self.text.len())),
+            // A parse error without a label reports an unexpected end of the text.
+            Err(error) => Err(self.locate(&error, self.text.len())),
         }
     }
 
-    /// The descriptors of every file that the schema imports.
+    /// Loads the descriptors of every file that the schema imports.
     fn import(&self, file: &FileDescriptorProto) -> Result<DescriptorPool, Vec<SchemaProblem>> {
         let locations = Locations::of_file(file);
         let mut pool = DescriptorPool::new();
         let mut problems = Vec::new();
-        let mut seen = BTreeSet::new();
+        let mut imported_names = BTreeSet::new();
         for (index, name) in file.dependency.iter().enumerate() {
-            let reason = if seen.insert(name) {
+            let reason = if imported_names.insert(name) {
                 add_built_in(&mut pool, name).err()
             } else {
                 Some(format!("import '{name}' is listed twice"))
@@ -124,33 +126,33 @@
         }
     }
 
-    /// Adds the schema's own file to those that it imports.
+    /// Links the schema file with the files that it imports.
     ///
-    /// It is tried without its places first: the linker's search for the place of each problem takes
-    /// time that grows with the product of problems and size, so the number of problems must be known
-    /// to be small before.
+    /// Links a copy without source positions first: the time in which the linker finds the positions
+    /// grows with the number of problems times the size of the text, so positions are computed only
+    /// once the number of problems is known to be small.
     fn link(
         &self,
         imported: DescriptorPool,
         file: FileDescriptorProto,
-    ) -> Result<Compiled, Vec<SchemaProblem>> {
+    ) -> Result<CompiledSchema, Vec<SchemaProblem>> {
         let mut trial = imported.clone();
-        let without_places = FileDescriptorProto {
+        let without_positions = FileDescriptorProto {
             source_code_info: None,
             ..file.clone()
         };
-        if let Err(error) = trial.add_file_descriptor_proto(without_places) {
-            let more = error.related().into_iter().flatten().count();
-            if more >= MAX_PLACED_PROBLEMS {
-                return Err(vec![self.first_of_many(&file, &error, more)]);
+        if let Err(error) = trial.add_file_descriptor_proto(without_positions) {
+            let related = error.related().into_iter().flatten().count();
+            if related >= MAX_LOCATED_PROBLEMS {
+                return Err(vec![self.first_problem(&file, &error, related)]);
             }
         }
         let mut pool = imported;
         if let Err(error) = pool.add_file_descriptor_proto(file) {
-            return Err(self.place(&error.with_source_code(self.text), 0));
+            return Err(self.locate(&error.with_source_code(self.text), 0));
         }
         match pool.get_file_by_name(SCHEMA_FILE) {
-            Some(file) => Ok(Compiled { pool, file }),
+            Some(file) => Ok(CompiledSchema { pool, file }),
             None => {
                 Err(vec![self.problem(
                     Position::START,
@@ -160,45 +162,47 @@
         }
     }
 
-    fn first_of_many(
+    /// The problem of `error` itself, with the number of its related errors.
+    fn first_problem(
         &self,
         file: &FileDescriptorProto,
         error: &DescriptorError,
-        more: usize,
+        related: usize,
     ) -> SchemaProblem {
         let position = match error.path() {
             Some(path) => Locations::of_file(file).nearest(path),
             None => Position::START,
         };
-        let message = format!("{} (and {more} more problems)", message_of(error));
+        let message = format!("{} (and {related} more problems)", full_message(error));
         self.problem(position, message)
     }
 
-    /// Places an error and those related to it; `unlabelled` is the offset of one without a label.
-    fn place(&self, error: &dyn Diagnostic, unlabelled: usize) -> Vec<SchemaProblem> {
-        let place_one = |diagnostic: &dyn Diagnostic| {
+    /// Converts an error and its related errors to problems with positions; an error without a label is
+    /// reported at `default_offset`.
+    fn locate(&self, error: &dyn Diagnostic, default_offset: usize) -> Vec<SchemaProblem> {
+        let to_problem = |diagnostic: &dyn Diagnostic| {
             let label = diagnostic.labels().and_then(Iterator::last);
-            let offset = label.map_or(unlabelled, |label| label.offset());
-            self.problem_at(offset, message_of(diagnostic))
+            let offset = label.map_or(default_offset, |label| label.offset());
+            self.problem_at(offset, full_message(diagnostic))
         };
-        let mut problems = vec![place_one(error)];
-        problems.extend(error.related().into_iter().flatten().map(place_one));
+        let mut problems = vec![to_problem(error)];
+        problems.extend(error.related().into_iter().flatten().map(to_problem));
         problems.sort();
         problems.dedup();
         problems
     }
 }
 
-/// Adds a built-in file and those that it imports; on failure gives the reason.
+/// Adds a built-in file and the files that it imports to the pool; the error is a message.
 fn add_built_in(pool: &mut DescriptorPool, name: &str) -> Result<(), String> {
     if pool.get_file_by_name(name).is_some() {
         return Ok(());
     }
-    let opened = match name {
+    let opened_file = match name {
         OPTIONS_FILE => File::from_source(OPTIONS_FILE, OPTIONS_TEXT),
         _ => GoogleFileResolver::new().open_file(name),
     };
-    let file = opened.map_err(|_| {
+    let file = opened_file.map_err(|_| {
         format!(
             "import '{name}' not found: only {OPTIONS_FILE} and google/protobuf files are built in"
         )
@@ -211,8 +215,8 @@
         .map_err(|error| format!("import '{name}': {error}"))
 }
 
-/// The compiler's words, with what caused the error and how to mend it.
-fn message_of(diagnostic: &dyn Diagnostic) -> String {
+/// The compiler's message with its cause and help text.
+fn full_message(diagnostic: &dyn Diagnostic) -> String {
     let mut message = diagnostic.to_string();
     if let Some(cause) = diagnostic.diagnostic_source() {
         message = format!("{message}: {cause}");
@@ -220,11 +224,11 @@
     if let Some(help) = diagnostic.help() {
         message = format!("{message} ({help})");
     }
-    shorten(message)
+    truncate(message)
 }
 
-/// The compiler quotes what it found, which may be as long as the schema.
-fn shorten(message: String) -> String {
+/// Truncates a message; the compiler quotes the input, which may be as long as the schema.
+fn truncate(message: String) -> String {
     match message.char_indices().nth(MAX_MESSAGE_CHARACTERS) {
         Some((end, _)) => format!("{}…", &message[..end]),
         None => message,
--- a/crates/sablehaven-schema/src/configuration.rs
+++ b/crates/sablehaven-schema/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Checks a configuration document against the schema.
+//! Validates a configuration document against the schema.
 
 use std::collections::BTreeSet;
 
@@ -12,12 +12,13 @@
     schema::{DeploymentSchema, ServiceSchema},
 };
 
-/// The largest share or quantile that is given in thousandths.
+/// Thousandths in a whole; the maximum of a share in thousandths.
 const PER_MILLE: u32 = 1_000;
 
-/// Checks a whole configuration document: its own schema, then all else against it.
+/// Validates a configuration document: first the schema that it contains, then the services against
+/// that schema.
 ///
-/// Gives every problem that was found, in words for an operator; none means the document may be
+/// Returns every problem as a message for the operator. An empty list means that the document may be
 /// applied.
 pub fn check_document(configuration: &Configuration) -> Vec<String> {
     match DeploymentSchema::from_source(&configuration.schema) {
@@ -26,10 +27,11 @@
     }
 }
 
-/// Checks a configuration document that replaces another: [`check_document`], and that a new schema
-/// breaks no method of a service that is configured before and after.
+/// Validates a configuration document that replaces another.
 ///
-/// To take a breaking change into use, remove the service first; callers then get "not run".
+/// Besides the checks of [`check_document`], a new schema must not break a method of a service that is
+/// configured both before and after the replacement. To deploy a breaking change, remove the service
+/// first; its callers then get the outcome "not run".
 pub fn check_replacement(old: &Configuration, new: &Configuration) -> Vec<String> {
     let new_schema = match DeploymentSchema::from_source(&new.schema) {
         Ok(schema) => schema,
@@ -39,10 +41,11 @@
     if old.schema.text == new.schema.text {
         return problems;
     }
-    // A schema in force was valid when it was applied; the empty one before the first is not.
+    // A schema in force was valid when it was applied. Only the empty schema before the first
+    // configuration does not parse; it has nothing that a change could break.
     if let Ok(old_schema) = DeploymentSchema::from_source(&old.schema) {
-        let in_use = old.services.keys();
-        let in_use = in_use.filter(|name| new.services.contains_key(*name));
+        let old_names = old.services.keys();
+        let in_use = old_names.filter(|name| new.services.contains_key(*name));
         let changes = check_change(&old_schema, &new_schema, &in_use.cloned().collect());
         problems.extend(changes.iter().map(ToString::to_string));
     }
@@ -50,10 +53,10 @@
 }
 
 impl DeploymentSchema {
-    /// Checks a configuration document against this schema, and gives every problem in words for an
-    /// operator.
+    /// Validates a configuration document against this schema and returns every problem as a message
+    /// for the operator.
     ///
-    /// A service of the schema that is not configured is no problem: it takes no calls yet.
+    /// A service that is in the schema but not configured is valid: it accepts no calls yet.
     pub fn check_configuration(&self, configuration: &Configuration) -> Vec<String> {
         configuration
             .services
@@ -62,14 +65,14 @@
             .collect()
     }
 
-    /// Checks one service's configuration against this schema.
+    /// Validates the configuration of one service against this schema.
     pub fn check_service(&self, name: &ServiceName, service: &ServiceConfiguration) -> Vec<String> {
         let mut problems = self.check_snapshot(name, &service.snapshot);
         problems.extend(check_routing(name, &service.routing));
         problems
     }
 
-    /// Checks one service's snapshot against this schema.
+    /// Validates the snapshot of one service against this schema.
     pub fn check_snapshot(&self, name: &ServiceName, snapshot: &IndexSnapshot) -> Vec<String> {
         let Some(service) = self.service(name) else {
             return vec![format!("service '{name}' is not in the schema")];
@@ -145,33 +148,33 @@
 
 fn check_routing(name: &ServiceName, routing: &RoutingSettings) -> Vec<String> {
     let mut problems = Vec::new();
-    let mut check = |key: &str, value: u32, lowest: u32, highest: u32| {
-        if !(lowest..=highest).contains(&value) {
+    let mut check_range = |key: &str, value: u32, minimum: u32, maximum: u32| {
+        if !(minimum..=maximum).contains(&value) {
             problems.push(format!(
-                "service '{name}': routing.{key} is {value}, allowed is {lowest} to {highest}"
+                "service '{name}': routing.{key} is {value}, allowed is {minimum} to {maximum}"
             ));
         }
     };
-    check(
+    check_range(
         "connections_per_server",
         routing.connections_per_server,
         1,
         u32::MAX,
     );
-    check("slots_per_server", routing.slots_per_server, 1, u32::MAX);
-    check(
+    check_range("slots_per_server", routing.slots_per_server, 1, u32::MAX);
+    check_range(
         "extra_load_per_mille",
         routing.extra_load_per_mille,
         0,
         PER_MILLE,
     );
-    check(
+    check_range(
         "hedge_quantile_per_mille",
         routing.hedge_quantile_per_mille,
         1,
         PER_MILLE - 1,
     );
-    check(
+    check_range(
         "suspicion_limit_per_mille",
         routing.suspicion_limit_per_mille,
         0,
--- a/crates/sablehaven-schema/src/field_problem.rs
+++ b/crates/sablehaven-schema/src/field_problem.rs
@@ -1,34 +1,34 @@
-//! What is wrong with a name or number in an option, and which part of its text is to blame.
+//! Problems of single fields of an option, and the part of the schema's text that they refer to.
 
-/// A problem of a field name or number in an option.
+/// A problem with a field name or number in an option.
 pub(crate) struct FieldProblem {
-    /// The text of the option that is to blame; empty if it is the option as a whole.
-    pub blamed: String,
-    /// The reason.
+    /// The part of the option's text that the problem refers to; empty for the whole option.
+    pub excerpt: String,
+    /// What is wrong.
     pub message: String,
 }
 
 impl FieldProblem {
-    /// Blames a name in quotes.
+    /// A problem with a name that stands in the option in quotes.
     pub(crate) fn of_name(name: &str, message: String) -> Self {
         Self {
-            blamed: format!("\"{name}\""),
+            excerpt: format!("\"{name}\""),
             message,
         }
     }
 
-    /// Blames a part of the option by its name.
-    pub(crate) fn of_option(option: &str, message: String) -> Self {
+    /// A problem with a field of the option, such as `deadline_ms`.
+    pub(crate) fn of_option_field(field: &str, message: String) -> Self {
         Self {
-            blamed: option.to_owned(),
+            excerpt: field.to_owned(),
             message,
         }
     }
 
-    /// Blames the option as a whole.
-    pub(crate) fn of_whole(message: String) -> Self {
+    /// A problem with the whole option.
+    pub(crate) fn of_whole_option(message: String) -> Self {
         Self {
-            blamed: String::new(),
+            excerpt: String::new(),
             message,
         }
     }
--- a/crates/sablehaven-schema/src/field_rules.rs
+++ b/crates/sablehaven-schema/src/field_rules.rs
@@ -1,4 +1,4 @@
-//! Resolves the field names in a method's options against its messages.
+//! Resolves the field names in a method's options to fields of its request and reply.
 
 use std::collections::BTreeSet;
 
@@ -10,18 +10,18 @@
     schema::{ElementOrder, FieldMerge, Limit},
 };
 
-/// The most elements that a top-k merge may keep.
-const MAX_LIMIT: u32 = 10_000;
+/// The maximum number of elements that a top-k merge may keep.
+const MAX_TOP_K_LIMIT: u32 = 10_000;
 
-/// A problem of a query's merge.
+/// A problem with the merge rules of a query.
 pub(crate) struct MergeProblem {
-    /// Field number of the part of the `Query` option, where one is to blame.
-    pub part: Option<u32>,
-    /// What is wrong.
+    /// The field number within the `Query` option, if the problem concerns a single field.
+    pub query_field: Option<u32>,
+    /// The problem.
     pub problem: FieldProblem,
 }
 
-/// The rules of a merge, and what is wrong with them.
+/// The merge rules of a query that could be resolved, and the problems with the others.
 #[derive(Default)]
 pub(crate) struct ResolvedMerge {
     pub rules: Vec<FieldMerge>,
@@ -29,26 +29,28 @@
 }
 
 impl ResolvedMerge {
-    fn add(&mut self, part: u32, rule: Result<FieldMerge, FieldProblem>) {
+    fn add(&mut self, query_field: u32, rule: Result<FieldMerge, FieldProblem>) {
         match rule {
             Ok(rule) => self.rules.push(rule),
             Err(problem) => self.problems.push(MergeProblem {
-                part: Some(part),
+                query_field: Some(query_field),
                 problem,
             }),
         }
     }
 }
 
-/// The field of the request whose hash chooses the shard.
+/// Resolves the key: the field of the request whose hash determines the shard.
 pub(crate) fn key_field(
     input: &MessageDescriptor,
     name: &str,
 ) -> Result<FieldDescriptor, FieldProblem> {
     if name.is_empty() {
-        return Err(FieldProblem::of_whole("the option names no key".to_owned()));
+        return Err(FieldProblem::of_whole_option(
+            "the option names no key".to_owned(),
+        ));
     }
-    let field = field_of(input, name)?;
+    let field = resolve_field(input, name)?;
     if field.is_list() || field.is_map() {
         return Err(FieldProblem::of_name(
             name,
@@ -67,7 +69,7 @@
     Ok(field)
 }
 
-/// The rules of a query's merge; every field of the reply must have exactly one.
+/// Resolves the merge rules of a query; every field of the reply must have exactly one.
 pub(crate) fn merge_rules(
     input: &MessageDescriptor,
     output: &MessageDescriptor,
@@ -89,24 +91,24 @@
 
 fn check_each_field_once(output: &MessageDescriptor, query: &Query, resolved: &mut ResolvedMerge) {
     let concatenated = query.concatenate.iter().map(|rule| &rule.field);
-    let best = query.top_k.iter().map(|rule| &rule.field);
+    let top_k = query.top_k.iter().map(|rule| &rule.field);
     let summed = query.sum.iter().flat_map(|sum| &sum.fields);
-    let mut named = BTreeSet::new();
-    for name in concatenated.chain(best).chain(summed) {
-        if !named.insert(name.as_str()) {
+    let mut names = BTreeSet::new();
+    for name in concatenated.chain(top_k).chain(summed) {
+        if !names.insert(name.as_str()) {
             resolved.problems.push(MergeProblem {
-                part: None,
-                problem: FieldProblem::of_whole(format!(
+                query_field: None,
+                problem: FieldProblem::of_whole_option(format!(
                     "field '{name}' of the reply has more than one merge"
                 )),
             });
         }
     }
     for field in output.fields() {
-        if !named.contains(field.name()) {
+        if !names.contains(field.name()) {
             resolved.problems.push(MergeProblem {
-                part: None,
-                problem: FieldProblem::of_whole(format!(
+                query_field: None,
+                problem: FieldProblem::of_whole_option(format!(
                     "field '{}' of the reply {} has no merge (concatenate, top_k or sum)",
                     field.name(),
                     output.name()
@@ -138,7 +140,7 @@
 ) -> Result<FieldMerge, FieldProblem> {
     let field = list_field(output, &rule.field)?;
     if rule.order_by.is_empty() {
-        return Err(FieldProblem::of_whole(format!(
+        return Err(FieldProblem::of_whole_option(format!(
             "top_k of '{}' names no order_by",
             rule.field
         )));
@@ -156,19 +158,19 @@
     let default = rule.default_limit;
     let maximum = match rule.maximum_limit {
         0 => default,
-        given => given,
+        maximum => maximum,
     };
-    if !(1..=MAX_LIMIT).contains(&default) {
-        return Err(FieldProblem::of_option(
+    if !(1..=MAX_TOP_K_LIMIT).contains(&default) {
+        return Err(FieldProblem::of_option_field(
             "default_limit",
-            format!("default_limit is {default}, allowed is 1 to {MAX_LIMIT}"),
+            format!("default_limit is {default}, allowed is 1 to {MAX_TOP_K_LIMIT}"),
         ));
     }
-    if !(default..=MAX_LIMIT).contains(&maximum) {
-        return Err(FieldProblem::of_option(
+    if !(default..=MAX_TOP_K_LIMIT).contains(&maximum) {
+        return Err(FieldProblem::of_option_field(
             "maximum_limit",
             format!(
-                "maximum_limit is {maximum}, allowed is the default_limit of {default} to {MAX_LIMIT}"
+                "maximum_limit is {maximum}, allowed is the default_limit of {default} to {MAX_TOP_K_LIMIT}"
             ),
         ));
     }
@@ -186,7 +188,7 @@
     if name.is_empty() {
         return Ok(None);
     }
-    let field = field_of(input, name)?;
+    let field = resolve_field(input, name)?;
     if field.is_list() || field.kind() != Kind::Uint32 {
         return Err(FieldProblem::of_name(
             name,
@@ -197,7 +199,7 @@
 }
 
 fn sum(output: &MessageDescriptor, name: &str) -> Result<FieldMerge, FieldProblem> {
-    let field = field_of(output, name)?;
+    let field = resolve_field(output, name)?;
     if field.is_list() || field.is_map() || !is_number_kind(&field.kind()) {
         return Err(FieldProblem::of_name(
             name,
@@ -222,16 +224,16 @@
     let tie_break = if tie_break.is_empty() {
         None
     } else {
-        Some(ordered_field(list, tie_break)?)
+        Some(sort_field(list, tie_break)?)
     };
     Ok(ElementOrder {
-        by: ordered_field(list, by)?,
+        by: sort_field(list, by)?,
         descending,
         tie_break,
     })
 }
 
-fn ordered_field(list: &FieldDescriptor, name: &str) -> Result<FieldDescriptor, FieldProblem> {
+fn sort_field(list: &FieldDescriptor, name: &str) -> Result<FieldDescriptor, FieldProblem> {
     let Kind::Message(element) = list.kind() else {
         return Err(FieldProblem::of_name(
             name,
@@ -241,9 +243,9 @@
             ),
         ));
     };
-    let field = field_of(&element, name)?;
-    let comparable = is_number_kind(&field.kind()) || field.kind() == Kind::String;
-    if field.is_list() || field.is_map() || !comparable {
+    let field = resolve_field(&element, name)?;
+    let is_comparable = is_number_kind(&field.kind()) || field.kind() == Kind::String;
+    if field.is_list() || field.is_map() || !is_comparable {
         return Err(FieldProblem::of_name(
             name,
             format!(
@@ -256,7 +258,7 @@
 }
 
 fn list_field(output: &MessageDescriptor, name: &str) -> Result<FieldDescriptor, FieldProblem> {
-    let field = field_of(output, name)?;
+    let field = resolve_field(output, name)?;
     if !field.is_list() {
         return Err(FieldProblem::of_name(
             name,
@@ -266,7 +268,7 @@
     Ok(field)
 }
 
-fn field_of(message: &MessageDescriptor, name: &str) -> Result<FieldDescriptor, FieldProblem> {
+fn resolve_field(message: &MessageDescriptor, name: &str) -> Result<FieldDescriptor, FieldProblem> {
     message.get_field_by_name(name).ok_or_else(|| {
         let reason = format!("message {} has no field '{name}'", message.full_name());
         FieldProblem::of_name(name, reason)
@@ -274,14 +276,14 @@
 }
 
 fn is_key_kind(kind: &Kind) -> bool {
-    matches!(kind, Kind::String | Kind::Bytes) || is_whole_number_kind(kind)
+    matches!(kind, Kind::String | Kind::Bytes) || is_integer_kind(kind)
 }
 
 fn is_number_kind(kind: &Kind) -> bool {
-    matches!(kind, Kind::Double | Kind::Float) || is_whole_number_kind(kind)
+    matches!(kind, Kind::Double | Kind::Float) || is_integer_kind(kind)
 }
 
-fn is_whole_number_kind(kind: &Kind) -> bool {
+fn is_integer_kind(kind: &Kind) -> bool {
     matches!(
         kind,
         Kind::Int32
--- a/crates/sablehaven-schema/src/fleet_file/layout.rs
+++ b/crates/sablehaven-schema/src/fleet_file/layout.rs
@@ -1,4 +1,4 @@
-//! The servers and partition maps that follow from a fleet's sizes.
+//! Derives the servers, placements and partition maps from a fleet file.
 
 use sablehaven_types::{
     BackendId, Configuration, IndexSnapshot, Placement, RegionName, RoutingSettings,
@@ -8,10 +8,10 @@
 use super::{FleetFile, FleetService, FleetSize};
 use crate::schema::DeploymentSchema;
 
-/// Thousandths of a whole.
+/// Thousandths in a whole.
 const PER_MILLE: u64 = 1_000;
-/// The snapshot with which a deployment starts.
-const FIRST_SNAPSHOT: SnapshotId = SnapshotId {
+/// The snapshot that a new deployment starts with.
+const INITIAL_SNAPSHOT: SnapshotId = SnapshotId {
     generation: 1,
     partition_map: 1,
 };
@@ -19,20 +19,20 @@
 /// One back-end server of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetServer {
-    /// The server.
+    /// The server's id.
     pub id: BackendId,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it runs.
+    /// The region and zone in which it runs.
     pub placement: Placement,
-    /// The shards that it holds, ascending.
+    /// The shards that it holds, in ascending order.
     pub shards: Vec<ShardId>,
 }
 
 impl FleetFile {
-    /// Every back-end server at a size, by service, instance and server.
+    /// Every back-end server of a fleet of the given size, ordered by service, instance and server.
     ///
-    /// A zone that belongs to no region is skipped; [`FleetFile::validate`] refuses it.
+    /// Instances in a zone that belongs to no region are skipped; [`FleetFile::validate`] reports them.
     pub fn servers(&self, size: &FleetSize) -> Vec<FleetServer> {
         self.services
             .iter()
@@ -40,7 +40,7 @@
             .collect()
     }
 
-    /// Every zone with its region, in the order of the file.
+    /// Every zone with its region, in file order.
     pub fn placements(&self) -> Vec<Placement> {
         self.regions
             .iter()
@@ -53,9 +53,10 @@
             .collect()
     }
 
-    /// Where the control replicas run: the first zones of the regions in turn, then the second ones.
+    /// The placements of the control replicas: the first zone of each region, then the second zone of
+    /// each region, and so on; starts over after the last zone.
     pub fn control_placements(&self, size: &FleetSize) -> Vec<Placement> {
-        let mut by_zone_rank: Vec<(usize, Placement)> = self
+        let mut ranked_placements: Vec<(usize, Placement)> = self
             .regions
             .iter()
             .flat_map(|region| {
@@ -66,25 +67,28 @@
                     .map(|(rank, zone)| (rank, placement(&region.name, zone)))
             })
             .collect();
-        by_zone_rank.sort_by_key(|(rank, _)| *rank);
-        let in_turn = by_zone_rank.iter().map(|(_, placement)| placement).cycle();
-        in_turn
+        ranked_placements.sort_by_key(|(rank, _)| *rank);
+        let round_robin = ranked_placements
+            .iter()
+            .map(|(_, placement)| placement)
+            .cycle();
+        round_robin
             .take(usize::try_from(size.control_replicas).unwrap_or(usize::MAX))
             .cloned()
             .collect()
     }
 
-    /// Where the relays run.
+    /// The placements of the relays.
     pub fn relay_placements(&self, size: &FleetSize) -> Vec<Placement> {
         self.placements_per_region(size.relays_per_region)
     }
 
-    /// Where the agents run.
+    /// The placements of the agents.
     pub fn agent_placements(&self, size: &FleetSize) -> Vec<Placement> {
         self.placements_per_region(size.agents_per_region)
     }
 
-    /// The configuration with which the deployment starts at a size: every service, on the first
+    /// The initial configuration of the deployment at the given size: every service, on the first
     /// snapshot.
     pub fn configuration(&self, schema: &DeploymentSchema, size: &FleetSize) -> Configuration {
         Configuration {
@@ -127,7 +131,7 @@
         servers
     }
 
-    /// The region that a zone belongs to.
+    /// The region that contains a zone.
     pub(super) fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         self.regions
             .iter()
@@ -137,7 +141,7 @@
 }
 
 impl FleetService {
-    /// Servers of each instance at a size, at least one.
+    /// The number of servers of each instance at the given size, at least one.
     pub fn servers_at(&self, size: &FleetSize) -> u32 {
         let scaled = u64::from(self.servers_per_instance) * u64::from(size.servers_per_mille);
         u32::try_from(scaled.div_ceil(PER_MILLE))
@@ -145,12 +149,12 @@
             .max(1)
     }
 
-    /// The id of a server; instances and servers are counted from 1.
+    /// The id of a server; instances and servers are numbered from 1.
     pub fn server_id(&self, instance: u32, server: u32) -> BackendId {
         BackendId(format!("{}-{instance}-{server}", self.id_prefix))
     }
 
-    /// A partition map over `shards` shards: each one is held by one server of every instance.
+    /// A partition map of `shards` shards, each assigned to one server of every instance.
     pub fn partition_map(&self, shards: u32, size: &FleetSize) -> Vec<ShardAssignment> {
         let servers = self.servers_at(size);
         (0..shards)
@@ -167,7 +171,7 @@
     fn configuration(&self, size: &FleetSize) -> ServiceConfiguration {
         ServiceConfiguration {
             snapshot: IndexSnapshot {
-                id: FIRST_SNAPSHOT,
+                id: INITIAL_SNAPSHOT,
                 shards: self.partition_map(self.shards, size),
             },
             routing: RoutingSettings {
--- a/crates/sablehaven-schema/src/fleet_file/mod.rs
+++ b/crates/sablehaven-schema/src/fleet_file/mod.rs
@@ -1,10 +1,10 @@
-//! How a deployment is run as processes on one machine, for demonstrations and tests.
+//! The fleet file: how a deployment runs as processes on one machine, for demonstrations and tests.
 //!
-//! `deployments/<name>/fleet.toml` states the sizes; the servers' ids and the partition maps follow
+//! `deployments/<name>/fleet.toml` contains the sizes. The server ids and the partition maps are derived
 //! from it, so that the stand-in back ends and the committed configuration agree.
 //!
-//! An *instance* of a service is one whole copy of its index in one zone. Its servers divide the
-//! shards among them, so each shard has as many replicas as the service has instances.
+//! An *instance* of a service is a complete copy of its index in one zone. The shards are divided among
+//! the instance's servers, so each shard has as many replicas as the service has instances.
 
 mod layout;
 mod validate;
@@ -22,11 +22,11 @@
     pub deployment: String,
     /// The regions and their zones, as in the schema.
     pub regions: Vec<FleetRegion>,
-    /// Latencies and costs of the network.
+    /// The simulated network.
     pub network: NetworkSettings,
-    /// The deployment at its present size.
+    /// The current size of the deployment.
     pub full: FleetSize,
-    /// The deployment at a size for a demonstration on one machine.
+    /// The size of the deployment for a demonstration on one machine.
     pub demo: FleetSize,
     /// The services.
     pub services: Vec<FleetService>,
@@ -36,38 +36,39 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetRegion {
-    /// The region.
+    /// The region's name.
     pub name: RegionName,
     /// Its zones.
     pub zones: Vec<ZoneName>,
 }
 
-/// Latencies and costs of the network. Each latency is one way and replaces, not adds to, those of
-/// shorter distances.
+/// Latencies and connection cost of the network.
+///
+/// Each latency is one-way and replaces the latencies of shorter distances instead of adding to them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NetworkSettings {
-    /// Between zones of a region, in milliseconds.
+    /// Latency between zones of a region, in milliseconds.
     pub between_zones_ms: u64,
-    /// Between regions, in milliseconds.
+    /// Latency between regions, in milliseconds.
     pub between_regions_ms: u64,
-    /// Between the system and its clients, in milliseconds.
+    /// Latency between the system and its clients, in milliseconds.
     pub to_clients_ms: u64,
-    /// What opening a connection costs, in milliseconds.
+    /// Cost of opening a connection, in milliseconds.
     pub connection_cost_ms: u64,
 }
 
-/// How many processes a fleet has.
+/// The number of processes in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSize {
-    /// Servers of each instance, in thousandths of the present number, rounded up.
+    /// Servers in each instance, in thousandths of [`FleetService::servers_per_instance`], rounded up.
     pub servers_per_mille: u32,
-    /// Control replicas, placed in the regions in turn.
+    /// Control replicas, assigned to the regions round-robin.
     pub control_replicas: u32,
-    /// Relays of each region, placed in its zones in turn.
+    /// Relays in each region, assigned to its zones round-robin.
     pub relays_per_region: u32,
-    /// Agents (each beside its caller) of each region, placed in its zones in turn.
+    /// Agents in each region, assigned to its zones round-robin; each runs next to its caller.
     pub agents_per_region: u32,
 }
 
@@ -75,26 +76,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetService {
-    /// The service, as in the schema.
+    /// The service's name, as in the schema.
     pub name: ServiceName,
-    /// Servers are called `<id_prefix>-<instance>-<server>`, both counted from 1.
+    /// The prefix of server ids: `<id_prefix>-<instance>-<server>`, with both numbered from 1.
     pub id_prefix: String,
-    /// The zone of each instance, the first instance's first.
+    /// The zone of each instance, in order of instance number.
     pub instance_zones: Vec<ZoneName>,
-    /// Servers of each instance at the present size.
+    /// Servers in each instance at the current size.
     pub servers_per_instance: u32,
-    /// Shards of the index.
+    /// The number of shards of the index.
     pub shards: u32,
-    /// Requests that a server runs at the same time.
+    /// Requests that a server processes concurrently.
     pub slots_per_server: u32,
-    /// Connections that a server accepts.
+    /// The maximum number of connections to a server.
     pub connections_per_server: u32,
-    /// Requests that wait for a slot before the server sheds.
+    /// The maximum number of requests that wait for a slot; the server sheds further ones.
     pub queue_per_server: u32,
-    /// The median time that a warm server takes for a request, in microseconds.
+    /// The median service time of a request on a warm server, in microseconds.
     pub service_time_us: u64,
-    /// How long a new server is cold, in milliseconds.
+    /// How long a server remains cold after its start, in milliseconds.
     pub cold_start_ms: u64,
-    /// How many times longer a cold server takes at first.
+    /// The factor by which a cold server is slower at first.
     pub cold_slowdown: u32,
 }
--- a/crates/sablehaven-schema/src/fleet_file/validate.rs
+++ b/crates/sablehaven-schema/src/fleet_file/validate.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a `fleet.toml`.
+//! Parses and validates a `fleet.toml`.
 
 use std::collections::BTreeSet;
 
@@ -8,12 +8,12 @@
 use crate::schema::DeploymentSchema;
 
 impl FleetFile {
-    /// Reads the text of a `fleet.toml`; the error names line and key.
+    /// Parses a `fleet.toml`; the error contains the line and key.
     pub fn parse(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// Every setting that cannot be used, with its key behind `prefix`.
+    /// Returns an error for every invalid setting; `prefix` is prepended to its key.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
         let mut errors = Vec::new();
         if self.deployment.is_empty() {
@@ -41,21 +41,24 @@
         errors
     }
 
-    /// What does not agree with the deployment's schema, in words for an operator.
+    /// Returns every discrepancy from the deployment's schema as a message for the operator.
     pub fn check_schema(&self, schema: &DeploymentSchema) -> Vec<String> {
         let mut problems = Vec::new();
-        let same_places = self.regions.len() == schema.regions().len()
+        let same_topology = self.regions.len() == schema.regions().len()
             && self
                 .regions
                 .iter()
                 .zip(schema.regions())
-                .all(|(mine, theirs)| mine.name == theirs.name && mine.zones == theirs.zones);
-        if !same_places {
+                .all(|(region, expected)| {
+                    region.name == expected.name && region.zones == expected.zones
+                });
+        if !same_topology {
             problems.push("regions and zones differ from the schema's".to_owned());
         }
-        let mine: BTreeSet<_> = self.services.iter().map(|service| &service.name).collect();
-        let theirs: BTreeSet<_> = schema.services().map(|service| &service.name).collect();
-        for name in mine.symmetric_difference(&theirs) {
+        let fleet_services: BTreeSet<_> =
+            self.services.iter().map(|service| &service.name).collect();
+        let schema_services: BTreeSet<_> = schema.services().map(|service| &service.name).collect();
+        for name in fleet_services.symmetric_difference(&schema_services) {
             problems.push(format!(
                 "service '{name}' is not in both the fleet file and the schema"
             ));
--- a/crates/sablehaven-schema/src/generate/mod.rs
+++ b/crates/sablehaven-schema/src/generate/mod.rs
@@ -1,7 +1,7 @@
-//! Writes the typed Rust client of a schema.
+//! Generates the typed Rust client of a schema.
 //!
-//! Messages come from `prost-build`, services from [`service`]. The code needs one dependency only,
-//! `sablehaven-client`, which names the libraries that it uses.
+//! `prost-build` generates the messages and [`service`] the service clients. The generated code depends
+//! only on `sablehaven-client`, which re-exports the other libraries that the code uses.
 
 mod service;
 
@@ -10,17 +10,17 @@
 
 use crate::schema::DeploymentSchema;
 
-/// Where the generated code finds `prost`.
+/// The path of `prost` in the generated code.
 const PROST_PATH: &str = "::sablehaven_client::prost";
-/// Where the generated code finds `prost-types`.
+/// The path of `prost-types` in the generated code.
 const PROST_TYPES_PATH: &str = "::sablehaven_client::prost_types";
 
-/// The documentation of a message, field or enum value that the schema does not describe.
-const NOT_DESCRIBED: &str = " Not described in the schema.";
-/// Field numbers of messages and enums in `google.protobuf.FileDescriptorProto`.
+/// The doc comment of a message, field or enum value that has no comment in the schema.
+const DEFAULT_COMMENT: &str = " Not described in the schema.";
+/// The field numbers of messages and enums in `google.protobuf.FileDescriptorProto`.
 const MESSAGE_AND_ENUM_TAGS: [i32; 2] = [4, 5];
 
-/// A schema for which no client can be written.
+/// The client of a schema could not be generated.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum GenerateError {
     /// write the client's messages: {0}
@@ -29,14 +29,14 @@
     NoCode(String),
 }
 
-/// The Rust source of the typed client: every message of the schema, and for each service a client
-/// with one method for each of its methods.
+/// Generates the Rust source of the typed client: all messages of the schema, and for each service a
+/// client with a Rust method for each RPC method.
 ///
-/// The same schema always gives the same text. The source is one module; keep it in a file of its
-/// own and declare it with `#[rustfmt::skip]`.
+/// The output depends only on the schema. It is a single module; keep it in its own file and declare
+/// the module with `#[rustfmt::skip]`.
 pub fn generate_client(schema: &DeploymentSchema) -> Result<String, GenerateError> {
     let mut file = schema.file().file_descriptor_proto().clone();
-    describe_everything(&mut file);
+    add_default_comments(&mut file);
     let package = file.package().to_owned();
     let module = Module::from_protobuf_package_name(&package);
     let mut config = Config::new();
@@ -61,18 +61,19 @@
     )
 }
 
-/// Gives every message, field and enum value a comment, so that the code documents each item.
-fn describe_everything(file: &mut FileDescriptorProto) {
+/// Adds a comment to every message, field and enum value that has none, so that every generated item
+/// is documented.
+fn add_default_comments(file: &mut FileDescriptorProto) {
     let locations = file.source_code_info.iter_mut();
     for location in locations.flat_map(|info| &mut info.location) {
         let in_message_or_enum = location
             .path
             .first()
             .is_some_and(|tag| MESSAGE_AND_ENUM_TAGS.contains(tag));
-        // The path of a whole item is made of pairs of field number and index.
-        let whole_item = location.path.len() % 2 == 0;
-        if in_message_or_enum && whole_item && location.leading_comments.is_none() {
-            location.leading_comments = Some(NOT_DESCRIBED.to_owned());
+        // The path of a whole item consists of pairs of a field number and an index.
+        let is_whole_item = location.path.len() % 2 == 0;
+        if in_message_or_enum && is_whole_item && location.leading_comments.is_none() {
+            location.leading_comments = Some(DEFAULT_COMMENT.to_owned());
         }
     }
 }
--- a/crates/sablehaven-schema/src/generate/service.rs
+++ b/crates/sablehaven-schema/src/generate/service.rs
@@ -1,4 +1,4 @@
-//! Writes the clients of the services.
+//! Generates the service clients.
 
 use std::fmt::Write;
 
@@ -7,18 +7,18 @@
 
 use crate::schema::{DeploymentSchema, MethodKind, MethodSchema};
 
-/// Writes one client for each service.
+/// Generates a client for each service.
 pub(super) struct ClientGenerator {
     schema: DeploymentSchema,
 }
 
 impl ClientGenerator {
-    /// A generator for the services of a schema.
+    /// Creates a generator for the services of a schema.
     pub(super) fn new(schema: DeploymentSchema) -> Self {
         Self { schema }
     }
 
-    fn method(&self, service: &Service, method: &Method) -> Option<&MethodSchema> {
+    fn method_schema(&self, service: &Service, method: &Method) -> Option<&MethodSchema> {
         let name = ServiceName(format!("{}.{}", service.package, service.proto_name));
         self.schema.method(&name, &method.proto_name)
     }
@@ -29,7 +29,12 @@
         let methods: String = service
             .methods
             .iter()
-            .filter_map(|method| Some(write_method(method, self.method(&service, method)?)))
+            .filter_map(|method| {
+                Some(generate_method(
+                    method,
+                    self.method_schema(&service, method)?,
+                ))
+            })
             .collect();
         let text = format!(
             r"
@@ -40,7 +45,7 @@
                 agent: ::sablehaven_client::AgentConnection,
             }}
             impl {name}Client {{
-                /// A client that calls through an agent.
+                /// Creates a client that calls the service through an agent.
                 pub fn new(agent: ::sablehaven_client::AgentConnection) -> Self {{
                     Self {{ agent }}
                 }}
@@ -55,7 +60,7 @@
     }
 }
 
-fn write_method(method: &Method, schema: &MethodSchema) -> String {
+fn generate_method(method: &Method, schema: &MethodSchema) -> String {
     let (key_parameter, key_argument) = match &schema.kind {
         MethodKind::Once { .. } => ("key: &::sablehaven_client::RequestKey,", "Some(key)"),
         MethodKind::Query { .. } | MethodKind::Lookup { .. } => ("", "None"),
@@ -91,23 +96,23 @@
 }
 
 fn summary(schema: &MethodSchema) -> String {
-    let rule = match &schema.kind {
-        MethodKind::Query { .. } => "asks every shard; may be repeated".to_owned(),
+    let routing = match &schema.kind {
+        MethodKind::Query { .. } => "sent to every shard; safe to retry".to_owned(),
         MethodKind::Lookup { key } => {
-            format!("asks the shard of `{}`; may be repeated", key.name())
+            format!("sent to the shard of `{}`; safe to retry", key.name())
         }
         MethodKind::Once { key } => format!(
-            "asks the shard of `{}`; runs at most once for each key",
+            "sent to the shard of `{}`; executed at most once for each request key",
             key.name()
         ),
     };
     format!(
-        "Calls `{}`: {rule}. Its deadline is {} ms where `options` name none.",
+        "Calls `{}`: {routing}. The deadline is {} ms unless `options` sets one.",
         schema.name, schema.deadline_ms
     )
 }
 
-/// The schema's own comments as a further paragraph of a doc comment.
+/// Formats the schema's comments as an additional paragraph of a doc comment.
 fn paragraph(comments: &Comments) -> String {
     if comments.leading.is_empty() {
         return String::new();
--- a/crates/sablehaven-schema/src/lib.rs
+++ b/crates/sablehaven-schema/src/lib.rs
@@ -1,10 +1,10 @@
-//! Deployment schemas: the options that describe sharding, repeatability and merging, their
-//! validation and the generated clients.
+//! Deployment schemas: the options that define sharding, retry safety and merging, their validation
+//! and the generated clients.
 //!
-//! A schema is one Protocol Buffers file a deployment. [`DeploymentSchema::parse`] compiles it
-//! without any outside program and reads the options of `sablehaven/options.proto`, which is built
-//! in. The rest works on a parsed schema: bodies ([`decode_json`], [`decode_protobuf`]), the shard
-//! of a key ([`shard_for_key`]) and the merge of the shards' replies ([`merge()`]).
+//! Each deployment has a schema, which is a single Protocol Buffers file. [`DeploymentSchema::parse`]
+//! compiles it without external programs and reads the options of `sablehaven/options.proto`, which
+//! is built in. A parsed schema is used to decode bodies ([`decode_json`], [`decode_protobuf`]), to map
+//! keys to shards ([`shard_for_key`]) and to merge the shards' replies ([`merge()`]).
 
 mod body;
 mod compatibility;
--- a/crates/sablehaven-schema/src/locations.rs
+++ b/crates/sablehaven-schema/src/locations.rs
@@ -1,4 +1,4 @@
-//! Finds the place in the schema's text of a descriptor or option.
+//! Maps descriptors and options to positions in the schema's text.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::problem::{Position, Span};
 
-/// Field numbers of `google/protobuf/descriptor.proto` that make up source paths.
+/// Field numbers in `google/protobuf/descriptor.proto`, which source paths consist of.
 mod tag {
     pub(super) const FILE_PACKAGE: i32 = 2;
     pub(super) const FILE_IMPORT: i32 = 3;
@@ -17,18 +17,18 @@
     pub(super) const NAME: i32 = 1;
 }
 
-/// The places of every part of a file, by source path.
+/// The spans of all elements of a file, by source path.
 pub(crate) struct Locations {
     spans: BTreeMap<Vec<i32>, Span>,
 }
 
 impl Locations {
-    /// Reads the places that the compiler recorded.
+    /// Collects the spans that the compiler recorded; keeps the first of several for a path.
     pub(crate) fn of_file(file: &FileDescriptorProto) -> Self {
         let mut spans = BTreeMap::new();
         let source = file.source_code_info.as_ref();
         for location in source.into_iter().flat_map(|info| &info.location) {
-            if let Some(span) = read_span(&location.span) {
+            if let Some(span) = parse_span(&location.span) {
                 spans.entry(location.path.clone()).or_insert(span);
             }
         }
@@ -45,15 +45,15 @@
         self.nearest(&[tag::FILE_PACKAGE])
     }
 
-    /// An `import` statement, counted from 0.
+    /// An `import` statement, by its zero-based index.
     pub(crate) fn import(&self, index: usize) -> Position {
         let index = i32::try_from(index).unwrap_or(i32::MAX);
         self.nearest(&[tag::FILE_IMPORT, index])
     }
 
-    /// An option of the file.
-    pub(crate) fn file_option(&self, number: u32, within: &[u32]) -> Span {
-        self.option(&[tag::FILE_OPTIONS], number, within)
+    /// A file option, or the part of it that the field numbers in `subpath` select.
+    pub(crate) fn file_option(&self, number: u32, subpath: &[u32]) -> Span {
+        self.option(&[tag::FILE_OPTIONS], number, subpath)
     }
 
     /// The name of a service.
@@ -66,30 +66,31 @@
         self.nearest(&extend(method.path(), &[tag::NAME]))
     }
 
-    /// An option of a method; `within` names the part of it by field numbers.
+    /// A method option, or the part of it that the field numbers in `subpath` select.
     pub(crate) fn method_option(
         &self,
         method: &MethodDescriptor,
         number: u32,
-        within: &[u32],
+        subpath: &[u32],
     ) -> Span {
         let path = extend(method.path(), &[tag::METHOD_OPTIONS]);
-        self.option(&path, number, within)
+        self.option(&path, number, subpath)
     }
 
-    fn option(&self, options: &[i32], number: u32, within: &[u32]) -> Span {
+    fn option(&self, options: &[i32], number: u32, subpath: &[u32]) -> Span {
         let mut path = options.to_vec();
         path.push(number.cast_signed());
-        path.extend(within.iter().map(|part| part.cast_signed()));
+        path.extend(subpath.iter().map(|part| part.cast_signed()));
         self.nearest_span(&path)
     }
 
-    /// Where the span of [`Self::nearest_span`] starts.
+    /// The start of the span that [`Self::nearest_span`] returns.
     pub(crate) fn nearest(&self, path: &[i32]) -> Position {
         self.nearest_span(path).start
     }
 
-    /// The span of the path itself, or else of something within it, or else of what holds it.
+    /// The span of the path itself, else of the first element within it, else of the nearest parent that
+    /// has a span or contains one.
     fn nearest_span(&self, path: &[i32]) -> Span {
         (1..=path.len())
             .rev()
@@ -103,9 +104,9 @@
     }
 }
 
-/// Reads a span as `google.protobuf.SourceCodeInfo` writes it: three numbers counted from 0 where it
-/// ends on the line where it starts, else four.
-fn read_span(numbers: &[i32]) -> Option<Span> {
+/// Parses a span of `google.protobuf.SourceCodeInfo`: start line, start column, end line and end
+/// column, counted from 0; the end line is omitted if it equals the start line.
+fn parse_span(numbers: &[i32]) -> Option<Span> {
     let position = |line: i32, column: i32| Position {
         line: usize::try_from(line).unwrap_or(0) + 1,
         column: usize::try_from(column).unwrap_or(0) + 1,
--- a/crates/sablehaven-schema/src/merge/mod.rs
+++ b/crates/sablehaven-schema/src/merge/mod.rs
@@ -1,6 +1,7 @@
-//! Merges the shards' replies to a query into one answer.
+//! Merges the shards' replies to a query into one reply.
 //!
-//! The answer depends only on the request and on the replies by shard, never on their arrival.
+//! The result depends only on the request and on each shard's reply, never on the order in which the
+//! replies arrive.
 
 mod order;
 
@@ -9,26 +10,26 @@
 use prost_reflect::{DynamicMessage, FieldDescriptor, Value};
 use sablehaven_types::ShardId;
 
-use self::order::first_in_order;
+use self::order::sort_and_truncate;
 use crate::schema::{FieldMerge, Limit, MethodKind, MethodSchema};
 
-/// Why replies cannot be merged.
+/// Why the replies could not be merged.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum MergeError {
     /// merge replies of '{0}': the method asks one shard only
     NotAQuery(String),
     /// merge replies of '{method}': the sum of field '{field}' does not fit its type
     Overflow {
-        /// The method's path.
+        /// The method's HTTP path.
         method: String,
         /// The field of the reply.
         field: String,
     },
 }
 
-/// The answer to a query from the replies of the shards that answered.
+/// Merges the replies of the shards that answered a query.
 ///
-/// Replies must be of the method's reply type.
+/// The replies must be of the method's reply type.
 pub fn merge(
     method: &MethodSchema,
     mut replies: BTreeMap<ShardId, DynamicMessage>,
@@ -37,13 +38,13 @@
     let MethodKind::Query { merge } = &method.kind else {
         return Err(MergeError::NotAQuery(method.path.clone()));
     };
-    let mut answer = DynamicMessage::new(method.output.clone());
+    let mut merged = DynamicMessage::new(method.output.clone());
     for rule in &merge.rules {
         let value = match rule {
             FieldMerge::Concatenate { field, order } => {
                 let elements = concatenate(&mut replies, field);
                 Value::List(match order {
-                    Some(order) => first_in_order(elements, order, usize::MAX),
+                    Some(order) => sort_and_truncate(elements, order, usize::MAX),
                     None => elements,
                 })
             }
@@ -53,7 +54,11 @@
                 limit,
             } => {
                 let elements = concatenate(&mut replies, field);
-                Value::List(first_in_order(elements, order, limit_of(limit, request)))
+                Value::List(sort_and_truncate(
+                    elements,
+                    order,
+                    effective_limit(limit, request),
+                ))
             }
             FieldMerge::Sum { field } => {
                 sum(&replies, field).ok_or_else(|| MergeError::Overflow {
@@ -62,12 +67,12 @@
                 })?
             }
         };
-        answer.set_field(rule.field(), value);
+        merged.set_field(rule.field(), value);
     }
-    Ok(answer)
+    Ok(merged)
 }
 
-/// The shards' lists one after the other.
+/// Concatenates the shards' lists in the order of the shards.
 fn concatenate(
     replies: &mut BTreeMap<ShardId, DynamicMessage>,
     field: &FieldDescriptor,
@@ -81,20 +86,23 @@
     elements
 }
 
-fn limit_of(limit: &Limit, request: &DynamicMessage) -> usize {
+/// The number of elements to keep: the request's limit, or the default if that is 0; never more than the
+/// maximum.
+fn effective_limit(limit: &Limit, request: &DynamicMessage) -> usize {
     let requested = limit
         .field
         .as_ref()
         .and_then(|field| request.get_field(field).as_u32())
         .unwrap_or(0);
-    let kept = match requested {
+    let limit = match requested {
         0 => limit.default,
-        given => given.min(limit.maximum),
+        requested => requested.min(limit.maximum),
     };
-    usize::try_from(kept).unwrap_or(usize::MAX)
+    usize::try_from(limit).unwrap_or(usize::MAX)
 }
 
-/// The sum in the order of the shards, so that rounding does not depend on arrival.
+/// Adds the shards' numbers in the order of the shards, so that floating-point rounding does not depend
+/// on the order of arrival. `None` on overflow.
 fn sum(replies: &BTreeMap<ShardId, DynamicMessage>, field: &FieldDescriptor) -> Option<Value> {
     let mut total = Value::default_value_for_field(field);
     for reply in replies.values() {
@@ -111,7 +119,7 @@
         (Value::U64(left), Value::U64(right)) => left.checked_add(*right).map(Value::U64),
         (Value::F32(left), Value::F32(right)) => Some(Value::F32(left + right)),
         (Value::F64(left), Value::F64(right)) => Some(Value::F64(left + right)),
-        // The schema's checks refuse a sum of other types.
+        // Schema validation rejects sums of other types.
         _ => None,
     }
 }
--- a/crates/sablehaven-schema/src/merge/order.rs
+++ b/crates/sablehaven-schema/src/merge/order.rs
@@ -1,4 +1,4 @@
-//! Sorts the elements of a merged list and keeps the first of them.
+//! Sorts the elements of a merged list and truncates it.
 
 use std::{borrow::Cow, cmp::Ordering};
 
@@ -6,77 +6,84 @@
 
 use crate::schema::ElementOrder;
 
-/// The first `keep` of the elements in their order; equal ones stay as they were.
-pub(super) fn first_in_order(
+/// Sorts the elements and returns the first `max_len`; equal elements keep their relative order.
+pub(super) fn sort_and_truncate(
     elements: Vec<Value>,
     order: &ElementOrder,
-    keep: usize,
+    max_len: usize,
 ) -> Vec<Value> {
-    let positions = positions_in_order(&elements, order, keep);
+    let indices = sorted_indices(&elements, order, max_len);
     let mut elements: Vec<Option<Value>> = elements.into_iter().map(Some).collect();
-    positions
+    indices
         .into_iter()
-        .filter_map(|position| elements[position].take())
+        .filter_map(|index| elements[index].take())
         .collect()
 }
 
-/// Where in the list the elements stand that come first.
+/// Returns the indices of the first `max_len` elements in sort order.
 ///
-/// Each key is read once, and only those that are kept are sorted: a query of 55 shards compares
-/// some ten thousand times otherwise, each with two searches through a message.
-fn positions_in_order(elements: &[Value], order: &ElementOrder, keep: usize) -> Vec<usize> {
-    let keys: Vec<ElementKey<'_>> = elements
+/// Reads each sort key only once and sorts only the elements that are kept. Otherwise a query of 55
+/// shards makes about ten thousand comparisons, each with two field lookups in a message.
+fn sorted_indices(elements: &[Value], order: &ElementOrder, max_len: usize) -> Vec<usize> {
+    let keys: Vec<SortKey<'_>> = elements
         .iter()
-        .map(|element| ElementKey::of(element, order))
+        .map(|element| SortKey::of(element, order))
         .collect();
-    // The position decides last, so that no two are equal and an unstable sort gives one result.
+    // The index is the last criterion, so no two elements are equal and the result of the unstable sort
+    // is deterministic.
     let compare = |left: &usize, right: &usize| {
         keys[*left]
             .compare(&keys[*right], order.descending)
             .then_with(|| left.cmp(right))
     };
-    let mut positions: Vec<usize> = (0..elements.len()).collect();
-    if keep < positions.len() {
-        positions.select_nth_unstable_by(keep, compare);
-        positions.truncate(keep);
+    let mut indices: Vec<usize> = (0..elements.len()).collect();
+    if max_len < indices.len() {
+        indices.select_nth_unstable_by(max_len, compare);
+        indices.truncate(max_len);
     }
-    positions.sort_unstable_by(compare);
-    positions
+    indices.sort_unstable_by(compare);
+    indices
 }
 
-struct ElementKey<'a> {
-    by: Key<'a>,
-    tie_break: Key<'a>,
+/// The values by which an element is sorted.
+struct SortKey<'a> {
+    by: SortValue<'a>,
+    tie_break: SortValue<'a>,
 }
 
-impl<'a> ElementKey<'a> {
+impl<'a> SortKey<'a> {
     fn of(element: &'a Value, order: &ElementOrder) -> Self {
         let message = element.as_message();
-        let key = |field| message.map_or(Key::None, |message| Key::of(message, field));
+        let value =
+            |field| message.map_or(SortValue::None, |message| SortValue::of(message, field));
         Self {
-            by: key(&order.by),
-            tie_break: order.tie_break.as_ref().map_or(Key::None, key),
+            by: value(&order.by),
+            tie_break: order.tie_break.as_ref().map_or(SortValue::None, value),
         }
     }
 
     fn compare(&self, other: &Self, descending: bool) -> Ordering {
-        let by = self.by.compare(&other.by);
-        let directed = if descending { by.reverse() } else { by };
-        directed.then_with(|| self.tie_break.compare(&other.tie_break))
+        let ascending = self.by.compare(&other.by);
+        let by = if descending {
+            ascending.reverse()
+        } else {
+            ascending
+        };
+        by.then_with(|| self.tie_break.compare(&other.tie_break))
     }
 }
 
-/// A value by which elements are compared; those of one list are all of one kind.
-enum Key<'a> {
+/// A field value by which elements are sorted; all elements of a list have the same variant.
+enum SortValue<'a> {
     Signed(i64),
     Unsigned(u64),
     Float(f64),
     Text(Cow<'a, str>),
-    /// No field, or of a type that the schema's checks refuse.
+    /// No field is compared, or its type is one that schema validation rejects.
     None,
 }
 
-impl<'a> Key<'a> {
+impl<'a> SortValue<'a> {
     fn of(message: &'a DynamicMessage, field: &FieldDescriptor) -> Self {
         match message.get_field(field) {
             Cow::Borrowed(Value::String(text)) => Self::Text(Cow::Borrowed(text)),
--- a/crates/sablehaven-schema/src/nesting.rs
+++ b/crates/sablehaven-schema/src/nesting.rs
@@ -1,20 +1,20 @@
-//! Refuses texts nested so deeply that a recursive parser could overflow its stack.
+//! Rejects texts nested so deeply that a recursive parser could overflow its stack.
 //!
-//! The parsers behind a schema are recursive without a limit, and a stack overflow ends the process.
-//! So brackets are counted first. Where this count and a parser could disagree, the count errs on
-//! the deeper side: a closing bracket that does not match is ignored, and a nested block comment
-//! (an error in Protocol Buffers) is refused here.
+//! The schema parsers recurse without a limit, and a stack overflow aborts the process. So the nesting
+//! depth of brackets is checked before parsing. Where this check and a parser could disagree, the
+//! check overestimates the depth: a closing bracket that does not match is ignored. A nested block
+//! comment, which is an error in Protocol Buffers, is rejected here.
 
-/// Why a text is refused before it is parsed.
+/// Why a text is rejected before parsing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NestingError {
-    /// Brackets are nested too deeply; the byte offset of the first one too deep.
+    /// Brackets are nested too deeply; contains the byte offset of the first bracket past the limit.
     TooDeep(usize),
-    /// A block comment starts within another; the byte offset of the inner one.
+    /// A block comment starts within another one; contains the byte offset of the inner one.
     NestedComment(usize),
 }
 
-/// Checks that no bracket of a Protocol Buffers text is nested more than `limit` deep.
+/// Checks that no bracket in a Protocol Buffers schema is nested more than `limit` deep.
 pub(crate) fn check_schema_nesting(text: &str, limit: usize) -> Result<(), NestingError> {
     let mut scanner = Scanner::new(text, limit);
     while let Some(byte) = scanner.peek() {
@@ -23,29 +23,31 @@
             b'#' => scanner.skip_line(),
             b'/' if scanner.starts_with(b"//") => scanner.skip_line(),
             b'/' if scanner.starts_with(b"/*") => scanner.skip_block_comment()?,
-            _ => scanner.bracket(byte)?,
+            _ => scanner.scan_bracket(byte)?,
         }
     }
     Ok(())
 }
 
-/// Checks that no bracket of a JSON text is nested more than `limit` deep.
+/// Checks that no bracket in a JSON text is nested more than `limit` deep.
 pub(crate) fn check_json_nesting(text: &[u8], limit: usize) -> Result<(), NestingError> {
     let mut scanner = Scanner::new(text, limit);
     while let Some(byte) = scanner.peek() {
         match byte {
             b'"' => scanner.skip_string(byte),
             b'<' | b'>' | b'(' | b')' => scanner.offset += 1,
-            _ => scanner.bracket(byte)?,
+            _ => scanner.scan_bracket(byte)?,
         }
     }
     Ok(())
 }
 
+/// Tracks the nesting of brackets while scanning a text.
 struct Scanner<'a> {
     bytes: &'a [u8],
     offset: usize,
-    open: Vec<u8>,
+    /// The closing bracket that each open bracket expects.
+    expected_closing: Vec<u8>,
     limit: usize,
 }
 
@@ -54,7 +56,7 @@
         Self {
             bytes: text.as_ref(),
             offset: 0,
-            open: Vec::new(),
+            expected_closing: Vec::new(),
             limit,
         }
     }
@@ -67,7 +69,7 @@
         self.bytes[self.offset..].starts_with(prefix)
     }
 
-    /// Skips a string; like the parser's lexer, a line break ends one that is not terminated.
+    /// Skips a string literal; as in the parser's lexer, a line break ends an unterminated one.
     fn skip_string(&mut self, terminator: u8) {
         self.offset += 1;
         while let Some(byte) = self.peek() {
@@ -105,7 +107,8 @@
         Ok(())
     }
 
-    fn bracket(&mut self, byte: u8) -> Result<(), NestingError> {
+    /// Consumes a byte and updates the nesting if it is a bracket.
+    fn scan_bracket(&mut self, byte: u8) -> Result<(), NestingError> {
         let closing = match byte {
             b'{' => Some(b'}'),
             b'[' => Some(b']'),
@@ -114,12 +117,12 @@
             _ => None,
         };
         if let Some(closing) = closing {
-            if self.open.len() == self.limit {
+            if self.expected_closing.len() == self.limit {
                 return Err(NestingError::TooDeep(self.offset));
             }
-            self.open.push(closing);
-        } else if self.open.last() == Some(&byte) {
-            self.open.pop();
+            self.expected_closing.push(closing);
+        } else if self.expected_closing.last() == Some(&byte) {
+            self.expected_closing.pop();
         }
         self.offset += 1;
         Ok(())
--- a/crates/sablehaven-schema/src/options.rs
+++ b/crates/sablehaven-schema/src/options.rs
@@ -1,18 +1,18 @@
-//! The options of `sablehaven/options.proto` as Rust types.
+//! Rust types for the options in `sablehaven/options.proto`.
 
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage};
 
-/// Number of each of the extensions.
+/// The field number of all three extensions; each extends a different message.
 pub(crate) const EXTENSION_NUMBER: u32 = 51_200;
-/// Name of the file option.
+/// The name of the file option.
 pub(crate) const DEPLOYMENT: &str = "sablehaven.deployment";
-/// Name of the service option.
+/// The name of the service option.
 pub(crate) const SERVICE: &str = "sablehaven.service";
-/// Name of the method option.
+/// The name of the method option.
 pub(crate) const METHOD: &str = "sablehaven.method";
 
-/// Field numbers of the options' messages, for source paths.
+/// Field numbers in the option messages, for source paths.
 pub(crate) mod number {
     pub(crate) const DEPLOYMENT_REGIONS: u32 = 1;
     pub(crate) const RULE_DEADLINE_MS: u32 = 1;
@@ -110,21 +110,21 @@
     pub fields: Vec<String>,
 }
 
-/// `Lookup` and `Once`, which have the same fields.
+/// The messages `Lookup` and `Once`, which have the same fields.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Key {
     #[prost(string, tag = "1")]
     pub key: String,
 }
 
-/// Reads one of the extensions from a descriptor's options, where it is set.
+/// Reads an extension from a descriptor's options, if it is set.
 ///
-/// A schema that does not import the options file sets none of them.
-pub(crate) fn read<Option_: Message + Default>(
+/// A schema that does not import the options file sets none of the extensions.
+pub(crate) fn read_extension<Extension: Message + Default>(
     pool: &DescriptorPool,
     options: &DynamicMessage,
     extension: &str,
-) -> Option<Option_> {
+) -> Option<Extension> {
     let extension = pool.get_extension_by_name(extension)?;
     if !options.has_extension(&extension) {
         return None;
--- a/crates/sablehaven-schema/src/problem.rs
+++ b/crates/sablehaven-schema/src/problem.rs
@@ -1,20 +1,20 @@
-//! What is wrong with a schema, and where.
+//! Schema problems and their positions in the text.
 
-/// One problem of a schema file.
+/// A problem in a schema file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, displaydoc::Display, thiserror::Error)]
 #[displaydoc("{file}:{line}:{column}: {message}")]
 pub struct SchemaProblem {
-    /// The file's name.
+    /// The file name.
     pub file: String,
     /// The line, counted from 1.
     pub line: usize,
     /// The column, counted from 1 in characters.
     pub column: usize,
-    /// The reason.
+    /// What is wrong.
     pub message: String,
 }
 
-/// A place in a text: line and column, both counted from 1.
+/// A position in a text: line and column, both counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Position {
     /// The line.
@@ -24,10 +24,10 @@
 }
 
 impl Position {
-    /// Where a text starts.
+    /// The start of a text.
     pub(crate) const START: Self = Self { line: 1, column: 1 };
 
-    /// The place of a byte offset; an offset past the end gives the end.
+    /// The position of a byte offset; an offset past the end is clamped to the end.
     pub(crate) fn of_offset(text: &str, offset: usize) -> Self {
         let mut offset = offset.min(text.len());
         while !text.is_char_boundary(offset) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The byte offset of this place; a place past the end gives the end.
+    /// The byte offset of this position; a position past the end is clamped to the end.
     pub(crate) fn offset_in(self, text: &str) -> usize {
         let line_start = match self.line {
             0 | 1 => Some(0),
@@ -59,7 +59,7 @@
             .map_or(text.len(), |(offset, _)| line_start + offset)
     }
 
-    /// A problem at this place.
+    /// Creates a problem at this position.
     pub(crate) fn problem(self, file: &str, message: impl Into<String>) -> SchemaProblem {
         SchemaProblem {
             file: file.to_owned(),
@@ -70,31 +70,31 @@
     }
 }
 
-/// A part of a text.
+/// A range of a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Span {
-    /// Where it starts.
+    /// The start.
     pub start: Position,
-    /// Where it ends.
+    /// The end, exclusive.
     pub end: Position,
 }
 
 impl Span {
-    /// The start of a text of which nothing more is known.
+    /// The empty span at the start of a text, used where no span is known.
     pub(crate) const START: Self = Self {
         start: Position::START,
         end: Position::START,
     };
 
-    /// The place of `blamed` within the span, or the span's start unless it stands there exactly once.
-    pub(crate) fn place_of(self, blamed: &str, text: &str) -> Position {
+    /// The position of `excerpt` if it occurs exactly once within the span, else the span's start.
+    pub(crate) fn position_of(self, excerpt: &str, text: &str) -> Position {
         let start = self.start.offset_in(text);
         let end = self.end.offset_in(text);
-        let mut found = match text.get(start..end) {
-            Some(part) if !blamed.is_empty() => part.match_indices(blamed),
+        let mut occurrences = match text.get(start..end) {
+            Some(part) if !excerpt.is_empty() => part.match_indices(excerpt),
             _ => return self.start,
         };
-        match (found.next(), found.next()) {
+        match (occurrences.next(), occurrences.next()) {
             (Some((offset, _)), None) => Position::of_offset(text, start + offset),
             _ => self.start,
         }
--- a/crates/sablehaven-schema/src/rules.rs
+++ b/crates/sablehaven-schema/src/rules.rs
@@ -1,4 +1,4 @@
-//! Checks the options of a schema and turns them into rules.
+//! Validates the options of a compiled schema and converts them to regions, services and methods.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use sablehaven_types::{RegionName, ServiceName, ZoneName};
 
 use crate::{
-    compile::{Compiled, MAX_PLACED_PROBLEMS, OPTIONS_FILE, Source},
+    compile::{CompiledSchema, MAX_LOCATED_PROBLEMS, OPTIONS_FILE, Source},
     field_problem::FieldProblem,
     field_rules::{self, MergeProblem},
     locations::Locations,
@@ -15,30 +15,30 @@
     schema::{Merge, MethodKind, MethodSchema, RegionSchema, ServiceSchema},
 };
 
-/// The longest deadline that a method may set, in milliseconds.
+/// The maximum deadline of a method, in milliseconds.
 const MAX_DEADLINE_MS: u32 = 60_000;
-/// The longest name of a region or zone, in bytes (as in DNS labels).
-const MAX_PLACE_NAME_BYTES: usize = 63;
-/// The most shards of a service that sets no limit.
-const DEFAULT_MAXIMUM_SHARDS: u32 = 1_024;
+/// The maximum length of a region or zone name, in bytes, as for DNS labels.
+const MAX_LABEL_BYTES: usize = 63;
+/// The maximum number of shards of a service that does not set one.
+const DEFAULT_MAX_SHARDS: u32 = 1_024;
 
-/// What the checks give.
-pub(crate) struct Checked {
+/// The regions and services of a valid schema.
+pub(crate) struct CheckedSchema {
     pub regions: Vec<RegionSchema>,
     pub services: BTreeMap<ServiceName, ServiceSchema>,
 }
 
-/// Collects every problem of one schema.
+/// Validates one schema and collects every problem.
 pub(crate) struct Checker<'a> {
     source: Source<'a>,
-    compiled: &'a Compiled,
+    compiled: &'a CompiledSchema,
     locations: Locations,
     problems: Vec<SchemaProblem>,
 }
 
 impl<'a> Checker<'a> {
-    /// Checks of a compiled schema.
-    pub(crate) fn new(source: Source<'a>, compiled: &'a Compiled) -> Self {
+    /// Creates a checker for a compiled schema.
+    pub(crate) fn new(source: Source<'a>, compiled: &'a CompiledSchema) -> Self {
         Self {
             source,
             compiled,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// The rules, or every problem in the order of the text.
-    pub(crate) fn check(mut self) -> Result<Checked, Vec<SchemaProblem>> {
+    /// Returns the regions and services, or every problem in the order of the text.
+    pub(crate) fn check(mut self) -> Result<CheckedSchema, Vec<SchemaProblem>> {
         self.check_file();
         let regions = self.check_regions();
         let services = self.check_services();
         if self.problems.is_empty() {
-            return Ok(Checked { regions, services });
+            return Ok(CheckedSchema { regions, services });
         }
         self.problems.sort();
         Err(self.problems)
@@ -82,7 +82,7 @@
     fn check_regions(&mut self) -> Vec<RegionSchema> {
         let options = self.file().options();
         let deployment: Option<options::Deployment> =
-            options::read(&self.compiled.pool, &options, options::DEPLOYMENT);
+            options::read_extension(&self.compiled.pool, &options, options::DEPLOYMENT);
         let Some(deployment) = deployment else {
             self.report(
                 Position::START,
@@ -102,48 +102,49 @@
         let mut region_names = BTreeSet::new();
         let mut zone_names = BTreeSet::new();
         for region in &deployment.regions {
-            self.check_place_name(span, "region", &region.name, &mut region_names);
+            self.check_label(span, "region", &region.name, &mut region_names);
             if region.zones.is_empty() {
-                let position = self.place_of_name(span, &region.name);
+                let position = self.position_of_name(span, &region.name);
                 self.report(position, format!("region '{}' has no zones", region.name));
             }
             for zone in &region.zones {
-                self.check_place_name(span, "zone", zone, &mut zone_names);
+                self.check_label(span, "zone", zone, &mut zone_names);
             }
         }
         deployment.regions.into_iter().map(region_schema).collect()
     }
 
-    fn check_place_name<'n>(
+    fn check_label<'n>(
         &mut self,
         span: Span,
-        what: &str,
+        kind: &str,
         name: &'n str,
         seen: &mut BTreeSet<&'n str>,
     ) {
-        let position = self.place_of_name(span, name);
-        if !is_place_name(name) {
+        let position = self.position_of_name(span, name);
+        if !is_valid_label(name) {
             self.report(
                 position,
                 format!(
-                    "{what} name '{name}' is not 1 to {MAX_PLACE_NAME_BYTES} lower-case letters, digits and hyphens"
+                    "{kind} name '{name}' is not 1 to {MAX_LABEL_BYTES} lower-case letters, digits and hyphens"
                 ),
             );
         }
         if !seen.insert(name) {
-            self.report(position, format!("{what} '{name}' is named twice"));
+            self.report(position, format!("{kind} '{name}' is named twice"));
         }
     }
 
-    fn place_of_name(&self, span: Span, name: &str) -> Position {
-        self.place_within(span, &format!("\"{name}\""))
+    /// The position of a name in quotes within a span.
+    fn position_of_name(&self, span: Span, name: &str) -> Position {
+        self.position_within(span, &format!("\"{name}\""))
     }
 
-    /// The place of `blamed` within a span; the span's start once many problems were found, since
-    /// each search goes through the whole span.
-    fn place_within(&self, span: Span, blamed: &str) -> Position {
-        if self.problems.len() < MAX_PLACED_PROBLEMS {
-            span.place_of(blamed, self.source.text)
+    /// The position of `excerpt` within a span. Once [`MAX_LOCATED_PROBLEMS`] problems were found, always
+    /// the span's start, since each search scans the whole span.
+    fn position_within(&self, span: Span, excerpt: &str) -> Position {
+        if self.problems.len() < MAX_LOCATED_PROBLEMS {
+            span.position_of(excerpt, self.source.text)
         } else {
             span.start
         }
@@ -163,11 +164,11 @@
 
     fn check_service(&mut self, service: &ServiceDescriptor) -> ServiceSchema {
         let rule: ServiceRule =
-            options::read(&self.compiled.pool, &service.options(), options::SERVICE)
+            options::read_extension(&self.compiled.pool, &service.options(), options::SERVICE)
                 .unwrap_or_default();
         let maximum_shards = match rule.maximum_shards {
-            0 => DEFAULT_MAXIMUM_SHARDS,
-            given => given,
+            0 => DEFAULT_MAX_SHARDS,
+            maximum => maximum,
         };
         if service.methods().len() == 0 {
             let position = self.locations.service(service);
@@ -201,7 +202,7 @@
             );
         }
         let rule: Option<MethodRule> =
-            options::read(&self.compiled.pool, &method.options(), options::METHOD);
+            options::read_extension(&self.compiled.pool, &method.options(), options::METHOD);
         let Some(rule) = rule else {
             self.report(
                 position,
@@ -231,7 +232,7 @@
             return;
         }
         let message = format!("deadline_ms is {deadline_ms}, allowed is 1 to {MAX_DEADLINE_MS}");
-        let problem = FieldProblem::of_option("deadline_ms", message);
+        let problem = FieldProblem::of_option_field("deadline_ms", message);
         self.report_option(method, &[number::RULE_DEADLINE_MS], &problem);
     }
 
@@ -239,7 +240,7 @@
         match kind {
             None => {
                 let message = "says neither query nor lookup nor once".to_owned();
-                self.report_option(method, &[], &FieldProblem::of_whole(message));
+                self.report_option(method, &[], &FieldProblem::of_whole_option(message));
                 None
             }
             Some(Kind::Query(query)) => self.check_query(method, &query),
@@ -255,13 +256,13 @@
     fn check_key(
         &mut self,
         method: &MethodDescriptor,
-        rule: u32,
+        rule_field: u32,
         key: &str,
     ) -> Option<prost_reflect::FieldDescriptor> {
         match field_rules::key_field(&method.input(), key) {
             Ok(field) => Some(field),
             Err(problem) => {
-                self.report_option(method, &[rule], &problem);
+                self.report_option(method, &[rule_field], &problem);
                 None
             }
         }
@@ -273,24 +274,36 @@
         query: &options::Query,
     ) -> Option<MethodKind> {
         let resolved = field_rules::merge_rules(&method.input(), &method.output(), query);
-        let complete = resolved.problems.is_empty();
-        for MergeProblem { part, problem } in resolved.problems {
-            let within: Vec<u32> = [number::RULE_QUERY].into_iter().chain(part).collect();
-            self.report_option(method, &within, &problem);
+        let is_valid = resolved.problems.is_empty();
+        for MergeProblem {
+            query_field,
+            problem,
+        } in resolved.problems
+        {
+            let subpath: Vec<u32> = [number::RULE_QUERY]
+                .into_iter()
+                .chain(query_field)
+                .collect();
+            self.report_option(method, &subpath, &problem);
         }
-        complete.then_some(MethodKind::Query {
+        is_valid.then_some(MethodKind::Query {
             merge: Merge {
                 rules: resolved.rules,
             },
         })
     }
 
-    /// Reports a problem of a method's option, at the part of its text that is to blame.
-    fn report_option(&mut self, method: &MethodDescriptor, within: &[u32], problem: &FieldProblem) {
+    /// Reports a problem with a method's option, at the part of its text that the problem refers to.
+    fn report_option(
+        &mut self,
+        method: &MethodDescriptor,
+        subpath: &[u32],
+        problem: &FieldProblem,
+    ) {
         let span = self
             .locations
-            .method_option(method, EXTENSION_NUMBER, within);
-        let position = self.place_within(span, &problem.blamed);
+            .method_option(method, EXTENSION_NUMBER, subpath);
+        let position = self.position_within(span, &problem.excerpt);
         let message = format!("method '{}': {}", method.name(), problem.message);
         self.report(position, message);
     }
@@ -303,7 +316,8 @@
     }
 }
 
-fn is_place_name(name: &str) -> bool {
-    let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    (1..=MAX_PLACE_NAME_BYTES).contains(&name.len()) && name.bytes().all(allowed)
+/// Whether a region or zone name is valid.
+fn is_valid_label(name: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    (1..=MAX_LABEL_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
 }
--- a/crates/sablehaven-schema/src/schema.rs
+++ b/crates/sablehaven-schema/src/schema.rs
@@ -1,4 +1,4 @@
-//! A parsed schema: places, services, methods.
+//! A parsed schema: its regions, services and methods.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -11,7 +11,7 @@
     rules::Checker,
 };
 
-/// A deployment's schema, checked.
+/// A valid deployment schema.
 #[derive(Clone)]
 pub struct DeploymentSchema {
     source: SchemaSource,
@@ -21,10 +21,10 @@
 }
 
 impl DeploymentSchema {
-    /// Compiles and checks a schema's text.
+    /// Compiles and validates a schema.
     ///
-    /// `file_name` is used in problems only. On failure every problem that was found is given, in
-    /// the order of the text; options are checked once the text compiles.
+    /// `file_name` is the name that problems show. On failure, returns all problems that were found, in
+    /// the order of the text. Options are validated only if the text compiles.
     pub fn parse(file_name: &str, text: &str) -> Result<Self, Vec<SchemaProblem>> {
         let source = Source { file_name, text };
         let compiled = compile(source)?;
@@ -40,27 +40,27 @@
         })
     }
 
-    /// [`Self::parse`] of a configuration's schema.
+    /// Parses the schema of a configuration; see [`Self::parse`].
     pub fn from_source(source: &SchemaSource) -> Result<Self, Vec<SchemaProblem>> {
         Self::parse(&source.file_name, &source.text)
     }
 
-    /// The text that was parsed.
+    /// The text and file name from which the schema was parsed.
     pub fn source(&self) -> &SchemaSource {
         &self.source
     }
 
-    /// The schema's file, with every message.
+    /// The descriptor of the schema file, which contains all of its messages.
     pub fn file(&self) -> &FileDescriptor {
         &self.file
     }
 
-    /// The regions, in the order of the file.
+    /// The regions, in file order.
     pub fn regions(&self) -> &[RegionSchema] {
         &self.regions
     }
 
-    /// The region that a zone belongs to.
+    /// The region that contains a zone.
     pub fn region_of_zone(&self, zone: &ZoneName) -> Option<&RegionName> {
         self.regions
             .iter()
@@ -68,17 +68,17 @@
             .map(|region| &region.name)
     }
 
-    /// The services, by name.
+    /// All services, ordered by name.
     pub fn services(&self) -> impl ExactSizeIterator<Item = &ServiceSchema> {
         self.services.values()
     }
 
-    /// One service.
+    /// The service with the given full name.
     pub fn service(&self, service: &ServiceName) -> Option<&ServiceSchema> {
         self.services.get(service)
     }
 
-    /// One method of a service, by its name alone.
+    /// A method of a service, by its unqualified name.
     pub fn method(&self, service: &ServiceName, method: &str) -> Option<&MethodSchema> {
         self.services.get(service)?.method(method)
     }
@@ -104,72 +104,72 @@
 /// A region and its zones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegionSchema {
-    /// The region.
+    /// The region's name.
     pub name: RegionName,
-    /// Its zones, in the order of the file.
+    /// Its zones, in file order.
     pub zones: Vec<ZoneName>,
 }
 
 /// A service and its methods.
 #[derive(Clone, Debug)]
 pub struct ServiceSchema {
-    /// `<package>.<Service>`.
+    /// The full name, `<package>.<Service>`.
     pub name: ServiceName,
-    /// The most shards that a partition map may have.
+    /// The maximum number of shards in a partition map.
     pub maximum_shards: u32,
-    /// The fewest replicas that a shard may have.
+    /// The minimum number of replicas of a shard.
     pub minimum_replicas: u32,
-    /// The methods, in the order of the file.
+    /// The methods, in file order.
     pub methods: Vec<MethodSchema>,
 }
 
 impl ServiceSchema {
-    /// One method, by its name.
+    /// The method with the given unqualified name.
     pub fn method(&self, name: &str) -> Option<&MethodSchema> {
         self.methods.iter().find(|method| method.name == name)
     }
 }
 
-/// A method and how its calls are run.
+/// A method and how its calls are executed.
 #[derive(Clone, Debug)]
 pub struct MethodSchema {
-    /// The service that it belongs to.
+    /// The full name of its service.
     pub service: ServiceName,
-    /// The method's own name.
+    /// The unqualified name.
     pub name: String,
-    /// `/<package>.<Service>/<Method>`.
+    /// The HTTP path, `/<package>.<Service>/<Method>`.
     pub path: String,
-    /// How calls are run.
+    /// How calls are executed.
     pub kind: MethodKind,
-    /// Time for the whole call where the caller names none, in milliseconds.
+    /// The deadline of a call for which the caller sets none, in milliseconds from the start of the call.
     pub deadline_ms: u64,
-    /// The request.
+    /// The request message type.
     pub input: MessageDescriptor,
-    /// The reply.
+    /// The reply message type.
     pub output: MessageDescriptor,
 }
 
-/// How calls of a method are run.
+/// How calls of a method are executed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MethodKind {
-    /// Asks every shard and merges the replies; may be repeated.
+    /// Sent to every shard; the replies are merged. Safe to retry.
     Query {
-        /// The merge.
+        /// How the replies are merged.
         merge: Merge,
     },
-    /// Asks the one shard that the key belongs to; may be repeated.
+    /// Sent to the shard that holds the key. Safe to retry.
     Lookup {
         /// The key, a field of the request.
         key: FieldDescriptor,
     },
-    /// Asks the one shard that the key belongs to; may not be repeated.
+    /// Sent to the shard that holds the key. Must not be executed more than once.
     Once {
         /// The key, a field of the request.
         key: FieldDescriptor,
     },
 }
 
-/// How the shards' replies become one answer.
+/// How the shards' replies are merged into one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Merge {
     /// One rule for each field of the reply.
@@ -179,25 +179,25 @@
 /// How one field of the reply is merged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FieldMerge {
-    /// The shards' lists one after the other.
+    /// The concatenation of the shards' lists.
     Concatenate {
         /// The repeated field of the reply.
         field: FieldDescriptor,
-        /// How the whole list is sorted; `None` keeps the order of the shards.
+        /// How the concatenated list is sorted; `None` keeps the order of the shards.
         order: Option<ElementOrder>,
     },
-    /// The best elements of the shards' lists.
+    /// The first elements of all shards' lists in sort order.
     TopK {
         /// The repeated field of the reply.
         field: FieldDescriptor,
-        /// Which elements are better.
+        /// The sort order.
         order: ElementOrder,
-        /// How many are kept.
+        /// How many elements are kept.
         limit: Limit,
     },
     /// The sum of the shards' numbers.
     Sum {
-        /// The number in the reply.
+        /// The numeric field of the reply.
         field: FieldDescriptor,
     },
 }
@@ -213,24 +213,26 @@
     }
 }
 
-/// The order of a list's elements. Elements equal in both fields keep the order of the shards.
+/// The sort order of a list's elements.
+///
+/// Elements that are equal in both fields keep the order of the shards.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ElementOrder {
-    /// The field that is compared.
+    /// The field by which elements are sorted.
     pub by: FieldDescriptor,
-    /// Whether the largest comes first.
+    /// Whether the largest value of `by` comes first.
     pub descending: bool,
-    /// The field that decides between equal ones, ascending.
+    /// The field that orders elements with equal `by`, ascending.
     pub tie_break: Option<FieldDescriptor>,
 }
 
-/// How many elements are kept.
+/// The number of elements that a top-k merge keeps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
-    /// The field of the request that says how many; `None` means always the default.
+    /// The request field that contains the limit; `None` means that the default always applies.
     pub field: Option<FieldDescriptor>,
-    /// How many where the request says 0.
+    /// The limit if the request field is 0 or `field` is `None`.
     pub default: u32,
-    /// A request for more is refused.
+    /// The maximum; a request with a higher limit is rejected.
     pub maximum: u32,
 }
