--- a/crates/sablehaven-schema/tests/compatibility.rs
+++ b/crates/sablehaven-schema/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Changes of a schema that break methods in use are named; others are allowed.
+//! Breaking schema changes are reported for methods in use; other changes are allowed.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use sablehaven_schema::check_change;
 use support::{SHOP, parse, shop};
 
-/// The breaking changes of the schema after each replacement of a text by another.
-fn changes(replacements: &[(&str, &str)]) -> Vec<String> {
+/// Applies text replacements to the schema and returns the breaking changes.
+fn breaking_changes(replacements: &[(&str, &str)]) -> Vec<String> {
     let mut text = SHOP.to_owned();
     for (from, to) in replacements {
         assert!(text.contains(from), "the schema has no '{from}'");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn additions_break_nothing() {
+fn additions_are_not_breaking() {
     let additions = [
         ("deadline_ms: 500", "deadline_ms: 900"),
         ("maximum_limit: 10", "maximum_limit: 20"),
@@ -29,11 +29,11 @@
         ("message Tree {", "message Unused {} message Tree {"),
         ("zones: [\"north-a\", \"north-b\"]", "zones: [\"north-a\"]"),
     ];
-    assert_eq!(changes(&additions), [""; 0]);
+    assert_eq!(breaking_changes(&additions), [""; 0]);
 }
 
 #[test]
-fn each_breaking_change_names_the_method() {
+fn each_breaking_change_is_reported_with_its_method() {
     let search = "method /shop.Shop/Search:";
     let by_text = "method /shop.Shop/GetByText:";
     let cases = [
@@ -101,14 +101,14 @@
         ),
     ];
     for (replacement, method, reason) in cases {
-        let found = changes(&[replacement]);
-        let named = |line: &String| line.starts_with(method) && line.contains(reason);
-        assert!(found.iter().any(named), "{replacement:?}: {found:#?}");
+        let found = breaking_changes(&[replacement]);
+        let is_expected = |change: &String| change.starts_with(method) && change.contains(reason);
+        assert!(found.iter().any(is_expected), "{replacement:?}: {found:#?}");
     }
 }
 
 #[test]
-fn a_service_that_is_not_in_use_may_change_at_will() {
+fn changes_of_a_service_that_is_not_in_use_are_not_breaking() {
     let other = parse(&SHOP.replace("service Shop", "service Store"));
     assert_eq!(check_change(&shop(), &other, &BTreeSet::new()), []);
     let in_use = BTreeSet::from(["shop.Shop".into()]);
--- a/crates/sablehaven-schema/tests/configuration.rs
+++ b/crates/sablehaven-schema/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations that do not fit their schema are refused with every reason.
+//! Validation of a configuration reports every way in which it does not match its schema.
 
 mod support;
 
@@ -29,7 +29,7 @@
     }
 }
 
-fn valid() -> ServiceConfiguration {
+fn valid_service() -> ServiceConfiguration {
     service(vec![assignment(0, &["a", "b"]), assignment(1, &["b", "c"])])
 }
 
@@ -45,16 +45,19 @@
 }
 
 #[test]
-fn a_configuration_that_fits_has_no_problems() {
-    assert_eq!(check_document(&document("shop.Shop", valid())), [""; 0]);
-    let mut nothing = document("shop.Shop", valid());
-    nothing.services.clear();
-    assert_eq!(check_document(&nothing), [""; 0]);
+fn a_valid_configuration_has_no_problems() {
+    assert_eq!(
+        check_document(&document("shop.Shop", valid_service())),
+        [""; 0]
+    );
+    let mut no_services = document("shop.Shop", valid_service());
+    no_services.services.clear();
+    assert_eq!(check_document(&no_services), [""; 0]);
 }
 
 #[test]
-fn a_schema_that_does_not_compile_is_named_with_its_place() {
-    let mut document = document("shop.Shop", valid());
+fn a_schema_that_does_not_compile_is_reported_with_its_position() {
+    let mut document = document("shop.Shop", valid_service());
     document.schema.text = "syntax = \"proto3\"\n".to_owned();
     let problems = check_document(&document);
     assert_eq!(problems.len(), 1);
@@ -62,20 +65,25 @@
 }
 
 #[test]
-fn each_problem_is_named() {
-    let pair = ["a", "b"];
-    let mut no_generation = valid();
+fn each_problem_is_reported() {
+    let two_replicas = ["a", "b"];
+    let mut no_generation = valid_service();
     no_generation.snapshot.id.generation = 0;
-    let five = (0..5).map(|shard| assignment(shard, &pair)).collect();
+    let five_shards = (0..5)
+        .map(|shard| assignment(shard, &two_replicas))
+        .collect();
     let cases = [
         (service(vec![]), "has no shards"),
-        (service(five), "has 5 shards, the schema allows 4"),
+        (service(five_shards), "has 5 shards, the schema allows 4"),
         (
-            service(vec![assignment(1, &pair)]),
+            service(vec![assignment(1, &two_replicas)]),
             "lists shard 1 where shard 0 belongs",
         ),
         (
-            service(vec![assignment(0, &pair), assignment(0, &pair)]),
+            service(vec![
+                assignment(0, &two_replicas),
+                assignment(0, &two_replicas),
+            ]),
             "lists shard 0 where shard 1 belongs",
         ),
         (
@@ -97,13 +105,13 @@
         assert_eq!(problems.len(), 1, "{expected}: {problems:?}");
         assert!(problems[0].contains(expected), "{expected}: {problems:?}");
     }
-    let problems = check_document(&document("shop.Missing", valid()));
+    let problems = check_document(&document("shop.Missing", valid_service()));
     assert_eq!(problems, ["service 'shop.Missing' is not in the schema"]);
 }
 
 #[test]
-fn routing_settings_out_of_range_are_all_named() {
-    let mut service = valid();
+fn every_routing_setting_out_of_range_is_reported() {
+    let mut service = valid_service();
     service.routing = RoutingSettings {
         connections_per_server: 0,
         slots_per_server: 0,
@@ -118,10 +126,10 @@
 }
 
 #[test]
-fn a_replacement_may_not_break_a_service_that_stays_configured() {
-    let first = Configuration::default();
-    let old = document("shop.Shop", valid());
-    assert_eq!(check_replacement(&first, &old), [""; 0]);
+fn a_replacement_must_not_break_a_service_that_remains_configured() {
+    let initial = Configuration::default();
+    let old = document("shop.Shop", valid_service());
+    assert_eq!(check_replacement(&initial, &old), [""; 0]);
     let mut new = old.clone();
     assert_eq!(check_replacement(&old, &new), [""; 0]);
     new.schema.text = SHOP.replace("lookup: { key: \"text\" }", "once: { key: \"text\" }");
--- a/crates/sablehaven-schema/tests/deployments.rs
+++ b/crates/sablehaven-schema/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! The committed deployments: present sizes, and configurations that are current.
+//! The committed deployments have the expected sizes, and their configurations are up to date.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -29,13 +29,13 @@
         .unwrap_or_else(|problems| panic!("{name}: {problems:#?}"));
     Deployment {
         schema,
-        fleet: FleetFile::parse(&read("fleet.toml")).expect("the fleet file fits its type"),
+        fleet: FleetFile::parse(&read("fleet.toml")).expect("the fleet file parses"),
         configuration: serde_json::from_str(&read("configuration.json"))
-            .expect("the configuration fits its type"),
+            .expect("the configuration parses"),
     }
 }
 
-/// Instances, servers of each, slots, connections and id prefix of each service.
+/// For each service: instances, servers per instance, slots and connections per server, and id prefix.
 fn sizes(fleet: &FleetFile) -> BTreeMap<&str, (usize, u32, u32, u32, &str)> {
     fleet
         .services
@@ -54,11 +54,15 @@
 }
 
 fn region_names(schema: &DeploymentSchema) -> Vec<&str> {
-    schema.regions().iter().map(|r| r.name.as_str()).collect()
+    schema
+        .regions()
+        .iter()
+        .map(|region| region.name.as_str())
+        .collect()
 }
 
 #[test]
-fn trinacria_has_its_present_size() {
+fn trinacria_has_its_current_size() {
     let trinacria = deployment("trinacria");
     let expected = BTreeMap::from([
         ("trinacria.OrderingPortal", (4, 4, 5, 75, "ordering-portal")),
@@ -67,14 +71,14 @@
         ("trinacria.RoutePlanner", (3, 5, 3, 110, "route-planner")),
     ]);
     assert_eq!(sizes(&trinacria.fleet), expected);
-    let places = ["palermo", "catania", "agrigento"];
-    assert_eq!(region_names(&trinacria.schema), places);
+    let regions = ["palermo", "catania", "agrigento"];
+    assert_eq!(region_names(&trinacria.schema), regions);
     let servers = trinacria.fleet.servers(&trinacria.fleet.full);
     assert_eq!(servers.len(), 16 + 24 + 30 + 15);
 }
 
 #[test]
-fn tareas_has_its_present_size() {
+fn tareas_has_its_current_size() {
     let tareas = deployment("tareas");
     let expected = BTreeMap::from([
         ("tareas.ExerciseBank", (4, 4, 5, 65, "exercise-bank")),
@@ -83,14 +87,14 @@
         ("tareas.Calendar", (5, 2, 4, 100, "calendar")),
     ]);
     assert_eq!(sizes(&tareas.fleet), expected);
-    let places = ["montevideo", "litoral", "noreste"];
-    assert_eq!(region_names(&tareas.schema), places);
+    let regions = ["montevideo", "litoral", "noreste"];
+    assert_eq!(region_names(&tareas.schema), regions);
     let servers = tareas.fleet.servers(&tareas.fleet.full);
     assert_eq!(servers.len(), 16 + 24 + 20 + 10);
 }
 
 #[test]
-fn networks_have_their_present_latencies() {
+fn networks_have_their_current_latencies() {
     for name in DEPLOYMENTS {
         let network = deployment(name).fleet.network;
         let latencies = (
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn fleets_agree_with_their_schemas() {
+fn fleets_match_their_schemas() {
     for name in DEPLOYMENTS {
         let deployment = deployment(name);
         assert_eq!(deployment.fleet.deployment, name);
@@ -114,9 +118,9 @@
     }
 }
 
-/// `cargo run -p sablehaven-schema --example write_deployment` writes them anew.
+/// `cargo run -p sablehaven-schema --example write_deployment` regenerates the files.
 #[test]
-fn configurations_are_current() {
+fn configurations_are_up_to_date() {
     for name in DEPLOYMENTS {
         let deployment = deployment(name);
         let full = &deployment.fleet.full;
@@ -126,36 +130,37 @@
     }
 }
 
-/// The stand-in servers of a size hold exactly the shards that the configuration says.
-fn assert_servers_hold_the_map(deployment: &Deployment, size: &FleetSize) {
+/// Asserts that each server of a fleet of the given size holds exactly the shards that the configuration
+/// assigns to it.
+fn assert_servers_match_partition_map(deployment: &Deployment, size: &FleetSize) {
     let configuration = deployment.fleet.configuration(&deployment.schema, size);
-    let mut held: BTreeMap<BackendId, BTreeSet<ShardId>> = BTreeMap::new();
+    let mut assigned: BTreeMap<BackendId, BTreeSet<ShardId>> = BTreeMap::new();
     for service in configuration.services.values() {
         for assignment in &service.snapshot.shards {
             for replica in &assignment.replicas {
-                let shards = held.entry(replica.clone()).or_default();
+                let shards = assigned.entry(replica.clone()).or_default();
                 assert!(shards.insert(assignment.shard));
             }
         }
     }
     let servers = deployment.fleet.servers(size);
-    let expected: BTreeMap<_, _> = servers
+    let held: BTreeMap<_, _> = servers
         .into_iter()
         .map(|server| (server.id, server.shards.into_iter().collect()))
         .collect();
-    assert_eq!(held, expected);
+    assert_eq!(assigned, held);
 }
 
 #[test]
-fn servers_hold_the_partition_map_at_every_size() {
+fn servers_match_the_partition_map_at_every_size() {
     for name in DEPLOYMENTS {
         let deployment = deployment(name);
-        let other = FleetSize {
+        let reduced = FleetSize {
             servers_per_mille: 600,
             ..deployment.fleet.full
         };
-        for size in [deployment.fleet.full, deployment.fleet.demo, other] {
-            assert_servers_hold_the_map(&deployment, &size);
+        for size in [deployment.fleet.full, deployment.fleet.demo, reduced] {
+            assert_servers_match_partition_map(&deployment, &size);
         }
     }
 }
@@ -175,7 +180,7 @@
     let schema = deployment("trinacria").schema;
     let method = schema
         .method_at("/trinacria.OrderingPortal/ReservePallet")
-        .expect("the path is of a method");
+        .expect("the path belongs to a method");
     assert!(matches!(&method.kind, MethodKind::Once { key } if key.name() == "depot_id"));
     assert_eq!(method.deadline_ms, 2_000);
     let search = schema
--- a/crates/sablehaven-schema/tests/envelope.rs
+++ b/crates/sablehaven-schema/tests/envelope.rs
@@ -1,4 +1,4 @@
-//! The protobuf envelope: written and read back, and alike in code and in the published file.
+//! The protobuf envelope round-trips, and the code agrees with the published `.proto` file.
 
 use prost_reflect::{DescriptorPool, DynamicMessage};
 use protox::{
@@ -10,7 +10,7 @@
     ConfigurationAge, Coverage, Envelope, MissingReason, MissingShard, Outcome, ShardId, SnapshotId,
 };
 
-const FILE: &str = "sablehaven/envelope.proto";
+const ENVELOPE_FILE: &str = "sablehaven/envelope.proto";
 
 const REASONS: [MissingReason; 6] = [
     MissingReason::Deadline,
@@ -21,29 +21,32 @@
     MissingReason::BadReply,
 ];
 
-struct Published;
+/// Resolves the published envelope file.
+struct PublishedFile;
 
-impl FileResolver for Published {
+impl FileResolver for PublishedFile {
     fn open_file(&self, name: &str) -> Result<File, protox::Error> {
-        if name == FILE {
-            return File::from_source(FILE, ENVELOPE_TEXT);
+        if name == ENVELOPE_FILE {
+            return File::from_source(ENVELOPE_FILE, ENVELOPE_TEXT);
         }
         Err(protox::Error::file_not_found(name))
     }
 }
 
-fn published() -> DescriptorPool {
+/// The descriptors of the published envelope file.
+fn published_descriptors() -> DescriptorPool {
     let mut resolver = ChainFileResolver::new();
-    resolver.add(Published);
+    resolver.add(PublishedFile);
     resolver.add(GoogleFileResolver::new());
     let mut compiler = Compiler::with_file_resolver(resolver);
     compiler
-        .open_file(FILE)
+        .open_file(ENVELOPE_FILE)
         .expect("the published file compiles");
     compiler.descriptor_pool()
 }
 
-fn full(outcome: Outcome) -> Envelope<Vec<u8>> {
+/// An envelope in which every field is set.
+fn full_envelope(outcome: Outcome) -> Envelope<Vec<u8>> {
     let missing = REASONS
         .into_iter()
         .zip(10..)
@@ -73,17 +76,17 @@
 }
 
 #[test]
-fn every_outcome_and_reason_is_read_back() {
+fn every_outcome_and_reason_round_trips() {
     for outcome in [Outcome::Done, Outcome::NotRun, Outcome::Unknown] {
-        let envelope = full(outcome);
+        let envelope = full_envelope(outcome);
         let bytes = ProtobufEnvelope::from(envelope.clone()).to_bytes();
         assert_eq!(ProtobufEnvelope::read(&bytes), Ok(envelope));
     }
 }
 
 #[test]
-fn an_empty_body_is_not_a_missing_one() {
-    let mut envelope = full(Outcome::Done);
+fn an_empty_body_differs_from_a_missing_body() {
+    let mut envelope = full_envelope(Outcome::Done);
     envelope.body = Some(Vec::new());
     let bytes = ProtobufEnvelope::from(envelope.clone()).to_bytes();
     assert_eq!(ProtobufEnvelope::read(&bytes), Ok(envelope.clone()));
@@ -93,13 +96,14 @@
 }
 
 #[test]
-fn the_published_file_describes_every_field() {
-    let pool = published();
+fn the_published_file_defines_every_field() {
+    let pool = published_descriptors();
     let descriptor = pool
         .get_message_by_name("sablehaven.Envelope")
-        .expect("Envelope");
-    let bytes = ProtobufEnvelope::from(full(Outcome::NotRun)).to_bytes();
-    let message = DynamicMessage::decode(descriptor, bytes.as_slice()).expect("decodes");
+        .expect("the file defines the message Envelope");
+    let bytes = ProtobufEnvelope::from(full_envelope(Outcome::NotRun)).to_bytes();
+    let message =
+        DynamicMessage::decode(descriptor, bytes.as_slice()).expect("the envelope decodes");
     let expected = serde_json::json!({
         "outcome": "OUTCOME_NOT_RUN",
         "reason": "because",
@@ -120,16 +124,16 @@
         "body": "AQID",
     });
     assert_eq!(
-        serde_json::to_value(&message).expect("serializes"),
+        serde_json::to_value(&message).expect("the message has a JSON form"),
         expected
     );
 }
 
 #[test]
-fn an_envelope_without_outcome_is_refused() {
-    let refused = ProtobufEnvelope::read(&[0x2a, 0x00]);
+fn an_envelope_without_an_outcome_is_rejected() {
+    let result = ProtobufEnvelope::read(&[0x2a, 0x00]);
     assert_eq!(
-        refused,
+        result,
         Err(EnvelopeError::UnknownValue {
             field: "outcome",
             value: 0
--- a/crates/sablehaven-schema/tests/fuzz.rs
+++ b/crates/sablehaven-schema/tests/fuzz.rs
@@ -1,4 +1,5 @@
-//! Schemas and bodies of any content: a clear error or a result, never a panic, never a blow-up.
+//! Arbitrary schemas and bodies give a result or a descriptive error, never a panic, a stack overflow or
+//! excessive run time.
 
 mod support;
 
@@ -15,17 +16,18 @@
     method(&shop(), "Search")
 }
 
-/// Loads a schema; what is accepted must also have a client.
-fn load(text: &str) {
+/// Parses a schema. Checks that a client can be generated for a valid one, and that the problems of an
+/// invalid one have a message and a position within the text.
+fn check_parse(text: &str) {
     match DeploymentSchema::parse("schema.proto", text) {
         Ok(schema) => {
             generate_client(&schema).expect("a valid schema has a client");
         }
         Err(problems) => {
             assert!(!problems.is_empty());
-            let lines = text.lines().count() + 1;
+            let max_line = text.lines().count() + 1;
             for problem in problems {
-                assert!((1..=lines).contains(&problem.line), "{problem}");
+                assert!((1..=max_line).contains(&problem.line), "{problem}");
                 assert!(
                     problem.column >= 1 && !problem.message.is_empty(),
                     "{problem}"
@@ -35,10 +37,10 @@
     }
 }
 
-/// Words and signs of the schema language, so that random texts get far into the parser.
+/// Tokens of the schema language, so that random texts pass the first stages of the parser.
 fn token() -> impl Strategy<Value = String> {
-    let words: Vec<String> = SHOP
-        .split_inclusive(|letter: char| !letter.is_alphanumeric())
+    let tokens: Vec<String> = SHOP
+        .split_inclusive(|character: char| !character.is_alphanumeric())
         .map(str::to_owned)
         .chain(
             [
@@ -47,13 +49,13 @@
             .map(str::to_owned),
         )
         .collect();
-    proptest::sample::select(words)
+    proptest::sample::select(tokens)
 }
 
-/// The valid schema with one part replaced by random tokens.
+/// The valid schema with a random range replaced by random tokens.
 fn mutated_schema() -> impl Strategy<Value = String> {
-    let place = 0..SHOP.len();
-    (place, 0..40usize, proptest::collection::vec(token(), 0..6)).prop_map(
+    let start = 0..SHOP.len();
+    (start, 0..40usize, proptest::collection::vec(token(), 0..6)).prop_map(
         |(start, length, tokens)| {
             let end = (start + length).min(SHOP.len());
             format!("{}{}{}", &SHOP[..start], tokens.concat(), &SHOP[end..])
@@ -61,13 +63,15 @@
     )
 }
 
-fn refused_quickly(text: &str) {
-    let problems = DeploymentSchema::parse("schema.proto", text).expect_err("it is not valid");
+/// Asserts that a schema is rejected with problems whose messages are short.
+fn assert_rejected(text: &str) {
+    let problems =
+        DeploymentSchema::parse("schema.proto", text).expect_err("the schema is invalid");
     assert!(problems.iter().all(|problem| problem.message.len() < 1_000));
 }
 
 #[test]
-fn texts_that_nest_or_grow_without_end_are_refused() {
+fn deeply_nested_and_oversized_texts_are_rejected() {
     let prefix = "syntax = \"proto3\"; package p; option (a) = ";
     for repeated in [
         "{a{",
@@ -81,8 +85,8 @@
         "oneof o {",
         "group G = 1 {",
     ] {
-        refused_quickly(&format!("{prefix}{}", repeated.repeat(20_000)));
-        refused_quickly(&repeated.repeat(20_000));
+        assert_rejected(&format!("{prefix}{}", repeated.repeat(20_000)));
+        assert_rejected(&repeated.repeat(20_000));
     }
     for repeated in [
         "-",
@@ -96,14 +100,17 @@
         "+",
         "[[\n",
     ] {
-        refused_quickly(&format!("{prefix}{}", repeated.repeat(15_000)));
+        assert_rejected(&format!("{prefix}{}", repeated.repeat(15_000)));
     }
-    refused_quickly(&" ".repeat(300_000));
+    assert_rejected(&" ".repeat(300_000));
 }
 
+/// A closing bracket in a comment or string, or of another kind, closes nothing in the parser. If the
+/// nesting check counted it, the check would underestimate the depth and the parser would overflow
+/// its stack.
 #[test]
-fn brackets_hidden_from_a_count_of_brackets_do_not_overflow_the_stack() {
-    for hiding in [
+fn closing_brackets_that_the_parser_ignores_do_not_hide_deep_nesting() {
+    for pattern in [
         "message M { // }\n",
         "message M { /* } */\n",
         "message M { option a = '}';\n",
@@ -113,42 +120,48 @@
         "message M { # }\n",
         "message M { > ) ]\n",
     ] {
-        refused_quickly(&hiding.repeat(8_000));
+        assert_rejected(&pattern.repeat(8_000));
     }
 }
 
 #[test]
-fn a_large_schema_with_many_mistakes_is_refused_with_all_of_them() {
+fn every_problem_of_a_large_schema_is_reported() {
     let header = "syntax = \"proto3\"; package p;\nmessage A {}\nservice S {\n";
     let methods: String = (0..1_000)
         .map(|n| format!("rpc M{n}(A) returns (A);\n"))
         .collect();
     let problems = DeploymentSchema::parse("schema.proto", &format!("{header}{methods}}}"));
-    assert_eq!(problems.expect_err("no options").len(), 1_001);
+    assert_eq!(
+        problems.expect_err("the methods set no options").len(),
+        1_001
+    );
 }
 
-/// Each exact place costs a search through the option, so only the first problems get one.
+/// Each exact position costs a search through the option, so only the first 100 problems get one.
 #[test]
-fn very_many_problems_of_one_option_are_placed_at_its_statement() {
+fn further_problems_of_an_option_are_reported_at_its_statement() {
     let regions: String = (0..4_000)
         .map(|n| format!("  regions: {{ name: \"A{n}\" zones: [\"a{n}\"] }}\n"))
         .collect();
     let header = "syntax = \"proto3\"; package p; import \"sablehaven/options.proto\";\n";
     let text = format!("{header}option (sablehaven.deployment) = {{\n{regions}}};");
-    let problems = DeploymentSchema::parse("schema.proto", &text).expect_err("capital letters");
+    let problems = DeploymentSchema::parse("schema.proto", &text)
+        .expect_err("region names must not contain capital letters");
     let at_statement = problems.iter().filter(|problem| problem.line == 2).count();
     let exact = problems.iter().filter(|problem| problem.line > 2).count();
     assert_eq!((at_statement, exact), (3_900, 100));
 }
 
-/// The linker's time grows with the product of problems and size, so most of them are not placed.
+/// The linker's search for positions takes time proportional to the number of problems times the size of
+/// the text, so only the first of many problems is reported.
 #[test]
-fn of_very_many_linker_problems_the_first_is_placed() {
+fn only_the_first_of_many_linker_problems_is_reported() {
     let fields: String = (1..=10_000)
         .map(|n| format!("Missing f{n} = {n};\n"))
         .collect();
     let text = format!("syntax = \"proto3\"; package p;\nmessage A {{\n{fields}}}");
-    let problems = DeploymentSchema::parse("schema.proto", &text).expect_err("undefined names");
+    let problems =
+        DeploymentSchema::parse("schema.proto", &text).expect_err("the message type is undefined");
     let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
     let expected = "schema.proto:3:1: name 'Missing' is not defined (and 9999 more problems)";
     assert_eq!(lines, [expected]);
@@ -163,51 +176,51 @@
     })]
 
     #[test]
-    fn any_text_is_a_schema_or_refused(text in ".{0,200}") {
-        load(&text);
+    fn any_text_parses_or_is_rejected(text in ".{0,200}") {
+        check_parse(&text);
     }
 
     #[test]
-    fn any_tokens_are_a_schema_or_refused(tokens in proptest::collection::vec(token(), 0..80)) {
-        load(&tokens.concat());
+    fn any_token_sequence_parses_or_is_rejected(tokens in proptest::collection::vec(token(), 0..80)) {
+        check_parse(&tokens.concat());
     }
 
     #[test]
-    fn a_mutated_schema_is_a_schema_or_refused(text in mutated_schema()) {
-        load(&text);
+    fn a_mutated_schema_parses_or_is_rejected(text in mutated_schema()) {
+        check_parse(&text);
     }
 
     #[test]
-    fn any_bytes_are_a_body_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_decode_or_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let search = search();
         if let Ok(message) = decode_protobuf(&search.input, &bytes) {
-            let again = decode_protobuf(&search.input, &encode_protobuf(&message));
-            prop_assert!(again.is_ok());
+            let decoded_again = decode_protobuf(&search.input, &encode_protobuf(&message));
+            prop_assert!(decoded_again.is_ok());
         }
         let _ = decode_reply(&search.output, &bytes);
         let _ = decode_json(&search.input, &bytes);
     }
 
     #[test]
-    fn a_mutated_protobuf_body_is_a_body_or_refused(
-        place in 0..40usize,
+    fn a_mutated_protobuf_body_decodes_or_is_rejected(
+        index in 0..40usize,
         byte: u8,
-        cut in 0..60usize,
+        truncation in 0..60usize,
     ) {
         let search = search();
         let json = br#"{"text":"pasta","lines":[{"product":"oil","sizes":[1,2]}],"byName":{"a":{"quantity":4}}}"#;
-        let message = decode_json(&search.input, json).expect("it fits");
+        let message = decode_json(&search.input, json).expect("the body decodes");
         let mut bytes = encode_protobuf(&message);
-        let place = place % bytes.len();
-        bytes[place] = byte;
-        bytes.truncate(bytes.len().saturating_sub(cut % 4));
+        let index = index % bytes.len();
+        bytes[index] = byte;
+        bytes.truncate(bytes.len().saturating_sub(truncation % 4));
         if let Err(error) = decode_protobuf(&search.input, &bytes) {
             prop_assert!(!error.path.is_empty() && !error.message.is_empty());
         }
     }
 
     #[test]
-    fn any_json_is_a_body_or_refused(text in r#"[\[\]{}":, a-z0-9.eE+-]{0,120}"#) {
+    fn any_json_decodes_or_is_rejected(text in r#"[\[\]{}":, a-z0-9.eE+-]{0,120}"#) {
         let search = search();
         if let Ok(message) = decode_json(&search.input, text.as_bytes()) {
             prop_assert!(encode_json(&message).is_ok());
--- a/crates/sablehaven-schema/tests/keys.rs
+++ b/crates/sablehaven-schema/tests/keys.rs
@@ -1,4 +1,4 @@
-//! The mapping from keys to shards, pinned for ever, and its properties.
+//! The mapping from keys to shards, fixed by test vectors, and its properties.
 
 mod support;
 
@@ -8,22 +8,24 @@
 use serde_json::{Value, json};
 use support::{message, method, shop};
 
-fn shards(name: &str, request: Value) -> Vec<u32> {
-    let method = method(&shop(), name);
+/// The shards that a request maps to, for several shard counts.
+fn shards(method_name: &str, request: Value) -> Vec<u32> {
+    let method = method(&shop(), method_name);
     let request = message(&method.input, request);
     [1, 2, 3, 16, 55, 1_024]
         .into_iter()
         .map(|count| {
             shard_for_key(&method, &request, count)
-                .expect("it has a key")
+                .expect("the request has a key")
                 .0
         })
         .collect()
 }
 
-/// If this test fails, the change under test must not be made: indexes are already divided this way.
+/// If a change makes this test fail, the change must not be made: existing indexes are partitioned by this
+/// mapping.
 #[test]
-fn keys_stay_in_their_shards_for_ever() {
+fn the_mapping_from_keys_to_shards_never_changes() {
     let cases = [
         ("GetByText", json!({ "text": "a" }), [0, 1, 2, 14, 49, 923]),
         (
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn equal_keys_of_different_types_of_number_or_text_share_a_shard() {
+fn equal_keys_of_different_integer_or_text_types_map_to_the_same_shard() {
     let number = shards("GetByNumber", json!({ "number": "1" }));
     assert_eq!(number, shards("GetBySmall", json!({ "small": 1 })));
     let text = shards("GetByText", json!({ "text": "a" }));
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn a_query_has_no_key_and_an_empty_map_no_shard() {
+fn a_query_and_an_empty_partition_map_give_errors() {
     let schema = shop();
     let search = method(&schema, "Search");
     let request = message(&search.input, json!({}));
@@ -86,12 +88,12 @@
     })]
 
     #[test]
-    fn a_shard_lies_within_the_map(hash: u64, count in 1..=u32::MAX) {
+    fn a_shard_number_is_below_the_shard_count(hash: u64, count in 1..=u32::MAX) {
         prop_assert!(shard_of_hash(hash, count).0 < count);
     }
 
     #[test]
-    fn doubling_the_shards_splits_each_in_two(hash: u64, count in 1..=u32::MAX / 2) {
+    fn doubling_the_shard_count_splits_each_shard_in_two(hash: u64, count in 1..=u32::MAX / 2) {
         let ShardId(before) = shard_of_hash(hash, count);
         let ShardId(after) = shard_of_hash(hash, 2 * count);
         prop_assert_eq!(after / 2, before);
--- a/crates/sablehaven-schema/tests/merges.rs
+++ b/crates/sablehaven-schema/tests/merges.rs
@@ -1,4 +1,4 @@
-//! Merged answers: right, and independent of the order in which replies arrive.
+//! Merged replies are correct and do not depend on the order in which the shards' replies arrive.
 
 mod support;
 
@@ -11,6 +11,7 @@
 use serde_json::{Value, json};
 use support::{message, method, shop};
 
+/// Merges search replies that are given in JSON, as pairs of shard and reply.
 fn merge_json(
     search: &MethodSchema,
     replies: impl IntoIterator<Item = (u32, Value)>,
@@ -22,18 +23,19 @@
         .map(|(shard, reply)| (ShardId(shard), message(&search.output, reply)))
         .collect();
     let merged = merge(search, replies, &request)?;
-    Ok(encode_json(&merged).expect("it has a JSON form"))
+    Ok(encode_json(&merged).expect("the message has a JSON form"))
 }
 
+/// The ids of a list's elements.
 fn ids(list: &Value) -> Vec<&str> {
-    let items = list.as_array().expect("a list").iter();
+    let items = list.as_array().expect("the field is a list").iter();
     items
-        .map(|item| item["id"].as_str().expect("text"))
+        .map(|item| item["id"].as_str().expect("the id is a string"))
         .collect()
 }
 
 #[test]
-fn the_best_elements_of_all_shards_are_kept() {
+fn top_k_keeps_the_first_elements_of_all_shards() {
     let search = method(&shop(), "Search");
     let replies = [
         (
@@ -53,13 +55,13 @@
         (4, &["b", "c", "e", "a"]),
         (10, &["b", "c", "e", "a", "d"]),
     ] {
-        let merged = merge_json(&search, replies.clone(), limit).expect("it merges");
+        let merged = merge_json(&search, replies.clone(), limit).expect("the replies merge");
         assert_eq!(ids(&merged["best"]), expected, "limit {limit}");
     }
 }
 
 #[test]
-fn lists_keep_the_order_of_the_shards_unless_they_are_sorted() {
+fn concatenated_lists_keep_the_order_of_the_shards_unless_sorted() {
     let search = method(&shop(), "Search");
     let item = |id: &str, rank: i64| json!({ "id": id, "rank": rank.to_string() });
     let replies = [
@@ -69,28 +71,28 @@
         ),
         (0, json!({ "all": ["m"], "sorted": [item("r", 2)] })),
     ];
-    let merged = merge_json(&search, replies, 0).expect("it merges");
+    let merged = merge_json(&search, replies, 0).expect("the replies merge");
     assert_eq!(merged["all"], json!(["m", "x", "a"]));
     assert_eq!(ids(&merged["sorted"]), ["q", "r", "p"]);
 }
 
 #[test]
-fn numbers_are_added_up() {
+fn sums_add_the_numbers_of_all_shards() {
     let search = method(&shop(), "Search");
     let replies = [
         (0, json!({ "total": -5, "count": "7", "weight": 0.5 })),
         (1, json!({ "total": 2, "count": "18446744073709551608" })),
     ];
-    let merged = merge_json(&search, replies, 0).expect("it merges");
+    let merged = merge_json(&search, replies, 0).expect("the replies merge");
     assert_eq!(merged["total"], json!(-3));
     assert_eq!(merged["count"], json!("18446744073709551615"));
     assert_eq!(merged["weight"], json!(0.5));
 }
 
 #[test]
-fn a_sum_that_does_not_fit_is_an_error() {
+fn a_sum_that_overflows_is_an_error() {
     let search = method(&shop(), "Search");
-    for (low, high, field) in [
+    for (first, second, field) in [
         (json!({ "total": i32::MAX }), json!({ "total": 1 }), "total"),
         (
             json!({ "total": i32::MIN }),
@@ -103,7 +105,7 @@
             "count",
         ),
     ] {
-        let error = merge_json(&search, [(0, low), (1, high)], 0);
+        let error = merge_json(&search, [(0, first), (1, second)], 0);
         let overflow = MergeError::Overflow {
             method: "/shop.Shop/Search".to_owned(),
             field: field.to_owned(),
@@ -113,15 +115,15 @@
 }
 
 #[test]
-fn no_replies_give_an_empty_answer_and_a_lookup_none() {
+fn merging_no_replies_gives_an_empty_reply_and_merging_a_lookup_is_an_error() {
     let schema = shop();
     let search = method(&schema, "Search");
-    let merged = merge_json(&search, [], 0).expect("it merges");
+    let merged = merge_json(&search, [], 0).expect("the replies merge");
     assert_eq!(merged["best"], json!([]));
     assert_eq!(merged["count"], json!("0"));
     let get = method(&schema, "GetByText");
     let request = DynamicMessage::new(get.input.clone());
-    let error = merge(&get, BTreeMap::new(), &request).expect_err("one shard only");
+    let error = merge(&get, BTreeMap::new(), &request).expect_err("a lookup has no merge");
     assert_eq!(
         error,
         MergeError::NotAQuery("/shop.Shop/GetByText".to_owned())
@@ -154,38 +156,38 @@
     })]
 
     #[test]
-    fn the_answer_does_not_depend_on_arrival(
-        (in_order, arrived) in replies()
+    fn the_merged_reply_does_not_depend_on_the_order_of_arrival(
+        (in_order, shuffled) in replies()
             .prop_flat_map(|replies| (Just(replies.clone()), Just(replies).prop_shuffle())),
         limit in 0..11u32,
     ) {
         let search = method(&shop(), "Search");
         prop_assert_eq!(
-            merge_json(&search, arrived, limit),
+            merge_json(&search, shuffled, limit),
             merge_json(&search, in_order, limit)
         );
     }
 
     #[test]
-    fn the_best_are_those_of_a_sort_of_everything(replies in replies(), limit in 1..11usize) {
+    fn top_k_equals_sorting_all_elements_and_truncating(replies in replies(), limit in 1..11usize) {
         let search = method(&shop(), "Search");
         let mut all: Vec<Value> = replies
             .iter()
-            .flat_map(|(_, reply)| reply["best"].as_array().expect("a list").clone())
+            .flat_map(|(_, reply)| reply["best"].as_array().expect("the field is a list").clone())
             .collect();
         all.sort_by_key(|item| {
-            let score = item["score"].as_i64().expect("a number");
-            (-score, item["id"].as_str().expect("text").to_owned())
+            let score = item["score"].as_i64().expect("the score is a number");
+            (-score, item["id"].as_str().expect("the id is a string").to_owned())
         });
         let keys = |items: &[Value]| -> Vec<(String, i64)> {
             let key = |item: &Value| {
-                let score = item["score"].as_f64().expect("a number");
+                let score = item["score"].as_f64().expect("the score is a number");
                 (item["id"].to_string(), score as i64)
             };
             items.iter().map(key).collect()
         };
-        let merged = merge_json(&search, replies, limit as u32).expect("it merges");
-        let best = merged["best"].as_array().expect("a list");
+        let merged = merge_json(&search, replies, limit as u32).expect("the replies merge");
+        let best = merged["best"].as_array().expect("the field is a list");
         prop_assert_eq!(keys(best), keys(&all[..limit.min(all.len())]));
     }
 }
--- a/crates/sablehaven-schema/tests/schema_files.rs
+++ b/crates/sablehaven-schema/tests/schema_files.rs
@@ -1,6 +1,7 @@
-//! Schemas that are valid, and schemas with every problem that they must be refused for.
+//! Checks that each schema in `schemas/valid` is accepted, and that each schema in `schemas/invalid` is
+//! rejected with exactly the expected problems.
 //!
-//! Next to `schemas/invalid/<name>.proto` stands `<name>.problems` with one problem a line.
+//! The expected problems of `schemas/invalid/<name>.proto` are in `<name>.problems`, one per line.
 
 use std::path::Path;
 
