--- a/crates/sablehaven-schema/examples/schema_bench.rs
+++ b/crates/sablehaven-schema/examples/schema_bench.rs
@@ -22,7 +22,7 @@
 
 /// Elements in each shard's reply; equals the default limit of the stock search.
 const ITEMS_PER_REPLY: usize = 20;
-/// Numbers of shards in a query's fan-out.
+/// Numbers of replies for which merging is measured, one reply per shard.
 const SHARD_COUNTS: [u32; 4] = [5, 15, 30, 55];
 
 fn main() {
--- a/crates/sablehaven-schema/examples/write_deployment.rs
+++ b/crates/sablehaven-schema/examples/write_deployment.rs
@@ -16,10 +16,10 @@
 type BoxError = Box<dyn std::error::Error>;
 
 fn main() -> ExitCode {
-    let check = std::env::args().any(|argument| argument == "--check");
+    let check_only = std::env::args().any(|argument| argument == "--check");
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deployments");
     for deployment in DEPLOYMENTS {
-        if let Err(error) = write_deployment(&folder.join(deployment), check) {
+        if let Err(error) = write_deployment(&folder.join(deployment), check_only) {
             eprintln!("{deployment}: {error}");
             return ExitCode::FAILURE;
         }
@@ -27,10 +27,10 @@
     ExitCode::SUCCESS
 }
 
-fn write_deployment(folder: &Path, check: bool) -> Result<(), BoxError> {
+fn write_deployment(folder: &Path, check_only: bool) -> Result<(), BoxError> {
     let text = configuration_text(folder)?;
     let path = folder.join("configuration.json");
-    if !check {
+    if !check_only {
         return Ok(fs::write(path, text)?);
     }
     if fs::read_to_string(&path)? == text {
--- a/crates/sablehaven-schema/src/compile.rs
+++ b/crates/sablehaven-schema/src/compile.rs
@@ -49,7 +49,7 @@
     source.check_size()?;
     source.check_nesting()?;
     let file = source.parse()?;
-    let imported = source.import(&file)?;
+    let imported = source.load_imports(&file)?;
     source.link(imported, file)
 }
 
@@ -105,7 +105,10 @@
     }
 
     /// Loads the descriptors of every file that the schema imports.
-    fn import(&self, file: &FileDescriptorProto) -> Result<DescriptorPool, Vec<SchemaProblem>> {
+    fn load_imports(
+        &self,
+        file: &FileDescriptorProto,
+    ) -> Result<DescriptorPool, Vec<SchemaProblem>> {
         let locations = Locations::of_file(file);
         let mut pool = DescriptorPool::new();
         let mut problems = Vec::new();
--- a/crates/sablehaven-schema/src/field_problem.rs
+++ b/crates/sablehaven-schema/src/field_problem.rs
@@ -1,4 +1,4 @@
-//! Problems of single fields of an option, and the part of the schema's text that they refer to.
+//! Problems in the options of a schema, each with the part of the option's text that it refers to.
 
 /// A problem with a field name or number in an option.
 pub(crate) struct FieldProblem {
@@ -9,7 +9,7 @@
 }
 
 impl FieldProblem {
-    /// A problem with a name that stands in the option in quotes.
+    /// A problem with a quoted name in the option.
     pub(crate) fn of_name(name: &str, message: String) -> Self {
         Self {
             excerpt: format!("\"{name}\""),
--- a/crates/sablehaven-schema/src/fleet_file/mod.rs
+++ b/crates/sablehaven-schema/src/fleet_file/mod.rs
@@ -22,7 +22,7 @@
     pub deployment: String,
     /// The regions and their zones, as in the schema.
     pub regions: Vec<FleetRegion>,
-    /// The simulated network.
+    /// Latencies and connection cost of the network.
     pub network: NetworkSettings,
     /// The current size of the deployment.
     pub full: FleetSize,
@@ -96,6 +96,6 @@
     pub service_time_us: u64,
     /// How long a server remains cold after its start, in milliseconds.
     pub cold_start_ms: u64,
-    /// The factor by which a cold server is slower at first.
+    /// How many times longer a request takes on a cold server than on a warm one, right after the start.
     pub cold_slowdown: u32,
 }
--- a/crates/sablehaven-schema/src/generate/mod.rs
+++ b/crates/sablehaven-schema/src/generate/mod.rs
@@ -23,9 +23,9 @@
 /// The client of a schema could not be generated.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum GenerateError {
-    /// write the client's messages: {0}
+    /// generate the client's messages: {0}
     Messages(#[from] std::io::Error),
-    /// write the client of package '{0}': the generator gave no code for it
+    /// generate the client of package '{0}': the generator returned no code for it
     NoCode(String),
 }
 
--- a/crates/sablehaven-schema/src/generate/service.rs
+++ b/crates/sablehaven-schema/src/generate/service.rs
@@ -95,19 +95,20 @@
     )
 }
 
+/// The first paragraph of a method's doc comment.
 fn summary(schema: &MethodSchema) -> String {
     let routing = match &schema.kind {
-        MethodKind::Query { .. } => "sent to every shard; safe to retry".to_owned(),
+        MethodKind::Query { .. } => "sent to every shard and safe to retry".to_owned(),
         MethodKind::Lookup { key } => {
-            format!("sent to the shard of `{}`; safe to retry", key.name())
+            format!("sent to the shard of `{}` and safe to retry", key.name())
         }
         MethodKind::Once { key } => format!(
-            "sent to the shard of `{}`; executed at most once for each request key",
+            "sent to the shard of `{}` and executed at most once for each request key",
             key.name()
         ),
     };
     format!(
-        "Calls `{}`: {routing}. The deadline is {} ms unless `options` sets one.",
+        "Calls `{}`, which is {routing}. The deadline is {} ms unless `options` sets one.",
         schema.name, schema.deadline_ms
     )
 }
--- a/crates/sablehaven-schema/src/locations.rs
+++ b/crates/sablehaven-schema/src/locations.rs
@@ -58,12 +58,12 @@
 
     /// The name of a service.
     pub(crate) fn service(&self, service: &ServiceDescriptor) -> Position {
-        self.nearest(&extend(service.path(), &[tag::NAME]))
+        self.nearest(&concat_path(service.path(), &[tag::NAME]))
     }
 
     /// The name of a method.
     pub(crate) fn method(&self, method: &MethodDescriptor) -> Position {
-        self.nearest(&extend(method.path(), &[tag::NAME]))
+        self.nearest(&concat_path(method.path(), &[tag::NAME]))
     }
 
     /// A method option, or the part of it that the field numbers in `subpath` select.
@@ -73,7 +73,7 @@
         number: u32,
         subpath: &[u32],
     ) -> Span {
-        let path = extend(method.path(), &[tag::METHOD_OPTIONS]);
+        let path = concat_path(method.path(), &[tag::METHOD_OPTIONS]);
         self.option(&path, number, subpath)
     }
 
@@ -94,11 +94,12 @@
     fn nearest_span(&self, path: &[i32]) -> Span {
         (1..=path.len())
             .rev()
-            .find_map(|length| self.first_within(&path[..length]))
+            .find_map(|length| self.first_span_under(&path[..length]))
             .unwrap_or(Span::START)
     }
 
-    fn first_within(&self, path: &[i32]) -> Option<Span> {
+    /// The span of `path` itself, else of the first recorded path that starts with it.
+    fn first_span_under(&self, path: &[i32]) -> Option<Span> {
         let (found, span) = self.spans.range(path.to_vec()..).next()?;
         found.starts_with(path).then_some(*span)
     }
@@ -124,6 +125,6 @@
     }
 }
 
-fn extend(path: &[i32], parts: &[i32]) -> Vec<i32> {
+fn concat_path(path: &[i32], parts: &[i32]) -> Vec<i32> {
     [path, parts].concat()
 }
--- a/crates/sablehaven-schema/src/rules.rs
+++ b/crates/sablehaven-schema/src/rules.rs
@@ -114,6 +114,7 @@
         deployment.regions.into_iter().map(region_schema).collect()
     }
 
+    /// Checks that a region or zone name is valid and not in `seen`.
     fn check_label<'n>(
         &mut self,
         span: Span,
--- a/crates/sablehaven-schema/src/schema.rs
+++ b/crates/sablehaven-schema/src/schema.rs
@@ -141,7 +141,7 @@
     pub path: String,
     /// How calls are executed.
     pub kind: MethodKind,
-    /// The deadline of a call for which the caller sets none, in milliseconds from the start of the call.
+    /// The time limit for the whole call if the caller sets no deadline, in milliseconds.
     pub deadline_ms: u64,
     /// The request message type.
     pub input: MessageDescriptor,
--- a/crates/sablehaven-schema/tests/fuzz.rs
+++ b/crates/sablehaven-schema/tests/fuzz.rs
@@ -63,8 +63,8 @@
     )
 }
 
-/// Asserts that a schema is rejected with problems whose messages are short.
-fn assert_rejected(text: &str) {
+/// Checks that a schema is rejected with problems whose messages are short.
+fn check_rejected(text: &str) {
     let problems =
         DeploymentSchema::parse("schema.proto", text).expect_err("the schema is invalid");
     assert!(problems.iter().all(|problem| problem.message.len() < 1_000));
@@ -85,8 +85,8 @@
         "oneof o {",
         "group G = 1 {",
     ] {
-        assert_rejected(&format!("{prefix}{}", repeated.repeat(20_000)));
-        assert_rejected(&repeated.repeat(20_000));
+        check_rejected(&format!("{prefix}{}", repeated.repeat(20_000)));
+        check_rejected(&repeated.repeat(20_000));
     }
     for repeated in [
         "-",
@@ -100,13 +100,13 @@
         "+",
         "[[\n",
     ] {
-        assert_rejected(&format!("{prefix}{}", repeated.repeat(15_000)));
+        check_rejected(&format!("{prefix}{}", repeated.repeat(15_000)));
     }
-    assert_rejected(&" ".repeat(300_000));
+    check_rejected(&" ".repeat(300_000));
 }
 
 /// A closing bracket in a comment or string, or of another kind, closes nothing in the parser. If the
-/// nesting check counted it, the check would underestimate the depth and the parser would overflow
+/// nesting check counted it, the check would underestimate the depth and the parser could overflow
 /// its stack.
 #[test]
 fn closing_brackets_that_the_parser_ignores_do_not_hide_deep_nesting() {
@@ -120,7 +120,7 @@
         "message M { # }\n",
         "message M { > ) ]\n",
     ] {
-        assert_rejected(&pattern.repeat(8_000));
+        check_rejected(&pattern.repeat(8_000));
     }
 }
 
