--- a/crates/sablehaven-control/src/driver/members.rs
+++ b/crates/sablehaven-control/src/driver/members.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use sablehaven_consensus::{MembershipChange, ReplicaId, Status};
-use sablehaven_wire::AgeClock;
+use sablehaven_wire::SuspendAwareClock;
 
 use tokio::sync::oneshot;
 
--- a/crates/sablehaven-control/src/driver/run.rs
+++ b/crates/sablehaven-control/src/driver/run.rs
@@ -8,7 +8,7 @@
 
 use sablehaven_consensus::{PersistentState, Ready, Replica, ReplicaId};
 use sablehaven_storage::{GroupWrite, OpenedStorage, SnapshotWriter};
-use sablehaven_wire::SuspensionClock;
+use sablehaven_wire::BootTimeClock;
 use tokio::{
     sync::{mpsc, watch},
     time::MissedTickBehavior,
@@ -68,7 +68,7 @@
     pub(super) is_stepping_down: bool,
     pub(super) published: watch::Sender<PublishedState>,
     pub(super) removal: RemovalMonitor,
-    pub(super) age_clock: SuspensionClock,
+    pub(super) age_clock: BootTimeClock,
     pub(super) metrics: Metrics,
     inputs: mpsc::Receiver<Input>,
     links: Arc<Links>,
@@ -115,7 +115,7 @@
             is_stepping_down: false,
             published,
             removal,
-            age_clock: SuspensionClock::default(),
+            age_clock: BootTimeClock::default(),
             metrics,
             inputs,
             links,
--- a/crates/sablehaven-control/src/leader/repair.rs
+++ b/crates/sablehaven-control/src/leader/repair.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use sablehaven_consensus::{ReplicaId, Role, Status};
-use sablehaven_wire::AgeClock;
+use sablehaven_wire::SuspendAwareClock;
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::silence::{LeadershipProof, SilenceTracker};
--- a/crates/sablehaven-control/src/peers/link.rs
+++ b/crates/sablehaven-control/src/peers/link.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use sablehaven_types::ListingNumber;
-use sablehaven_wire::{DialPatience, FrameReader, FrameWriter, PeerMessage};
+use sablehaven_wire::{ConnectTimeout, FrameReader, FrameWriter, PeerMessage};
 use tokio::{
     sync::mpsc,
     time::{Instant, MissedTickBehavior, interval, sleep, timeout},
@@ -41,9 +41,9 @@
     mut queue: mpsc::Receiver<Outgoing>,
     sender: mpsc::Sender<Outgoing>,
 ) {
-    let mut patience = DialPatience::default();
+    let mut connect_timeout = ConnectTimeout::default();
     loop {
-        let Some(connected) = patience.attempt(connect(&context, address)).await else {
+        let Some(connected) = connect_timeout.attempt(connect(&context, address)).await else {
             continue;
         };
         // Errors are not logged: they are expected while the other replica is down, and `status` shows them.
--- a/crates/sablehaven-control/src/quotas/replica_quotas.rs
+++ b/crates/sablehaven-control/src/quotas/replica_quotas.rs
@@ -14,7 +14,7 @@
     LoanRequest, QuotaTolerance, RequestQuota, RouteDocument, TenantName, TokenLoan, TokenReply,
     TokenRequest, TokenVerdict,
 };
-use sablehaven_wire::{AgeClock, SuspensionClock};
+use sablehaven_wire::{BootTimeClock, SuspendAwareClock};
 use tokio::sync::{Notify, watch};
 
 use super::{
@@ -35,7 +35,7 @@
     metrics: Metrics,
     /// The origin of the times that are passed to the part.
     started_at: Instant,
-    lease_clock: SuspensionClock,
+    lease_clock: BootTimeClock,
     lease: Mutex<PartLease>,
     grants: Arc<Mutex<PartGrants>>,
     part: Mutex<PartState>,
@@ -68,7 +68,7 @@
             state,
             metrics,
             started_at: Instant::now(),
-            lease_clock: SuspensionClock::default(),
+            lease_clock: BootTimeClock::default(),
             lease: Mutex::new(lease),
             grants,
             part: Mutex::new(PartState {
--- a/crates/sablehaven-control/src/server/context.rs
+++ b/crates/sablehaven-control/src/server/context.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use sablehaven_consensus::ReplicaId;
-use sablehaven_wire::{ControlToRelay, SuspensionClock};
+use sablehaven_wire::{BootTimeClock, ControlToRelay};
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
@@ -34,7 +34,7 @@
     pub(crate) links: Arc<Links>,
     pub(crate) quotas: Arc<ReplicaQuotas>,
     pub(crate) probes: ProbeQueue,
-    pub(crate) age_clock: SuspensionClock,
+    pub(crate) age_clock: BootTimeClock,
     pub(crate) metrics: Metrics,
     /// Cancelled once the replica accepts no new work.
     pub(crate) stopping: CancellationToken,
--- a/crates/sablehaven-control/src/server/start.rs
+++ b/crates/sablehaven-control/src/server/start.rs
@@ -9,7 +9,7 @@
 use sablehaven_storage::{Disk, OpenedStorage, RealDisk, Storage};
 use sablehaven_telemetry::Telemetry;
 use sablehaven_types::BoundAddresses;
-use sablehaven_wire::SuspensionClock;
+use sablehaven_wire::BootTimeClock;
 use salvo::{Server, conn::tcp::TcpAcceptor, server::ServerHandle};
 use tokio::{
     net::TcpListener,
@@ -248,7 +248,7 @@
         links,
         quotas,
         probes: ProbeQueue::default(),
-        age_clock: SuspensionClock::default(),
+        age_clock: BootTimeClock::default(),
         metrics,
         stopping: CancellationToken::new(),
     });
--- a/crates/sablehaven-gateway/src/control_link.rs
+++ b/crates/sablehaven-gateway/src/control_link.rs
@@ -8,7 +8,7 @@
 
 use sablehaven_types::Distance;
 use sablehaven_wire::{
-    Connection, ControlToGateway, DialPatience, GatewayStatus, GatewayToControl, Hello,
+    ConnectTimeout, Connection, ControlToGateway, GatewayStatus, GatewayToControl, Hello,
     PROTOCOL_VERSION, Role, WireError, connect_from,
 };
 use tokio::{
@@ -60,7 +60,7 @@
 
 async fn maintain_link(gateway: Rc<Gateway>, address: SocketAddr) {
     let mut was_connected = false;
-    let mut backoff = DialPatience::default();
+    let mut backoff = ConnectTimeout::default();
     loop {
         let Some(dial_result) = backoff.attempt(dial(&gateway, address)).await else {
             continue;
--- a/crates/sablehaven-gateway/src/gateway.rs
+++ b/crates/sablehaven-gateway/src/gateway.rs
@@ -15,7 +15,7 @@
     CallerLimits, CrashReport, EvacuatedZones, ListingChange, ListingNumber, RequestFingerprint,
     RouteDocument, RoutesChange, ServerListing, ZoneName,
 };
-use sablehaven_wire::{DeploymentMembers, GatewayStatus, StateVersions, SuspensionClock};
+use sablehaven_wire::{BootTimeClock, DeploymentMembers, GatewayStatus, StateVersions};
 use tokio::sync::{broadcast, watch};
 
 use crate::{
@@ -78,7 +78,7 @@
     /// The connections to the control replicas, over which state is fetched.
     pub(crate) control_links: ControlLinks,
     /// The client for tokens of tenants' quotas.
-    pub(crate) tokens: TokenClient<SuspensionClock>,
+    pub(crate) tokens: TokenClient<BootTimeClock>,
     /// Internal addresses of control replicas: those from the settings and those learned since.
     controls: watch::Sender<BTreeSet<SocketAddr>>,
 }
@@ -94,7 +94,7 @@
             listing: ListingNumber::default(),
             evacuation_revision: 0,
         };
-        let tokens = TokenClient::new(SuspensionClock::default(), &config.quotas);
+        let tokens = TokenClient::new(BootTimeClock::default(), &config.quotas);
         let controls = config.controls.iter().copied().collect();
         Self {
             registry: Registry::new(&config),
--- a/crates/sablehaven-gateway/src/quotas/client.rs
+++ b/crates/sablehaven-gateway/src/quotas/client.rs
@@ -12,7 +12,7 @@
     Distance, QuotaTolerance, TenantName, TokenReply, TokenRequest, TokenRequestNumber,
     TokenVerdict,
 };
-use sablehaven_wire::AgeClock;
+use sablehaven_wire::SuspendAwareClock;
 use tokio::{
     sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel},
     time::timeout_at,
@@ -95,7 +95,7 @@
     verdict: TokenVerdict,
 }
 
-impl<Clock: AgeClock> TokenClient<Clock> {
+impl<Clock: SuspendAwareClock> TokenClient<Clock> {
     /// Creates a client that holds no tokens.
     pub(crate) fn new(clock: Clock, tolerance: &QuotaTolerance) -> Self {
         let state = ClientState {
@@ -289,13 +289,13 @@
 }
 
 /// A request that waits for a token. When it is dropped, tokens that have arrived for it go into the cache.
-struct WaitingRequest<'a, Clock: AgeClock> {
+struct WaitingRequest<'a, Clock: SuspendAwareClock> {
     client: &'a TokenClient<Clock>,
     tenant: &'a TenantName,
     decisions: UnboundedReceiver<Decision>,
 }
 
-impl<Clock: AgeClock> WaitingRequest<'_, Clock> {
+impl<Clock: SuspendAwareClock> WaitingRequest<'_, Clock> {
     /// Waits until any replica decides, or `replica`, which was asked last, replies that it holds no part of the
     /// quotas. A token that was requested longer than `max_age` ago is not used.
     async fn wait_for_decision(
@@ -334,7 +334,7 @@
     }
 }
 
-impl<Clock: AgeClock> Drop for WaitingRequest<'_, Clock> {
+impl<Clock: SuspendAwareClock> Drop for WaitingRequest<'_, Clock> {
     fn drop(&mut self) {
         self.decisions.close();
         let mut state = self.client.state.borrow_mut();
--- a/crates/sablehaven-gateway/src/quotas/client/tests.rs
+++ b/crates/sablehaven-gateway/src/quotas/client/tests.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Default)]
 struct ManualClock(Rc<Cell<Duration>>);
 
-impl AgeClock for ManualClock {
+impl SuspendAwareClock for ManualClock {
     fn now(&self) -> Duration {
         self.0.get()
     }
--- a/crates/sablehaven-relay/src/agent/session.rs
+++ b/crates/sablehaven-relay/src/agent/session.rs
@@ -230,7 +230,7 @@
             self.hub.record_lease(agent, proof);
         }
         self.hub.metrics.leases.inc();
-        let grant = proof.pass_on(nonce, received_at);
+        let grant = proof.to_grant(nonce, received_at);
         self.send(&RelayToAgent::Lease(grant)).await
     }
 
--- a/crates/sablehaven-relay/src/control/link.rs
+++ b/crates/sablehaven-relay/src/control/link.rs
@@ -5,7 +5,7 @@
 
 use sablehaven_wire::{
     Connection, ControlToRelay, LeaseGrant, LeaseRequests, RelayToControl, Role, StateUpdate,
-    UpdateFit, WireError, connect_from,
+    UpdateCheck, WireError, connect_from,
 };
 use tokio::time::{Interval, MissedTickBehavior, interval, sleep, sleep_until, timeout};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
@@ -185,17 +185,17 @@
 
     async fn apply(&mut self, update: StateUpdate) -> Result<(), LinkError> {
         match self.hub.apply(update) {
-            UpdateFit::Applies | UpdateFit::Old => Ok(()),
-            UpdateFit::Gap => {
+            UpdateCheck::Applies | UpdateCheck::Stale => Ok(()),
+            UpdateCheck::Gap => {
                 self.feed_watch().await?;
                 self.flush().await
             }
-            UpdateFit::Reverted => Err(LinkError::Reverted { peer: self.peer }),
+            UpdateCheck::Reverted => Err(LinkError::Reverted { peer: self.peer }),
         }
     }
 
     fn accept_proof(&mut self, grant: &LeaseGrant, selector: &mut ReplicaSelector) {
-        let Some(proof) = self.lease_requests.granted(grant) else {
+        let Some(proof) = self.lease_requests.accept_grant(grant) else {
             return;
         };
         self.last_proof_at = self.hub.clock.now();
@@ -229,8 +229,8 @@
     }
 
     async fn request_proof(&mut self) -> Result<(), LinkError> {
-        // The time must be read before the write; see `LeaseRequests::request`.
-        let nonce = self.lease_requests.request(self.hub.clock.now());
+        // The time must be read before the write; see `LeaseRequests::record_request`.
+        let nonce = self.lease_requests.record_request(self.hub.clock.now());
         self.feed(&RelayToControl::RequestLease { nonce }).await?;
         self.flush().await
     }
--- a/crates/sablehaven-relay/src/hub.rs
+++ b/crates/sablehaven-relay/src/hub.rs
@@ -11,7 +11,7 @@
 
 use sablehaven_types::{AgentId, LedgerReply, LedgerRequest, Observation, RelayId};
 use sablehaven_wire::{
-    Hello, LeaseProof, MonotonicClock, PROTOCOL_VERSION, Role, StateUpdate, UpdateFit,
+    Hello, LeaseProof, MonotonicClock, PROTOCOL_VERSION, Role, StateUpdate, UpdateCheck,
 };
 use tokio::sync::{Notify, Semaphore, broadcast, mpsc, watch};
 
@@ -117,11 +117,11 @@
     // State updates.
 
     /// Applies an update from control and wakes the agents' connections.
-    pub(crate) fn apply(&self, update: StateUpdate) -> UpdateFit {
+    pub(crate) fn apply(&self, update: StateUpdate) -> UpdateCheck {
         let mut distribution = lock(&self.distribution);
-        let fit = distribution.apply(update);
-        if fit != UpdateFit::Applies {
-            return fit;
+        let check = distribution.apply(update);
+        if check != UpdateCheck::Applies {
+            return check;
         }
         let state = distribution.state();
         lock(&self.hints).prune(state, self.clock.now());
@@ -131,7 +131,7 @@
         self.metrics.revision.set(revision as i64);
         self.metrics.configuration_version.set(version as i64);
         self.revision.send_replace(revision);
-        fit
+        check
     }
 
     pub(crate) fn update_from(
--- a/crates/sablehaven-relay/src/state/content.rs
+++ b/crates/sablehaven-relay/src/state/content.rs
@@ -17,7 +17,7 @@
 }
 
 impl Content {
-    /// Applies an update. The caller has checked with [`StateUpdate::fit`] that it applies.
+    /// Applies an update. The caller has checked with [`StateUpdate::check`] that it applies.
     pub(crate) fn apply(&mut self, update: StateUpdate) {
         if update.full {
             *self = Self::default();
--- a/crates/sablehaven-relay/src/state/distribution.rs
+++ b/crates/sablehaven-relay/src/state/distribution.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use sablehaven_wire::{EncodedMessage, RelayToAgent, StateUpdate, UpdateFit};
+use sablehaven_wire::{EncodedMessage, RelayToAgent, StateUpdate, UpdateCheck};
 
 use crate::state::{RelayState, interest::Interest};
 
@@ -38,13 +38,13 @@
         &self.state
     }
 
-    /// Applies an update from control if [`StateUpdate::fit`] allows it, and then clears the cache.
-    pub fn apply(&mut self, update: StateUpdate) -> UpdateFit {
-        let fit = self.state.apply(update);
-        if fit == UpdateFit::Applies {
+    /// Applies an update from control if [`StateUpdate::check`] allows it, and then clears the cache.
+    pub fn apply(&mut self, update: StateUpdate) -> UpdateCheck {
+        let check = self.state.apply(update);
+        if check == UpdateCheck::Applies {
             self.cached.clear();
         }
-        fit
+        check
     }
 
     /// The encoded update for a receiver at `from_revision`, or `None` if it already has the latest
--- a/crates/sablehaven-relay/src/state/mod.rs
+++ b/crates/sablehaven-relay/src/state/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 use sablehaven_types::{BackendId, BackendRecord};
-use sablehaven_wire::{StateUpdate, UpdateFit};
+use sablehaven_wire::{StateUpdate, UpdateCheck};
 
 use crate::state::{change::Change, content::Content, interest::Interest};
 
@@ -44,11 +44,11 @@
         self.content.backends.get(backend)
     }
 
-    /// Applies an update from control if [`StateUpdate::fit`] allows it.
-    pub fn apply(&mut self, update: StateUpdate) -> UpdateFit {
-        let fit = update.fit(self.revision, self.configuration_version);
-        if fit != UpdateFit::Applies {
-            return fit;
+    /// Applies an update from control if [`StateUpdate::check`] allows it.
+    pub fn apply(&mut self, update: StateUpdate) -> UpdateCheck {
+        let check = update.check(self.revision, self.configuration_version);
+        if check != UpdateCheck::Applies {
+            return check;
         }
         // Before the first update there is no revision that an agent could be updated from.
         if self.revision > 0 {
@@ -58,7 +58,7 @@
         self.revision = update.revision;
         self.configuration_version = update.configuration_version;
         self.content.apply(update);
-        fit
+        check
     }
 
     /// The update for a receiver at `from_revision`, or `None` if it already has the latest
--- a/crates/sablehaven-relay/tests/directory.rs
+++ b/crates/sablehaven-relay/tests/directory.rs
@@ -19,13 +19,13 @@
 fn proof(at: Duration) -> LeaseProof {
     let mut requests = LeaseRequests::default();
     let grant = LeaseGrant {
-        nonce: requests.request(at),
+        nonce: requests.record_request(at),
         age_ms: 0,
         duration_ms: 3_000,
         revision: 1,
         configuration_version: 1,
     };
-    requests.granted(&grant).expect("the request is open")
+    requests.accept_grant(&grant).expect("the request is open")
 }
 
 /// A directory with one agent that was granted a lease at 100 ms and has been reported to control.
--- a/crates/sablehaven-relay/tests/state.rs
+++ b/crates/sablehaven-relay/tests/state.rs
@@ -8,7 +8,7 @@
 use sablehaven_relay::{Distribution, Interest, RelayState};
 use sablehaven_subscription::ViewState;
 use sablehaven_types::{BackendRecord, BackendState, ServiceName};
-use sablehaven_wire::{StateUpdate, UpdateFit};
+use sablehaven_wire::{StateUpdate, UpdateCheck};
 use support::{changes, full_state, record, service};
 
 fn interest(services: &[&str]) -> Interest {
@@ -27,8 +27,8 @@
 
 fn state_at_ten() -> RelayState {
     let mut state = RelayState::default();
-    let fit = state.apply(full_state(10, &["stock.Search", "stock.Reserve"]));
-    assert_eq!(fit, UpdateFit::Applies);
+    let check = state.apply(full_state(10, &["stock.Search", "stock.Reserve"]));
+    assert_eq!(check, UpdateCheck::Applies);
     state
 }
 
@@ -89,7 +89,7 @@
     full.services
         .insert("stock.Search".into(), Some(service(7)));
     full.backends.remove(&"stock.Reserve-backend".into());
-    assert_eq!(state.apply(full), UpdateFit::Applies);
+    assert_eq!(state.apply(full), UpdateCheck::Applies);
     let update = state.update_from(10, &interest(&[])).expect("an update");
     assert!(!update.full);
     assert_eq!(update.services.len(), 1);
@@ -101,10 +101,10 @@
 fn updates_that_do_not_apply_change_nothing() {
     let mut state = state_at_ten();
     let stale = full_state(9, &[]);
-    assert_eq!(state.apply(stale), UpdateFit::Old);
+    assert_eq!(state.apply(stale), UpdateCheck::Stale);
     assert_eq!(
         state.apply(delta(11, changes("stock.Search", 9))),
-        UpdateFit::Gap
+        UpdateCheck::Gap
     );
     assert_eq!(state.revision(), 10);
 }
@@ -274,7 +274,7 @@
         let mut sync = |relay: &RelayState, model: &Model, agent: usize| {
             let view = &mut agents[agent];
             if let Some(update) = relay.update_from(view.revision(), &interests[agent]) {
-                assert_eq!(view.apply(update), UpdateFit::Applies);
+                assert_eq!(view.apply(update), UpdateCheck::Applies);
             }
             if view.revision() > 0 {
                 assert_in_sync(model, view, &interests[agent]);
@@ -288,11 +288,11 @@
                         model.change(&Step::SetBackend(number, usize::from(number) % 3, 9));
                     }
                     let full = StateUpdate { full: true, ..model.state.clone() };
-                    prop_assert_eq!(relay.apply(full), UpdateFit::Applies);
+                    prop_assert_eq!(relay.apply(full), UpdateCheck::Applies);
                 }
                 change => {
                     let update = model.change(change);
-                    prop_assert_eq!(relay.apply(update), UpdateFit::Applies);
+                    prop_assert_eq!(relay.apply(update), UpdateCheck::Applies);
                 }
             }
         }
--- a/crates/sablehaven-subscription/src/config.rs
+++ b/crates/sablehaven-subscription/src/config.rs
@@ -8,7 +8,7 @@
 use sablehaven_types::{SettingChecks, SettingError};
 use serde::{Deserialize, Serialize};
 
-use crate::{relay_choice::RetrySettings, supervisor::SupervisorSettings};
+use crate::{relay_selector::RetrySettings, supervisor::SupervisorSettings};
 
 /// Settings of an agent's subscription to the relays.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/sablehaven-subscription/src/lease.rs
+++ b/crates/sablehaven-subscription/src/lease.rs
@@ -32,12 +32,12 @@
 impl LeaseState {
     /// Notes a request that is sent after this call; returns its nonce.
     pub fn request(&mut self, now: Duration) -> u64 {
-        self.requests.request(now)
+        self.requests.record_request(now)
     }
 
     /// Takes a grant; `applied_revision` is the revision in force.
     pub fn granted(&mut self, grant: &LeaseGrant, applied_revision: u64, now: Duration) -> Renewal {
-        let answered = self.requests.granted(grant);
+        let answered = self.requests.accept_grant(grant);
         let Some(proof) = answered.filter(|proof| proof.is_valid(now)) else {
             return Renewal::Ignored;
         };
--- a/crates/sablehaven-subscription/src/relay_choice.rs
+++ b/crates/sablehaven-subscription/src/relay_selector.rs
@@ -18,7 +18,7 @@
 
 /// The relays in order of preference, each with its failures. Exponential backoff with jitter.
 #[derive(Debug)]
-pub struct RelayChoice {
+pub struct RelaySelector {
     relays: Vec<RelayHistory>,
     settings: RetrySettings,
     random: StdRng,
@@ -30,7 +30,7 @@
     retry_at: Duration,
 }
 
-impl RelayChoice {
+impl RelaySelector {
     /// A choice among `count` relays; the seed makes the jitter.
     pub fn new(count: usize, settings: RetrySettings, seed: u64) -> Self {
         Self {
--- a/crates/sablehaven-subscription/src/session.rs
+++ b/crates/sablehaven-subscription/src/session.rs
@@ -4,7 +4,7 @@
 
 use sablehaven_types::LedgerReply;
 use sablehaven_wire::{
-    AgentToRelay, Connection, RelayToAgent, Role, StateUpdate, UpdateFit, WireError, connect_from,
+    AgentToRelay, Connection, RelayToAgent, Role, StateUpdate, UpdateCheck, WireError, connect_from,
 };
 use tokio::{
     sync::{mpsc, oneshot},
@@ -216,10 +216,10 @@
     async fn apply(&mut self, update: StateUpdate) -> Result<(), SessionError> {
         let result = self.shared.apply(update);
         match result.fit {
-            UpdateFit::Applies => self.feed_acknowledgement().await?,
-            UpdateFit::Old => return Ok(()),
-            UpdateFit::Gap => self.feed_watch().await?,
-            UpdateFit::Reverted => return Err(SessionError::Reverted { peer: self.peer }),
+            UpdateCheck::Applies => self.feed_acknowledgement().await?,
+            UpdateCheck::Stale => return Ok(()),
+            UpdateCheck::Gap => self.feed_watch().await?,
+            UpdateCheck::Reverted => return Err(SessionError::Reverted { peer: self.peer }),
         }
         self.flush().await?;
         if result.lease_renewed {
--- a/crates/sablehaven-subscription/src/shared.rs
+++ b/crates/sablehaven-subscription/src/shared.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use sablehaven_types::{ConfigurationAge, Observation, ObservationKind};
 use sablehaven_wire::{
-    Hello, LeaseGrant, MonotonicClock, PROTOCOL_VERSION, Role, StateUpdate, UpdateFit,
+    Hello, LeaseGrant, MonotonicClock, PROTOCOL_VERSION, Role, StateUpdate, UpdateCheck,
 };
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 
@@ -52,7 +52,7 @@
 
 /// What became of an update.
 pub(crate) struct UpdateResult {
-    pub(crate) fit: UpdateFit,
+    pub(crate) fit: UpdateCheck,
     pub(crate) lease_renewed: bool,
 }
 
@@ -137,7 +137,7 @@
         let mut core = self.core();
         let fit = core.state.apply(update);
         let mut lease_renewed = false;
-        if fit == UpdateFit::Applies {
+        if fit == UpdateCheck::Applies {
             let revision = core.state.revision();
             lease_renewed = core.lease.applied(revision);
             self.publish(&core);
@@ -198,19 +198,19 @@
         self.metrics.configuration_version.set(version as i64);
     }
 
-    fn count_update(&self, fit: UpdateFit, full: bool) {
+    fn count_update(&self, fit: UpdateCheck, full: bool) {
         match fit {
-            UpdateFit::Applies => {
+            UpdateCheck::Applies => {
                 self.metrics.updates.inc();
                 self.metrics.full_updates.inc_by(u64::from(full));
             }
-            UpdateFit::Gap => {
+            UpdateCheck::Gap => {
                 self.metrics.gaps.inc();
             }
-            UpdateFit::Reverted => {
+            UpdateCheck::Reverted => {
                 self.metrics.reverts_refused.inc();
             }
-            UpdateFit::Old => {}
+            UpdateCheck::Stale => {}
         }
     }
 
--- a/crates/sablehaven-subscription/src/supervisor.rs
+++ b/crates/sablehaven-subscription/src/supervisor.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::relay_choice::{RelayChoice, RetrySettings};
+use crate::relay_selector::{RelaySelector, RetrySettings};
 
 /// Greatest multiple of the wait for a lease that a relay is given after failures.
 const MAXIMUM_WAIT_FACTOR: u32 = 4;
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub struct Supervisor {
     settings: SupervisorSettings,
-    choice: RelayChoice,
+    choice: RelaySelector,
     active: Option<Link>,
     candidate: Option<Link>,
     last_session: SessionId,
@@ -91,7 +91,7 @@
     pub fn new(relays: usize, settings: SupervisorSettings, seed: u64) -> Self {
         Self {
             settings,
-            choice: RelayChoice::new(relays, settings.retry, seed),
+            choice: RelaySelector::new(relays, settings.retry, seed),
             active: None,
             candidate: None,
             last_session: 0,
--- a/crates/sablehaven-subscription/src/view_state.rs
+++ b/crates/sablehaven-subscription/src/view_state.rs
@@ -6,7 +6,7 @@
     BackendId, BackendRecord, BackendState, Observation, ObservationKind, ServiceConfiguration,
     ServiceName,
 };
-use sablehaven_wire::{StateUpdate, UpdateFit};
+use sablehaven_wire::{StateUpdate, UpdateCheck};
 
 use crate::View;
 
@@ -49,10 +49,10 @@
     }
 
     /// Applies one update from a relay, if it fits.
-    pub fn apply(&mut self, update: StateUpdate) -> UpdateFit {
+    pub fn apply(&mut self, update: StateUpdate) -> UpdateCheck {
         let committed = &self.committed;
-        let fit = update.fit(committed.revision, committed.configuration_version);
-        if fit != UpdateFit::Applies {
+        let fit = update.check(committed.revision, committed.configuration_version);
+        if fit != UpdateCheck::Applies {
             return fit;
         }
         if update.full {
@@ -60,7 +60,7 @@
         }
         self.apply_changes(update);
         self.drop_answered_hints();
-        UpdateFit::Applies
+        UpdateCheck::Applies
     }
 
     /// Lays an observation over the state; returns whether the view changed.
--- a/crates/sablehaven-subscription/tests/supervisor.rs
+++ b/crates/sablehaven-subscription/tests/supervisor.rs
@@ -4,7 +4,7 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use sablehaven_subscription::{
-    Action, LeaseHealth, RelayChoice, RetrySettings, SessionId, Supervisor, SupervisorSettings,
+    Action, LeaseHealth, RelaySelector, RetrySettings, SessionId, Supervisor, SupervisorSettings,
 };
 
 const SETTINGS: SupervisorSettings = SupervisorSettings {
@@ -164,7 +164,7 @@
 
 #[test]
 fn backoff_doubles_up_to_its_limit_and_ends_with_a_success() {
-    let mut choice = RelayChoice::new(1, SETTINGS.retry, 3);
+    let mut choice = RelaySelector::new(1, SETTINGS.retry, 3);
     let mut waits = Vec::new();
     for _ in 0..12 {
         choice.failed(0, Duration::ZERO);
--- a/crates/sablehaven-subscription/tests/view_state.rs
+++ b/crates/sablehaven-subscription/tests/view_state.rs
@@ -8,7 +8,7 @@
     BackendRecord, BackendState, IndexSnapshot, Observation, ObservationKind, Placement,
     ServiceConfiguration, SnapshotId,
 };
-use sablehaven_wire::{StateUpdate, UpdateFit};
+use sablehaven_wire::{StateUpdate, UpdateCheck};
 
 const SERVICE: &str = "stock.Search";
 const LIFETIME: Duration = Duration::from_secs(30);
@@ -85,7 +85,7 @@
         record("depot-2", 1, BackendState::Live),
         record("depot-1", 1, BackendState::Live),
     ];
-    assert_eq!(state.apply(full(10, &records)), UpdateFit::Applies);
+    assert_eq!(state.apply(full(10, &records)), UpdateCheck::Applies);
     state
 }
 
@@ -104,10 +104,10 @@
 fn updates_that_do_not_fit_change_nothing() {
     let mut state = with_two_backends();
     let before = state.view();
-    assert_eq!(state.apply(full(10, &[])), UpdateFit::Old);
-    assert_eq!(state.apply(full(9, &[])), UpdateFit::Old);
-    assert_eq!(state.apply(delta(9, 12, &[])), UpdateFit::Gap);
-    assert_eq!(state.apply(delta(11, 12, &[])), UpdateFit::Gap);
+    assert_eq!(state.apply(full(10, &[])), UpdateCheck::Stale);
+    assert_eq!(state.apply(full(9, &[])), UpdateCheck::Stale);
+    assert_eq!(state.apply(delta(9, 12, &[])), UpdateCheck::Gap);
+    assert_eq!(state.apply(delta(11, 12, &[])), UpdateCheck::Gap);
     assert_eq!(state.view(), before);
 }
 
@@ -116,7 +116,7 @@
     let mut state = with_two_backends();
     let mut update = full(11, &[]);
     update.configuration_version = 0;
-    assert_eq!(state.apply(update), UpdateFit::Reverted);
+    assert_eq!(state.apply(update), UpdateCheck::Reverted);
     assert_eq!(state.configuration_version(), 1);
 }
 
@@ -126,7 +126,7 @@
     let mut update = delta(10, 11, &[record("depot-3", 1, BackendState::Live)]);
     update.backends.insert("depot-1".into(), None);
     update.services.insert(SERVICE.into(), None);
-    assert_eq!(state.apply(update), UpdateFit::Applies);
+    assert_eq!(state.apply(update), UpdateCheck::Applies);
     assert_eq!(state_of(&state, "depot-1"), None);
     assert_eq!(state_of(&state, "depot-3"), Some(BackendState::Live));
     assert!(state.view().services.is_empty());
@@ -137,7 +137,7 @@
     let mut state = with_two_backends();
     let mut moved = record("depot-1", 2, BackendState::Live);
     moved.service = "stock.Reserve".into();
-    assert_eq!(state.apply(delta(10, 11, &[moved])), UpdateFit::Applies);
+    assert_eq!(state.apply(delta(10, 11, &[moved])), UpdateCheck::Applies);
     assert_eq!(state_of(&state, "depot-1"), None);
     assert_eq!(state.view().backends[&"stock.Reserve".into()].len(), 1);
 }
@@ -229,7 +229,7 @@
             let after = (state.revision(), state.configuration_version());
             prop_assert!(after.0 >= before.0 && after.1 >= before.1);
             match applied {
-                UpdateFit::Applies => {
+                UpdateCheck::Applies => {
                     prop_assert_eq!(state.revision(), revision);
                     let view = state.view();
                     let shown = &view.backends[&SERVICE.into()][0];
--- a/crates/sablehaven-wire/src/patience.rs
+++ b/crates/sablehaven-wire/src/connect_timeout.rs
@@ -14,11 +14,11 @@
 /// How long the next attempt to connect to one peer is waited for: longer after each one that had no
 /// answer in time, so that a slow peer is reached in the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DialPatience {
+pub struct ConnectTimeout {
     next: Duration,
 }
 
-impl Default for DialPatience {
+impl Default for ConnectTimeout {
     fn default() -> Self {
         Self {
             next: FIRST_PATIENCE,
@@ -26,7 +26,7 @@
     }
 }
 
-impl DialPatience {
+impl ConnectTimeout {
     /// The time for the next attempt.
     pub fn limit(&self) -> Duration {
         self.next
--- a/crates/sablehaven-wire/src/lease.rs
+++ b/crates/sablehaven-wire/src/lease.rs
@@ -49,7 +49,7 @@
     ///
     /// The call must come before the message is written: a moment taken later would let the lease
     /// outlast the proof.
-    pub fn request(&mut self, now: Duration) -> u64 {
+    pub fn record_request(&mut self, now: Duration) -> u64 {
         self.last_nonce += 1;
         if self.open.len() == MAXIMUM_OPEN_REQUESTS {
             self.open.pop_front();
@@ -62,7 +62,7 @@
     }
 
     /// The proof in a grant, or `None` when the grant answers no open request.
-    pub fn granted(&mut self, grant: &LeaseGrant) -> Option<LeaseProof> {
+    pub fn accept_grant(&mut self, grant: &LeaseGrant) -> Option<LeaseProof> {
         let position = self
             .open
             .iter()
@@ -114,7 +114,7 @@
     ///
     /// The asker sent its request before `received_at`, so counting the age up to that moment is
     /// enough; it is rounded up to whole milliseconds.
-    pub fn pass_on(&self, nonce: u64, received_at: Duration) -> LeaseGrant {
+    pub fn to_grant(&self, nonce: u64, received_at: Duration) -> LeaseGrant {
         let age = self.age(received_at);
         LeaseGrant {
             nonce,
--- a/crates/sablehaven-wire/src/lib.rs
+++ b/crates/sablehaven-wire/src/lib.rs
@@ -4,15 +4,16 @@
 //! length and one `rmp-serde` value.
 
 mod clock;
+mod connect_timeout;
 mod connection;
 mod encoded;
 mod frame_queue;
 mod lease;
 mod message;
-mod patience;
 mod suspension_clock;
 
 pub use clock::MonotonicClock;
+pub use connect_timeout::ConnectTimeout;
 pub use connection::{
     Connection, FrameReader, FrameWriter, MAXIMUM_FRAME_BYTES, MAXIMUM_HELLO_BYTES,
     PROTOCOL_VERSION, WireError, accept, connect, connect_from,
@@ -22,7 +23,6 @@
 pub use message::{
     AgentStatus, AgentToRelay, ControlToGateway, ControlToRelay, DeploymentMembers, GatewayLoad,
     GatewayStatus, GatewayToControl, Hello, LeaseGrant, PeerMessage, RelayToAgent, RelayToControl,
-    Role, StateUpdate, StateVersions, UpdateFit,
+    Role, StateUpdate, StateVersions, UpdateCheck,
 };
-pub use patience::DialPatience;
-pub use suspension_clock::{AgeClock, SuspensionClock};
+pub use suspension_clock::{BootTimeClock, SuspendAwareClock};
--- a/crates/sablehaven-wire/src/message.rs
+++ b/crates/sablehaven-wire/src/message.rs
@@ -64,11 +64,11 @@
 
 /// Whether a receiver may apply an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpdateFit {
+pub enum UpdateCheck {
     /// It leads forward from the receiver's state.
     Applies,
     /// Its revision is not larger than the receiver's; to be ignored.
-    Old,
+    Stale,
     /// It starts from another revision than the receiver's; to be asked for again.
     Gap,
     /// Its revision is larger, but its configuration version is smaller: the sender is faulty.
@@ -77,17 +77,17 @@
 
 impl StateUpdate {
     /// Whether a receiver at the given revision and configuration version may apply this update.
-    pub fn fit(&self, revision: u64, configuration_version: u64) -> UpdateFit {
+    pub fn check(&self, revision: u64, configuration_version: u64) -> UpdateCheck {
         if self.revision <= revision {
-            return UpdateFit::Old;
+            return UpdateCheck::Stale;
         }
         if self.configuration_version < configuration_version {
-            return UpdateFit::Reverted;
+            return UpdateCheck::Reverted;
         }
         if !self.full && self.from_revision != revision {
-            return UpdateFit::Gap;
+            return UpdateCheck::Gap;
         }
-        UpdateFit::Applies
+        UpdateCheck::Applies
     }
 }
 
--- a/crates/sablehaven-wire/src/suspension_clock.rs
+++ b/crates/sablehaven-wire/src/suspension_clock.rs
@@ -8,7 +8,7 @@
 use nix::time::{ClockId, clock_gettime};
 
 /// A steady clock that goes on while the machine is suspended, so that what held before is not taken to hold after.
-pub trait AgeClock {
+pub trait SuspendAwareClock {
     /// The time since any fixed point.
     fn now(&self) -> Duration;
 }
@@ -16,12 +16,12 @@
 /// The system's clock of the time since its start, suspension included. Where the system has none, the steady time since
 /// the start of the process.
 #[derive(Debug)]
-pub struct SuspensionClock {
+pub struct BootTimeClock {
     started_at: Instant,
     is_refused: AtomicBool,
 }
 
-impl Default for SuspensionClock {
+impl Default for BootTimeClock {
     fn default() -> Self {
         Self {
             started_at: Instant::now(),
@@ -30,7 +30,7 @@
     }
 }
 
-impl AgeClock for SuspensionClock {
+impl SuspendAwareClock for BootTimeClock {
     fn now(&self) -> Duration {
         if !self.is_refused.load(Ordering::Relaxed) {
             match clock_gettime(ClockId::CLOCK_BOOTTIME) {
--- a/crates/sablehaven-wire/tests/patience.rs
+++ b/crates/sablehaven-wire/tests/connect_timeout.rs
@@ -5,11 +5,11 @@
     time::Duration,
 };
 
-use sablehaven_wire::DialPatience;
+use sablehaven_wire::ConnectTimeout;
 
 #[tokio::test(start_paused = true)]
 async fn patience_grows_while_nobody_answers_and_starts_over_with_an_answer() {
-    let mut patience = DialPatience::default();
+    let mut patience = ConnectTimeout::default();
     let first = patience.limit();
     assert_eq!(patience.attempt(pending::<()>()).await, None);
     assert_eq!(patience.limit(), first * 2);
@@ -19,7 +19,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn patience_has_an_end() {
-    let mut patience = DialPatience::default();
+    let mut patience = ConnectTimeout::default();
     for _ in 0..10 {
         assert_eq!(patience.attempt(pending::<()>()).await, None);
     }
--- a/crates/sablehaven-wire/tests/lease.rs
+++ b/crates/sablehaven-wire/tests/lease.rs
@@ -23,9 +23,9 @@
 
 fn proof(sent_at: Duration, age_ms: u64) -> LeaseProof {
     let mut requests = LeaseRequests::default();
-    let nonce = requests.request(sent_at);
+    let nonce = requests.record_request(sent_at);
     requests
-        .granted(&grant(nonce, age_ms))
+        .accept_grant(&grant(nonce, age_ms))
         .expect("an open request")
 }
 
@@ -41,26 +41,29 @@
 #[test]
 fn a_grant_without_its_request_counts_for_nothing() {
     let mut requests = LeaseRequests::default();
-    let nonce = requests.request(milliseconds(1));
-    assert!(requests.granted(&grant(nonce + 1, 0)).is_none());
-    assert!(requests.granted(&grant(nonce, 0)).is_some());
-    assert!(requests.granted(&grant(nonce, 0)).is_none(), "a duplicate");
+    let nonce = requests.record_request(milliseconds(1));
+    assert!(requests.accept_grant(&grant(nonce + 1, 0)).is_none());
+    assert!(requests.accept_grant(&grant(nonce, 0)).is_some());
+    assert!(
+        requests.accept_grant(&grant(nonce, 0)).is_none(),
+        "a duplicate"
+    );
 }
 
 #[test]
 fn requests_without_answers_are_bounded() {
     let mut requests = LeaseRequests::default();
-    let first = requests.request(milliseconds(0));
+    let first = requests.record_request(milliseconds(0));
     for at in 1..100 {
-        requests.request(milliseconds(at));
+        requests.record_request(milliseconds(at));
     }
-    assert!(requests.granted(&grant(first, 0)).is_none());
+    assert!(requests.accept_grant(&grant(first, 0)).is_none());
 }
 
 #[test]
 fn an_old_proof_passed_on_gains_no_time() {
     let held = proof(milliseconds(5_000), 100);
-    let passed = held.pass_on(1, milliseconds(7_000));
+    let passed = held.to_grant(1, milliseconds(7_000));
     assert_eq!(passed.age_ms, 2_100);
     assert_eq!(passed.duration_ms, DURATION_MS);
 }
@@ -97,15 +100,15 @@
         let proof_made = relay_sent + to_leader;
         let relay_has_it = proof_made + from_leader;
         let mut relay = LeaseRequests::default();
-        let nonce = relay.request(milliseconds(relay_clock + relay_sent));
-        let held = relay.granted(&grant(nonce, 0)).expect("open");
+        let nonce = relay.record_request(milliseconds(relay_clock + relay_sent));
+        let held = relay.accept_grant(&grant(nonce, 0)).expect("open");
 
         let relay_receives = relay_has_it + wait_at_relay;
         let agent_sent = relay_receives.saturating_sub(to_relay);
         let mut agent = LeaseRequests::default();
-        let nonce = agent.request(milliseconds(agent_clock + agent_sent));
-        let passed = held.pass_on(nonce, milliseconds(relay_clock + relay_receives));
-        let lease = agent.granted(&passed).expect("open");
+        let nonce = agent.record_request(milliseconds(agent_clock + agent_sent));
+        let passed = held.to_grant(nonce, milliseconds(relay_clock + relay_receives));
+        let lease = agent.accept_grant(&passed).expect("open");
 
         let looked_at = relay_receives + from_relay + later;
         if lease.is_valid(milliseconds(agent_clock + looked_at)) {
