--- a/crates/sablehaven-subscription/src/config.rs
+++ b/crates/sablehaven-subscription/src/config.rs
@@ -14,38 +14,38 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// The relays' internal addresses, the near zone's first.
+    /// The internal addresses of the relays, those in the nearest zone first.
     pub relays: Vec<SocketAddr>,
-    /// The deployment; the agent copies its own here, so it is no setting of its own.
+    /// The deployment. Not a setting of the subscription: the agent sets it to its own deployment.
     #[serde(skip)]
     pub deployment: String,
-    /// The IP number from which connections are made; the agent copies its own here.
+    /// The local IP address for connections. The agent sets it to its own setting.
     #[serde(skip)]
     pub connect_from: Option<IpAddr>,
-    /// Time between two requests for a lease, in milliseconds.
+    /// Interval between two lease requests, in milliseconds.
     pub lease_request_interval_ms: u64,
-    /// How long a relay may take to give a usable lease before another one is tried, in
+    /// How long a relay may take to grant a valid lease before another relay is tried, in
     /// milliseconds.
     pub lease_wait_ms: u64,
-    /// Least time before a relay that failed is tried again, in milliseconds; doubles with each
+    /// Minimum delay before a failed relay is tried again, in milliseconds. The delay doubles with each
     /// failure.
     pub retry_minimum_ms: u64,
-    /// Greatest time before a relay that failed is tried again, in milliseconds.
+    /// Maximum delay before a failed relay is tried again, in milliseconds.
     pub retry_maximum_ms: u64,
-    /// After a relay was lost, the next one is asked after a random part of this time, in
-    /// milliseconds, so that a relay's agents do not all arrive at once.
+    /// Maximum random delay before connecting to another relay after a connection is lost, in
+    /// milliseconds. It keeps the agents of a failed relay from all connecting at once.
     pub failover_jitter_ms: u64,
-    /// Time after which an agent on a farther relay tries a nearer one, in milliseconds; half of it
-    /// is random.
+    /// Maximum time after which an agent on a more distant relay tries a nearer one, in milliseconds.
+    /// The second half of the time is random.
     pub return_interval_ms: u64,
-    /// Least time between two reports of observations, in milliseconds.
+    /// Minimum interval between two reports of observations, in milliseconds.
     pub observation_interval_ms: u64,
-    /// How long another agent's word that a back end drains counts without control's, in
-    /// milliseconds.
+    /// How long an agent's report that a back end is draining is used without confirmation by control,
+    /// in milliseconds.
     pub hint_lifetime_ms: u64,
-    /// Ledger calls that may wait for an answer at the same time; more are refused at once.
+    /// Maximum number of concurrent ledger calls. Further calls are rejected immediately.
     pub maximum_ledger_calls: u32,
-    /// When a caller may come back after a ledger call that had no answer, in milliseconds.
+    /// The retry delay that a caller is given after a ledger call without an answer, in milliseconds.
     pub ledger_retry_after_ms: u64,
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl Config {
-    /// Every setting that cannot be used; `prefix` is the settings' path, such as
+    /// Returns an error for each invalid setting. `prefix` is the path of these settings, such as
     /// `agent.subscription`.
     pub fn validate(&self, prefix: &str) -> Vec<SettingError> {
         let mut checks = SettingChecks::new(prefix);
--- a/crates/sablehaven-subscription/src/lease.rs
+++ b/crates/sablehaven-subscription/src/lease.rs
@@ -1,80 +1,87 @@
-//! Whether the state in force is proved to be current.
+//! The agent's lease: a proof that the state in force is current.
 
 use std::time::Duration;
 
 use sablehaven_types::ConfigurationAge;
 use sablehaven_wire::{LeaseGrant, LeaseProof, LeaseRequests};
 
-/// Proofs kept while their revision is not applied yet.
-const MAXIMUM_WAITING_PROOFS: usize = 8;
+/// Maximum number of proofs kept until their revision has been applied.
+const MAXIMUM_PENDING_PROOFS: usize = 8;
 
-/// What a grant did.
+/// The effect of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewal {
-    /// The lease lasts longer than before.
+    /// The grant extended the lease.
     Renewed,
-    /// It proves that the state in force is current, but the lease held lasts longer.
+    /// The grant proves that the state in force is current, but the held lease expires later.
     Confirmed,
-    /// The grant counts once its revision has been applied.
-    WaitsForRevision,
-    /// It answers no open request, or has run out.
+    /// The grant takes effect once its revision has been applied.
+    AwaitingRevision,
+    /// The grant answers no pending request, or has already expired.
     Ignored,
 }
 
-/// The lease of an agent. Times are durations since an arbitrary start of the agent's clock.
+/// The lease of an agent. Times are durations since an arbitrary starting point of the agent's clock.
 #[derive(Debug, Default)]
 pub struct LeaseState {
     requests: LeaseRequests,
     held: Option<LeaseProof>,
-    waiting: Vec<LeaseProof>,
+    pending: Vec<LeaseProof>,
 }
 
 impl LeaseState {
-    /// Notes a request that is sent after this call; returns its nonce.
-    pub fn request(&mut self, now: Duration) -> u64 {
+    /// Records a request that is about to be sent. Returns its nonce. Must be called before the request is
+    /// written; see [`LeaseRequests::record_request`].
+    pub fn record_request(&mut self, now: Duration) -> u64 {
         self.requests.record_request(now)
     }
 
-    /// Takes a grant; `applied_revision` is the revision in force.
-    pub fn granted(&mut self, grant: &LeaseGrant, applied_revision: u64, now: Duration) -> Renewal {
+    /// Processes a grant. `applied_revision` is the revision in force.
+    pub fn accept_grant(
+        &mut self,
+        grant: &LeaseGrant,
+        applied_revision: u64,
+        now: Duration,
+    ) -> Renewal {
         let answered = self.requests.accept_grant(grant);
         let Some(proof) = answered.filter(|proof| proof.is_valid(now)) else {
             return Renewal::Ignored;
         };
         if proof.revision > applied_revision {
-            self.keep_waiting(proof);
-            return Renewal::WaitsForRevision;
+            self.add_pending(proof);
+            return Renewal::AwaitingRevision;
         }
-        self.hold(proof)
+        self.replace_if_newer(proof)
     }
 
-    /// Counts the proofs whose revision is applied now; returns whether the lease lasts longer.
-    pub fn applied(&mut self, revision: u64) -> bool {
-        let waiting = std::mem::take(&mut self.waiting);
-        let (usable, waiting): (Vec<_>, Vec<_>) = waiting
+    /// Uses the pending proofs up to `revision`, which has been applied. Returns whether this extended
+    /// the lease.
+    pub fn revision_applied(&mut self, revision: u64) -> bool {
+        let pending = std::mem::take(&mut self.pending);
+        let (usable, pending): (Vec<_>, Vec<_>) = pending
             .into_iter()
             .partition(|proof| proof.revision <= revision);
-        self.waiting = waiting;
-        let renewals = usable.into_iter().map(|proof| self.hold(proof));
+        self.pending = pending;
+        let renewals = usable.into_iter().map(|proof| self.replace_if_newer(proof));
         renewals.fold(false, |renewed, renewal| {
             renewed | (renewal == Renewal::Renewed)
         })
     }
 
-    /// Time until the lease ends; zero without one.
+    /// Returns the time until the lease expires, or zero if there is none.
     pub fn remaining(&self, now: Duration) -> Duration {
         self.held
             .map_or(Duration::ZERO, |proof| proof.remaining(now))
     }
 
-    /// The lease's whole duration; zero before the first one.
+    /// Returns the total duration of the lease, or zero before the first one.
     pub fn duration(&self) -> Duration {
         self.held
             .map_or(Duration::ZERO, |proof| proof.usable_duration())
     }
 
-    /// What answers state about the configuration of the given version. The age is `u64::MAX` while
-    /// the version was never proved to be current.
+    /// Returns what replies state about the age of the configuration with the given version. The age
+    /// is `u64::MAX` until the configuration has been proved to be current for the first time.
     pub fn configuration_age(&self, version: u64, now: Duration) -> ConfigurationAge {
         let age_ms = self
             .held
@@ -86,7 +93,7 @@
         }
     }
 
-    fn hold(&mut self, proof: LeaseProof) -> Renewal {
+    fn replace_if_newer(&mut self, proof: LeaseProof) -> Renewal {
         if self.held.is_some_and(|held| !proof.is_newer_than(&held)) {
             return Renewal::Confirmed;
         }
@@ -94,10 +101,10 @@
         Renewal::Renewed
     }
 
-    fn keep_waiting(&mut self, proof: LeaseProof) {
-        if self.waiting.len() == MAXIMUM_WAITING_PROOFS {
-            self.waiting.remove(0);
+    fn add_pending(&mut self, proof: LeaseProof) {
+        if self.pending.len() == MAXIMUM_PENDING_PROOFS {
+            self.pending.remove(0);
         }
-        self.waiting.push(proof);
+        self.pending.push(proof);
     }
 }
--- a/crates/sablehaven-subscription/src/lib.rs
+++ b/crates/sablehaven-subscription/src/lib.rs
@@ -1,8 +1,9 @@
 //! An agent's connection to the relays: configuration view, lease and ledger calls.
 //!
-//! The decisions are pure state machines with the time passed in: [`ViewState`] (what state is in
-//! force), [`LeaseState`] (whether it is proved to be current), [`Supervisor`] (which relay to use)
-//! and [`ObservationBuffer`] (what to report). [`Subscription`] runs them over sockets.
+//! The logic is in state machines without I/O that get the current time as a parameter: [`ViewState`]
+//! (the state in force), [`LeaseState`] (whether that state is proved to be current), [`Supervisor`]
+//! (which relay to use) and [`ObservationBuffer`] (which observations to report). [`Subscription`] runs
+//! them over network connections.
 
 mod config;
 mod lease;
--- a/crates/sablehaven-subscription/src/manager.rs
+++ b/crates/sablehaven-subscription/src/manager.rs
@@ -1,4 +1,4 @@
-//! Runs the supervisor's decisions over sessions.
+//! Opens, activates and closes relay sessions as the supervisor decides.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -15,15 +15,16 @@
     shared::{ActiveSession, LedgerCall, Shared},
 };
 
-/// Commands that wait for a session at most.
+/// Maximum number of queued commands per session.
 const COMMAND_CAPACITY: usize = 8;
 
-/// Longest sleep of the manager.
-const LONGEST_SLEEP: Duration = Duration::from_secs(60);
+/// Maximum time between two ticks of the supervisor.
+const MAXIMUM_SLEEP: Duration = Duration::from_secs(60);
 
-/// Time that a planned stop waits for the goodbye to be written.
-const LEAVE_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout for sending the `Leave` message when the subscription stops.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// Runs the sessions of one subscription.
 pub(crate) struct Manager {
     shared: Arc<Shared>,
     supervisor: Supervisor,
@@ -32,6 +33,7 @@
     event_sender: mpsc::UnboundedSender<(SessionId, SessionEvent)>,
 }
 
+/// The manager's end of a session. Dropping it aborts the session.
 struct SessionHandle {
     commands: mpsc::Sender<SessionCommand>,
     calls: mpsc::Sender<LedgerCall>,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Runs until the subscription stops.
+    /// Runs until `stop` is cancelled.
     pub(crate) async fn run(mut self, stop: CancellationToken) {
         loop {
             self.tick();
@@ -69,25 +71,27 @@
                 () = stop.cancelled() => break,
             }
         }
-        self.leave().await;
+        self.send_leave().await;
     }
 
+    /// Drops expired hints and runs the supervisor.
     fn tick(&mut self) {
         self.shared.expire_hints();
         let now = self.shared.clock.now();
         let actions = self.supervisor.tick(now, self.shared.lease_health());
-        self.carry_out(actions);
+        self.perform(actions);
     }
 
+    /// Returns when [`Self::tick`] must be called next.
     fn wake_at(&self) -> Duration {
         let now = self.shared.clock.now();
         let lease = self.shared.lease_health();
-        let wake_at = self.supervisor.wake_at(now, lease);
-        let hint_at = self.shared.next_hint_expiry();
-        let soonest = [wake_at, hint_at].into_iter().flatten().min();
-        soonest
-            .unwrap_or(now + LONGEST_SLEEP)
-            .min(now + LONGEST_SLEEP)
+        let supervisor_at = self.supervisor.wake_at(now, lease);
+        let hint_expires_at = self.shared.next_hint_expiry();
+        let earliest = [supervisor_at, hint_expires_at].into_iter().flatten().min();
+        earliest
+            .unwrap_or(now + MAXIMUM_SLEEP)
+            .min(now + MAXIMUM_SLEEP)
     }
 
     fn on_event(&mut self, session: SessionId, event: SessionEvent) {
@@ -99,27 +103,27 @@
             SessionEvent::Ended(result) => {
                 if let Err(error) = result {
                     self.shared.metrics.session_errors.inc();
-                    log::warn!("relay session {session} ended: {error}");
+                    log::warn!("relay session {session} failed: {error}");
                 }
-                self.forget(session);
+                self.remove_session(session);
                 self.supervisor.ended(session, now)
             }
         };
-        self.carry_out(actions);
+        self.perform(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Open { session, relay } => self.open(session, relay),
-                Action::Activate(session) => self.activate(session),
-                Action::Drain(session) => self.command(session, SessionCommand::Drain),
-                Action::Close(session) => self.forget(session),
+                Action::Open { session, relay } => self.open_session(session, relay),
+                Action::Activate(session) => self.activate_session(session),
+                Action::Drain(session) => self.send_command(session, SessionCommand::Drain),
+                Action::Close(session) => self.remove_session(session),
             }
         }
     }
 
-    fn open(&mut self, session: SessionId, relay: usize) {
+    fn open_session(&mut self, session: SessionId, relay: usize) {
         let Some(&address) = self.shared.config.relays.get(relay) else {
             return;
         };
@@ -141,7 +145,7 @@
         self.sessions.insert(session, handle);
     }
 
-    fn activate(&mut self, session: SessionId) {
+    fn activate_session(&mut self, session: SessionId) {
         let Some(handle) = self.sessions.get(&session) else {
             return;
         };
@@ -151,21 +155,22 @@
         };
         self.shared.active.send_replace(Some(active));
         self.shared.metrics.relay_changes.inc();
-        self.command(session, SessionCommand::Activate);
+        self.send_command(session, SessionCommand::Activate);
     }
 
-    /// A session whose queue of commands is full takes nothing more; it is ended.
-    fn command(&mut self, session: SessionId, command: SessionCommand) {
+    /// Sends a command to a session. A session whose command queue is full does not respond and is
+    /// ended.
+    fn send_command(&mut self, session: SessionId, command: SessionCommand) {
         let Some(handle) = self.sessions.get(&session) else {
             return;
         };
         if handle.commands.try_send(command).is_err() {
-            self.forget(session);
+            self.remove_session(session);
         }
     }
 
-    /// Ends a session; its ledger calls end without an answer.
-    fn forget(&mut self, session: SessionId) {
+    /// Ends a session. Its pending ledger calls fail as unavailable.
+    fn remove_session(&mut self, session: SessionId) {
         self.sessions.remove(&session);
         self.shared.active.send_if_modified(|active| {
             let was_active = active
@@ -178,13 +183,14 @@
         });
     }
 
-    /// Says goodbye, so that nobody waits for this agent any more.
-    async fn leave(mut self) {
+    /// Tells the active relay that the agent is stopping, so that nothing waits for its
+    /// acknowledgements, and waits until the message is sent.
+    async fn send_leave(mut self) {
         let active = self.shared.active.borrow().clone();
         let Some(session) = active.map(|active| active.session) else {
             return;
         };
-        self.command(session, SessionCommand::Leave);
+        self.send_command(session, SessionCommand::Leave);
         let ended = async {
             while let Some((ended, event)) = self.events.recv().await {
                 if ended == session && matches!(event, SessionEvent::Ended(_)) {
@@ -192,8 +198,8 @@
                 }
             }
         };
-        // Without a goodbye the relay forgets the agent a little later.
-        let _ = timeout(LEAVE_LIMIT, ended).await;
-        self.forget(session);
+        // If the message is not sent, the relay still removes the agent, but later.
+        let _ = timeout(LEAVE_TIMEOUT, ended).await;
+        self.remove_session(session);
     }
 }
--- a/crates/sablehaven-subscription/src/metrics.rs
+++ b/crates/sablehaven-subscription/src/metrics.rs
@@ -1,43 +1,43 @@
-//! Counters of a subscription.
+//! Metrics of a subscription.
 
 use prometheus_client::metrics::{counter::Counter, gauge::Gauge};
 use sablehaven_telemetry::Telemetry;
 
-/// Counters of a subscription; clones share the values.
+/// Metrics of a subscription. Clones share their values.
 #[derive(Clone, Debug, Default)]
 pub struct SubscriptionMetrics {
     /// Updates applied.
     pub updates: Counter,
     /// Full updates applied.
     pub full_updates: Counter,
-    /// Updates that did not fit, after which the agent asked again.
+    /// Updates based on another revision than the agent's, after which the agent requested a new one.
     pub gaps: Counter,
-    /// Updates refused because they would go back to an older configuration.
+    /// Updates rejected because they would revert to an older configuration.
     pub reverts_refused: Counter,
     /// Lease renewals.
     pub lease_renewals: Counter,
-    /// Changes of the relay.
+    /// Activations of a session with a relay, including the first one.
     pub relay_changes: Counter,
     /// Sessions that ended with an error.
     pub session_errors: Counter,
-    /// Hints taken from other agents.
+    /// Hints applied, including those from this agent's own observations.
     pub hints: Counter,
     /// Ledger calls.
     pub ledger_calls: Counter,
-    /// Ledger calls without an answer.
+    /// Ledger calls that ended without an answer.
     pub ledger_unavailable: Counter,
-    /// Bytes received from relays, frames' lengths included.
+    /// Bytes received from relays, including the length headers of frames.
     pub received_bytes: Counter,
-    /// Bytes sent to relays, frames' lengths included.
+    /// Bytes sent to relays, including the length headers of frames.
     pub sent_bytes: Counter,
     /// The revision in force.
     pub revision: Gauge,
-    /// The version of the configuration in force.
+    /// The configuration version in force.
     pub configuration_version: Gauge,
 }
 
 impl SubscriptionMetrics {
-    /// Shows the metrics on the process's metrics page.
+    /// Registers the metrics with the metrics endpoint of the process.
     pub fn register(&self, telemetry: &Telemetry) {
         telemetry.register(|registry| {
             let registry = registry.sub_registry_with_prefix("subscription");
@@ -46,24 +46,32 @@
             };
             counter("updates", "Updates applied", &self.updates);
             counter("full_updates", "Full updates applied", &self.full_updates);
-            counter("gaps", "Updates that did not fit", &self.gaps);
+            counter(
+                "gaps",
+                "Updates based on another revision than the agent's",
+                &self.gaps,
+            );
             counter(
                 "reverts_refused",
-                "Updates refused because they would go back",
+                "Updates rejected because they would revert to an older configuration",
                 &self.reverts_refused,
             );
             counter("lease_renewals", "Lease renewals", &self.lease_renewals);
-            counter("relay_changes", "Changes of the relay", &self.relay_changes);
+            counter(
+                "relay_changes",
+                "Activations of a session with a relay",
+                &self.relay_changes,
+            );
             counter(
                 "session_errors",
                 "Sessions that ended with an error",
                 &self.session_errors,
             );
-            counter("hints", "Hints taken from other agents", &self.hints);
+            counter("hints", "Hints that back ends are draining", &self.hints);
             counter("ledger_calls", "Ledger calls", &self.ledger_calls);
             counter(
                 "ledger_unavailable",
-                "Ledger calls without an answer",
+                "Ledger calls that ended without an answer",
                 &self.ledger_unavailable,
             );
             counter(
@@ -75,7 +83,7 @@
             registry.register("revision", "Revision in force", self.revision.clone());
             registry.register(
                 "configuration_version",
-                "Version of the configuration in force",
+                "Configuration version in force",
                 self.configuration_version.clone(),
             );
         });
--- a/crates/sablehaven-subscription/src/observations.rs
+++ b/crates/sablehaven-subscription/src/observations.rs
@@ -1,30 +1,31 @@
-//! Gathers what the agent saw of back ends into bounded, rate-limited reports.
+//! Collects the agent's observations of back ends into bounded, rate-limited reports.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use sablehaven_types::{BackendId, Observation, ObservationKind};
 
-/// Back ends with an observation that waits, at most; more are dropped, the router sees them again.
-const MAXIMUM_WAITING: usize = 4_096;
+/// Maximum number of back ends with a pending observation. Further observations are dropped; the
+/// router makes them again.
+const MAXIMUM_PENDING: usize = 4_096;
 
-/// Observations in one report, at most.
-const MAXIMUM_REPORT: usize = 256;
+/// Maximum number of observations in one report.
+const MAXIMUM_REPORT_LENGTH: usize = 256;
 
-/// Observations that wait for the next report; the latest of each back end replaces earlier ones.
+/// Observations pending for the next report. Only one is kept per back end, in general the latest.
 #[derive(Debug)]
 pub struct ObservationBuffer {
     interval: Duration,
-    waiting: BTreeMap<BackendId, Observation>,
+    pending: BTreeMap<BackendId, Observation>,
     next_report_at: Duration,
     dropped: u64,
 }
 
 impl ObservationBuffer {
-    /// An empty buffer that gives a report at most once an `interval`.
+    /// Creates an empty buffer that returns at most one report per `interval`.
     pub fn new(interval: Duration) -> Self {
         Self {
             interval,
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next_report_at: Duration::ZERO,
             dropped: 0,
         }
@@ -32,34 +33,34 @@
 
     /// Adds an observation.
     pub fn add(&mut self, observation: Observation) {
-        if let Some(earlier) = self.waiting.get_mut(&observation.backend) {
-            if replaces(&observation, earlier) {
-                *earlier = observation;
+        if let Some(pending) = self.pending.get_mut(&observation.backend) {
+            if should_replace(&observation, pending) {
+                *pending = observation;
             }
             return;
         }
-        if self.waiting.len() >= MAXIMUM_WAITING {
+        if self.pending.len() >= MAXIMUM_PENDING {
             self.dropped += 1;
             return;
         }
-        self.waiting
+        self.pending
             .insert(observation.backend.clone(), observation);
     }
 
-    /// When the next report is due; `None` while there is nothing to report.
-    pub fn due_at(&self) -> Option<Duration> {
-        (!self.waiting.is_empty()).then_some(self.next_report_at)
+    /// Returns when the next report is due, or `None` if there is nothing to report.
+    pub fn next_due_at(&self) -> Option<Duration> {
+        (!self.pending.is_empty()).then_some(self.next_report_at)
     }
 
-    /// The next report, once it is due.
+    /// Takes the next report. It is empty if no report is due.
     pub fn take(&mut self, now: Duration) -> Vec<Observation> {
-        if self.waiting.is_empty() || now < self.next_report_at {
+        if self.pending.is_empty() || now < self.next_report_at {
             return Vec::new();
         }
         self.next_report_at = now + self.interval;
         let mut report = Vec::new();
-        while report.len() < MAXIMUM_REPORT {
-            match self.waiting.pop_first() {
+        while report.len() < MAXIMUM_REPORT_LENGTH {
+            match self.pending.pop_first() {
                 Some((_, observation)) => report.push(observation),
                 None => break,
             }
@@ -67,14 +68,15 @@
         report
     }
 
-    /// Observations that were dropped because too many waited.
+    /// Returns the number of observations dropped because too many were pending.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 }
 
-/// A server that said it drains keeps that word until it starts again.
-fn replaces(new: &Observation, old: &Observation) -> bool {
+/// Returns whether `new` replaces the pending observation `old`. An observation that a server is
+/// draining is kept until the server restarts.
+fn should_replace(new: &Observation, old: &Observation) -> bool {
     if new.incarnation != old.incarnation {
         return new.incarnation > old.incarnation;
     }
--- a/crates/sablehaven-subscription/src/session.rs
+++ b/crates/sablehaven-subscription/src/session.rs
@@ -1,4 +1,4 @@
-//! One connection to one relay.
+//! A session: one connection to a relay.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,36 +16,36 @@
     shared::{LedgerCall, Shared},
 };
 
-/// Time that a write may take; a relay that takes no bytes for longer is given up.
+/// Timeout for a write. The session ends if the relay accepts no bytes for this long.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time that a session which sends nothing new waits for answers to its ledger calls.
-const DRAIN_LIMIT: Duration = Duration::from_secs(10);
+/// How long a draining session waits for the replies to its ledger calls.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Ledger calls that are written together at most.
+/// Maximum number of ledger calls that are flushed together.
 const MAXIMUM_CALLS_PER_WRITE: usize = 256;
 
-/// What a session tells the manager.
+/// Events that a session reports to the manager.
 #[derive(Debug)]
 pub(crate) enum SessionEvent {
-    /// The handshake is done.
+    /// The handshake is complete.
     Connected,
-    /// The relay proved that the state in force is current.
+    /// The relay has proved that the state in force is current.
     LeaseRenewed,
-    /// The relay stops.
+    /// The relay is stopping.
     GoAway,
-    /// The session ended; with the error unless it was asked to.
+    /// The session has ended, with an error unless it ended as commanded.
     Ended(Result<(), SessionError>),
 }
 
-/// What the manager tells a session.
+/// Commands from the manager to a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionCommand {
-    /// Observations go by this session.
+    /// Send observations on this session.
     Activate,
-    /// Send nothing new, end once the ledger calls are answered.
+    /// Start nothing new, and end once the ledger calls are answered.
     Drain,
-    /// Tell the relay that the agent stops, and end.
+    /// Tell the relay that the agent is stopping, and end.
     Leave,
 }
 
@@ -54,14 +54,14 @@
 pub(crate) enum SessionError {
     /// {0}
     Wire(#[from] WireError),
-    /// send to relay {peer}: it takes no bytes
+    /// send to relay {peer}: timed out
     SendTimeout {
-        /// The relay.
+        /// The address of the relay.
         peer: SocketAddr,
     },
-    /// receive from relay {peer}: its update would go back to an older configuration
+    /// receive from relay {peer}: update would revert to an older configuration
     Reverted {
-        /// The relay.
+        /// The address of the relay.
         peer: SocketAddr,
     },
 }
@@ -79,22 +79,27 @@
     peer: SocketAddr,
     connection: Connection<RelayToAgent, AgentToRelay>,
     channels: SessionChannels,
-    open_calls: HashMap<u64, oneshot::Sender<LedgerReply>>,
-    last_call: u64,
+    /// The reply channels of the ledger calls that are not answered yet, by call number.
+    pending_calls: HashMap<u64, oneshot::Sender<LedgerReply>>,
+    last_call_number: u64,
     mode: Mode,
-    counted_received: u64,
-    counted_sent: u64,
+    counted_received_bytes: u64,
+    counted_sent_bytes: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
+    /// Not the active session yet.
     Candidate,
+    /// The session that sends new ledger calls and observations.
     Active,
+    /// Waits for the replies to its ledger calls.
     Draining,
+    /// Has sent `Leave` and is about to end.
     Left,
 }
 
-/// Runs one session until it ends; the result is sent as [`SessionEvent::Ended`].
+/// Runs a session until it ends. The result is reported as [`SessionEvent::Ended`].
 pub(crate) async fn run(
     shared: Arc<Shared>,
     id: SessionId,
@@ -103,7 +108,7 @@
 ) {
     let events = channels.events.clone();
     let result = connect_and_serve(shared, id, peer, channels).await;
-    // The manager may be gone already.
+    // The manager may have ended already.
     let _ = events.send((id, SessionEvent::Ended(result)));
 }
 
@@ -126,11 +131,11 @@
         peer,
         connection,
         channels,
-        open_calls: HashMap::new(),
-        last_call: 0,
+        pending_calls: HashMap::new(),
+        last_call_number: 0,
         mode: Mode::Candidate,
-        counted_received: 0,
-        counted_sent: 0,
+        counted_received_bytes: 0,
+        counted_sent_bytes: 0,
     };
     session.serve().await
 }
@@ -141,27 +146,27 @@
         self.feed_watch().await?;
         self.flush().await?;
         let mut lease_timer = self.lease_timer();
-        let drain_limit = Instant::now() + Duration::from_secs(u32::MAX.into());
-        let mut drain_limit = Box::pin(sleep_until(drain_limit));
+        let drain_deadline = Instant::now() + Duration::from_secs(u32::MAX.into());
+        let mut drain_timer = Box::pin(sleep_until(drain_deadline));
         loop {
-            let drained = self.mode == Mode::Draining && self.open_calls.is_empty();
-            if drained || self.mode == Mode::Left {
+            let is_drained = self.mode == Mode::Draining && self.pending_calls.is_empty();
+            if is_drained || self.mode == Mode::Left {
                 return Ok(());
             }
-            let active = self.mode == Mode::Active;
+            let is_active = self.mode == Mode::Active;
             tokio::select! {
                 message = self.connection.reader.receive() => self.handle(message?).await?,
                 command = self.channels.commands.recv() => {
                     let Some(command) = command else { return Ok(()) };
-                    drain_limit.as_mut().reset(Instant::now() + DRAIN_LIMIT);
-                    self.follow(command).await?;
+                    drain_timer.as_mut().reset(Instant::now() + DRAIN_TIMEOUT);
+                    self.handle_command(command).await?;
                 }
                 Some(call) = self.channels.calls.recv(), if self.mode != Mode::Draining => {
                     self.send_calls(call).await?;
                 }
                 _ = lease_timer.tick() => self.on_lease_timer().await?,
-                () = observations_due(&self.shared), if active => self.send_observations().await?,
-                () = &mut drain_limit, if self.mode == Mode::Draining => return Ok(()),
+                () = observations_due(&self.shared), if is_active => self.send_observations().await?,
+                () = &mut drain_timer, if self.mode == Mode::Draining => return Ok(()),
             }
         }
     }
@@ -173,7 +178,7 @@
         timer
     }
 
-    async fn follow(&mut self, command: SessionCommand) -> Result<(), SessionError> {
+    async fn handle_command(&mut self, command: SessionCommand) -> Result<(), SessionError> {
         match command {
             SessionCommand::Activate => self.mode = Mode::Active,
             SessionCommand::Drain => self.start_drain().await?,
@@ -186,7 +191,8 @@
         Ok(())
     }
 
-    /// Calls that were handed to this session before it was replaced are still sent by it.
+    /// Starts draining. Ledger calls that were queued for this session before it was replaced are still
+    /// sent on it.
     async fn start_drain(&mut self) -> Result<(), SessionError> {
         self.channels.calls.close();
         while let Some(call) = self.channels.calls.recv().await {
@@ -199,23 +205,23 @@
     async fn handle(&mut self, message: RelayToAgent) -> Result<(), SessionError> {
         self.count_bytes();
         match message {
-            RelayToAgent::Ledger { call, reply } => self.answer(call, reply),
+            RelayToAgent::Ledger { call, reply } => self.complete_call(call, reply),
             RelayToAgent::GoAway => self.report(SessionEvent::GoAway),
             _ if self.mode == Mode::Draining => {}
             RelayToAgent::Update(update) => self.apply(update).await?,
             RelayToAgent::Lease(grant) => {
-                if self.shared.granted(&grant) {
+                if self.shared.accept_grant(&grant) {
                     self.report(SessionEvent::LeaseRenewed);
                 }
             }
-            RelayToAgent::Hint(observations) => self.shared.hint(&observations),
+            RelayToAgent::Hint(observations) => self.shared.apply_hints(&observations),
         }
         Ok(())
     }
 
     async fn apply(&mut self, update: StateUpdate) -> Result<(), SessionError> {
         let result = self.shared.apply(update);
-        match result.fit {
+        match result.check {
             UpdateCheck::Applies => self.feed_acknowledgement().await?,
             UpdateCheck::Stale => return Ok(()),
             UpdateCheck::Gap => self.feed_watch().await?,
@@ -228,13 +234,14 @@
         Ok(())
     }
 
-    fn answer(&mut self, call: u64, reply: LedgerReply) {
-        if let Some(answer) = self.open_calls.remove(&call) {
-            // The caller may have given up.
-            let _ = answer.send(reply);
+    fn complete_call(&mut self, call: u64, reply: LedgerReply) {
+        if let Some(reply_sender) = self.pending_calls.remove(&call) {
+            // The caller may have stopped waiting.
+            let _ = reply_sender.send(reply);
         }
     }
 
+    /// Sends `first` and the calls queued after it, with one flush.
     async fn send_calls(&mut self, first: LedgerCall) -> Result<(), SessionError> {
         self.feed_call(first).await?;
         for _ in 1..MAXIMUM_CALLS_PER_WRITE {
@@ -248,26 +255,28 @@
 
     async fn feed_call(&mut self, call: LedgerCall) -> Result<(), SessionError> {
         let limit = self.shared.config.maximum_ledger_calls as usize;
-        if call.answer.is_closed() || self.open_calls.len() >= limit {
-            // Dropping the call answers it as unavailable at once.
+        if call.reply_sender.is_closed() || self.pending_calls.len() >= limit {
+            // Dropping the call makes it fail as unavailable immediately.
             return Ok(());
         }
-        self.last_call += 1;
-        self.open_calls.insert(self.last_call, call.answer);
+        self.last_call_number += 1;
+        self.pending_calls
+            .insert(self.last_call_number, call.reply_sender);
         let message = AgentToRelay::Ledger {
-            call: self.last_call,
+            call: self.last_call_number,
             request: call.request,
         };
         self.feed(&message).await
     }
 
     async fn on_lease_timer(&mut self) -> Result<(), SessionError> {
-        self.open_calls.retain(|_, answer| !answer.is_closed());
+        self.pending_calls
+            .retain(|_, reply_sender| !reply_sender.is_closed());
         if self.mode == Mode::Draining {
             return Ok(());
         }
-        // The moment is taken before the write; see `Shared::request_lease`.
-        let nonce = self.shared.request_lease();
+        // The time must be read before the write; see `Shared::record_lease_request`.
+        let nonce = self.shared.record_lease_request();
         self.feed(&AgentToRelay::RequestLease { nonce }).await?;
         self.flush().await
     }
@@ -281,9 +290,9 @@
         self.flush().await
     }
 
-    /// Asks for updates; the relay learns what this agent has in force.
+    /// Requests updates, and tells the relay which state this agent has in force.
     async fn feed_watch(&mut self) -> Result<(), SessionError> {
-        let (revision, version) = self.shared.position();
+        let (revision, version) = self.shared.applied_versions();
         let identity = &self.shared.identity;
         let watch = AgentToRelay::Watch {
             agent: identity.agent.clone(),
@@ -299,7 +308,7 @@
     }
 
     async fn feed_acknowledgement(&mut self) -> Result<(), SessionError> {
-        let (revision, configuration_version) = self.shared.position();
+        let (revision, configuration_version) = self.shared.applied_versions();
         let message = AgentToRelay::Acknowledge {
             revision,
             configuration_version,
@@ -309,16 +318,16 @@
 
     async fn feed(&mut self, message: &AgentToRelay) -> Result<(), SessionError> {
         let sent = timeout(SEND_TIMEOUT, self.connection.writer.feed(message)).await;
-        self.sent(sent)
+        self.check_sent(sent)
     }
 
     async fn flush(&mut self) -> Result<(), SessionError> {
         let sent = timeout(SEND_TIMEOUT, self.connection.writer.flush()).await;
         self.count_bytes();
-        self.sent(sent)
+        self.check_sent(sent)
     }
 
-    fn sent(
+    fn check_sent(
         &self,
         result: Result<Result<(), WireError>, tokio::time::error::Elapsed>,
     ) -> Result<(), SessionError> {
@@ -328,33 +337,34 @@
         }
     }
 
+    /// Adds the bytes transferred since the last call to the metrics.
     fn count_bytes(&mut self) {
         let received = self.connection.reader.received_bytes();
         let sent = self.connection.writer.sent_bytes();
         let metrics = &self.shared.metrics;
         metrics
             .received_bytes
-            .inc_by(received - self.counted_received);
-        metrics.sent_bytes.inc_by(sent - self.counted_sent);
-        self.counted_received = received;
-        self.counted_sent = sent;
+            .inc_by(received - self.counted_received_bytes);
+        metrics.sent_bytes.inc_by(sent - self.counted_sent_bytes);
+        self.counted_received_bytes = received;
+        self.counted_sent_bytes = sent;
     }
 
     fn report(&self, event: SessionEvent) {
-        // The manager may be gone already.
+        // The manager may have ended already.
         let _ = self.channels.events.send((self.id, event));
     }
 }
 
-/// Waits until a report of observations is due. Safe to cancel: nothing is taken.
+/// Waits until a report of observations is due. Cancel safe: no observations are taken.
 async fn observations_due(shared: &Shared) {
     loop {
         match shared.observations_due_at() {
-            Some(due) => {
-                sleep_until(shared.clock.instant(due)).await;
+            Some(due_at) => {
+                sleep_until(shared.clock.instant(due_at)).await;
                 return;
             }
-            None => shared.observed.notified().await,
+            None => shared.observation_added.notified().await,
         }
     }
 }
--- a/crates/sablehaven-subscription/src/shared.rs
+++ b/crates/sablehaven-subscription/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the sessions, the manager and the callers of one subscription share.
+//! State shared by the sessions, the manager and the callers of a subscription.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -17,42 +17,45 @@
     View, ViewState, subscription::AgentIdentity,
 };
 
-/// A call to the ledger on its way to a session.
+/// A ledger call queued for a session. Dropping it makes the call fail as unavailable.
 pub(crate) struct LedgerCall {
     pub(crate) request: sablehaven_types::LedgerRequest,
-    pub(crate) answer: oneshot::Sender<sablehaven_types::LedgerReply>,
+    pub(crate) reply_sender: oneshot::Sender<sablehaven_types::LedgerReply>,
 }
 
-/// The session that takes new ledger calls.
+/// The session that sends new ledger calls.
 #[derive(Clone)]
 pub(crate) struct ActiveSession {
     pub(crate) session: SessionId,
     pub(crate) calls: mpsc::Sender<LedgerCall>,
 }
 
-/// State shared by the parts of one subscription.
+/// State shared by the parts of a subscription.
 pub(crate) struct Shared {
     pub(crate) config: Config,
     pub(crate) identity: AgentIdentity,
     pub(crate) clock: MonotonicClock,
     pub(crate) metrics: SubscriptionMetrics,
-    /// The session that takes new ledger calls and observations.
+    /// The session that sends new ledger calls and observations.
     pub(crate) active: watch::Sender<Option<ActiveSession>>,
-    pub(crate) observed: Notify,
+    /// Notified when an observation is added.
+    pub(crate) observation_added: Notify,
     core: Mutex<Core>,
     view: ArcSwap<View>,
+    /// The number of views published so far.
     changed: watch::Sender<u64>,
 }
 
+/// The state that is changed under the lock.
 struct Core {
     state: ViewState,
     lease: LeaseState,
     observations: ObservationBuffer,
 }
 
-/// What became of an update.
+/// The result of applying an update.
 pub(crate) struct UpdateResult {
-    pub(crate) fit: UpdateCheck,
+    pub(crate) check: UpdateCheck,
     pub(crate) lease_renewed: bool,
 }
 
@@ -71,7 +74,7 @@
             clock: MonotonicClock::start(),
             metrics: SubscriptionMetrics::default(),
             active: watch::Sender::new(None),
-            observed: Notify::new(),
+            observation_added: Notify::new(),
             core: Mutex::new(core),
             view: ArcSwap::default(),
             changed: watch::Sender::new(0),
@@ -95,37 +98,38 @@
         self.changed.subscribe()
     }
 
-    /// Revision and version in force.
-    pub(crate) fn position(&self) -> (u64, u64) {
-        let core = self.core();
+    /// Returns the revision and the configuration version in force.
+    pub(crate) fn applied_versions(&self) -> (u64, u64) {
+        let core = self.lock_core();
         (core.state.revision(), core.state.configuration_version())
     }
 
     pub(crate) fn configuration_age(&self) -> ConfigurationAge {
-        let core = self.core();
+        let core = self.lock_core();
         let version = core.state.configuration_version();
-        // The clock is read under the lock, so that the age is not older than the lease looked at.
+        // The clock is read under the lock, so that the time is not earlier than the last lease renewal.
         core.lease.configuration_age(version, self.clock.now())
     }
 
     pub(crate) fn lease_health(&self) -> LeaseHealth {
-        let core = self.core();
+        let core = self.lock_core();
         LeaseHealth {
             remaining: core.lease.remaining(self.clock.now()),
             duration: core.lease.duration(),
         }
     }
 
-    /// Must be called before the request is written; see [`LeaseState::request`].
-    pub(crate) fn request_lease(&self) -> u64 {
-        self.core().lease.request(self.clock.now())
+    /// Records a lease request and returns its nonce. Must be called before the request is written; see
+    /// [`LeaseState::record_request`].
+    pub(crate) fn record_lease_request(&self) -> u64 {
+        self.lock_core().lease.record_request(self.clock.now())
     }
 
-    /// Takes a grant; returns whether it proves the state in force to be current.
-    pub(crate) fn granted(&self, grant: &LeaseGrant) -> bool {
-        let mut core = self.core();
+    /// Processes a grant. Returns whether it proves that the state in force is current.
+    pub(crate) fn accept_grant(&self, grant: &LeaseGrant) -> bool {
+        let mut core = self.lock_core();
         let revision = core.state.revision();
-        let renewal = core.lease.granted(grant, revision, self.clock.now());
+        let renewal = core.lease.accept_grant(grant, revision, self.clock.now());
         if renewal == Renewal::Renewed {
             self.metrics.lease_renewals.inc();
         }
@@ -134,62 +138,65 @@
 
     pub(crate) fn apply(&self, update: StateUpdate) -> UpdateResult {
         let full = update.full;
-        let mut core = self.core();
-        let fit = core.state.apply(update);
+        let mut core = self.lock_core();
+        let check = core.state.apply(update);
         let mut lease_renewed = false;
-        if fit == UpdateCheck::Applies {
+        if check == UpdateCheck::Applies {
             let revision = core.state.revision();
-            lease_renewed = core.lease.applied(revision);
+            lease_renewed = core.lease.revision_applied(revision);
             self.publish(&core);
         }
         drop(core);
-        self.count_update(fit, full);
-        UpdateResult { fit, lease_renewed }
+        self.count_update(check, full);
+        UpdateResult {
+            check,
+            lease_renewed,
+        }
     }
 
-    pub(crate) fn hint(&self, observations: &[Observation]) {
+    pub(crate) fn apply_hints(&self, observations: &[Observation]) {
         let now = self.clock.now();
-        let mut core = self.core();
-        let mut changed = false;
+        let mut core = self.lock_core();
+        let mut view_changed = false;
         for observation in observations {
-            if core.state.hint(observation, now) {
+            if core.state.apply_hint(observation, now) {
                 self.metrics.hints.inc();
-                changed = true;
+                view_changed = true;
             }
         }
-        if changed {
+        if view_changed {
             self.publish(&core);
         }
     }
 
     pub(crate) fn expire_hints(&self) {
-        let mut core = self.core();
+        let mut core = self.lock_core();
         if core.state.expire_hints(self.clock.now()) {
             self.publish(&core);
         }
     }
 
     pub(crate) fn next_hint_expiry(&self) -> Option<Duration> {
-        self.core().state.next_hint_expiry()
+        self.lock_core().state.next_hint_expiry()
     }
 
     pub(crate) fn observe(&self, observation: Observation) {
         if observation.kind == ObservationKind::Draining {
-            self.hint(std::slice::from_ref(&observation));
+            self.apply_hints(std::slice::from_ref(&observation));
         }
-        self.core().observations.add(observation);
-        self.observed.notify_one();
+        self.lock_core().observations.add(observation);
+        self.observation_added.notify_one();
     }
 
     pub(crate) fn observations_due_at(&self) -> Option<Duration> {
-        self.core().observations.due_at()
+        self.lock_core().observations.next_due_at()
     }
 
     pub(crate) fn take_observations(&self) -> Vec<Observation> {
-        self.core().observations.take(self.clock.now())
+        self.lock_core().observations.take(self.clock.now())
     }
 
-    /// Shows the view to readers. Called under the lock, so that views appear in order.
+    /// Makes the view visible to readers. Called under the lock, so that views are published in order.
     fn publish(&self, core: &Core) {
         self.view.store(Arc::new(core.state.view()));
         self.changed.send_modify(|count| *count += 1);
@@ -198,8 +205,8 @@
         self.metrics.configuration_version.set(version as i64);
     }
 
-    fn count_update(&self, fit: UpdateCheck, full: bool) {
-        match fit {
+    fn count_update(&self, check: UpdateCheck, full: bool) {
+        match check {
             UpdateCheck::Applies => {
                 self.metrics.updates.inc();
                 self.metrics.full_updates.inc_by(u64::from(full));
@@ -214,7 +221,7 @@
         }
     }
 
-    fn core(&self) -> MutexGuard<'_, Core> {
+    fn lock_core(&self) -> MutexGuard<'_, Core> {
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/sablehaven-subscription/src/subscription.rs
+++ b/crates/sablehaven-subscription/src/subscription.rs
@@ -1,4 +1,4 @@
-//! The public face of a subscription.
+//! The public interface of a subscription.
 
 use std::{
     collections::BTreeSet,
@@ -22,29 +22,29 @@
     shared::{ActiveSession, LedgerCall, Shared},
 };
 
-/// Who subscribes.
+/// The subscribing agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentIdentity {
-    /// The agent, unique for each start of the process.
+    /// The agent's identifier, unique for each start of the process.
     pub agent: AgentId,
-    /// Where it runs.
+    /// The placement of the agent.
     pub placement: Placement,
-    /// The services it calls; empty means all.
+    /// The services that the agent calls. An empty set means all services.
     pub interest: BTreeSet<ServiceName>,
 }
 
-/// An agent's connection to the relays; cheap to clone. It ends with [`Subscription::stop`], or
-/// when the last clone is dropped.
+/// An agent's connection to the relays. Cheap to clone. It ends with [`Subscription::stop`], or when
+/// the last clone is dropped.
 #[derive(Clone)]
 pub struct Subscription {
     shared: Arc<Shared>,
     stop: CancellationToken,
     manager: Arc<Mutex<Option<JoinHandle<()>>>>,
-    _ends_with_last_clone: Arc<DropGuard>,
+    _stop_on_last_drop: Arc<DropGuard>,
 }
 
 impl Subscription {
-    /// Starts connecting in the background. Must be called within a tokio runtime.
+    /// Starts the subscription, which connects in the background. Must be called within a Tokio runtime.
     pub fn start(config: Config, identity: AgentIdentity) -> Self {
         let shared = Arc::new(Shared::new(config, identity));
         let stop = CancellationToken::new();
@@ -54,52 +54,53 @@
             shared,
             stop: stop.clone(),
             manager: Arc::new(Mutex::new(Some(task))),
-            _ends_with_last_clone: Arc::new(stop.drop_guard()),
+            _stop_on_last_drop: Arc::new(stop.drop_guard()),
         }
     }
 
-    /// The state in force.
+    /// Returns the state in force.
     pub fn view(&self) -> Arc<View> {
         self.shared.view()
     }
 
-    /// Changes with each new view, also on a hint.
+    /// Returns a receiver that is notified of each new view, including those caused by hints.
     pub fn changed(&self) -> watch::Receiver<u64> {
         self.shared.changed()
     }
 
-    /// Whether the state in force is proved to be current. The age is `u64::MAX` while it never
-    /// was.
+    /// Returns whether the state in force is proved to be current, and the age of the proof. The age is
+    /// `u64::MAX` until the first proof.
     pub fn lease(&self) -> ConfigurationAge {
         self.shared.configuration_age()
     }
 
-    /// The counters.
+    /// Returns the metrics.
     pub fn metrics(&self) -> &SubscriptionMetrics {
         &self.shared.metrics
     }
 
-    /// Calls the ledger. Without an answer within `limit`, or when the connection breaks, the reply
-    /// is [`LedgerReply::Unavailable`]: whether the request took effect is not known. A call that
-    /// was handed to a connection is never sent again; the caller may do so with the same claim.
-    pub async fn ledger(&self, request: LedgerRequest, limit: Duration) -> LedgerReply {
+    /// Calls the ledger. The reply is [`LedgerReply::Unavailable`] if there is no answer within
+    /// `timeout_after`, if the connection breaks, or if too many calls are pending. Whether the request
+    /// took effect is then unknown. A call that was passed to a connection is never resent; the caller
+    /// may send it again with the same claim.
+    pub async fn ledger(&self, request: LedgerRequest, timeout_after: Duration) -> LedgerReply {
         self.shared.metrics.ledger_calls.inc();
-        let answer = timeout(limit, self.call(request)).await;
+        let answer = timeout(timeout_after, self.call(request)).await;
         let reply = answer.ok().flatten();
         reply.unwrap_or_else(|| self.unavailable())
     }
 
-    /// Reports what was seen of a back end.
+    /// Reports an observation of a back end.
     pub fn observe(&self, observation: Observation) {
         self.shared.observe(observation);
     }
 
-    /// Tells the relay that the agent stops, and ends all connections.
+    /// Tells the relay that the agent is stopping, and closes all connections.
     pub async fn stop(self) {
         self.stop.cancel();
         let task = self.take_manager();
         if let Some(task) = task {
-            // A manager that panicked has been reported by the panic hook.
+            // A panic of the manager has already been reported by the panic hook.
             let _ = task.await;
         }
     }
@@ -112,14 +113,17 @@
     async fn call(&self, mut request: LedgerRequest) -> Option<LedgerReply> {
         loop {
             let active = self.active_session().await?;
-            let (answer, reply) = oneshot::channel();
-            match active.calls.try_send(LedgerCall { request, answer }) {
+            let (reply_sender, reply) = oneshot::channel();
+            match active.calls.try_send(LedgerCall {
+                request,
+                reply_sender,
+            }) {
                 Ok(()) => return reply.await.ok(),
                 Err(TrySendError::Full(_)) => return None,
                 Err(TrySendError::Closed(call)) => {
-                    // Not handed over, so it may go by the next session.
+                    // The call was not passed to the session, so it can be sent on the next one.
                     request = call.request;
-                    self.session_after(&active).await?;
+                    self.wait_for_other_session(&active).await?;
                 }
             }
         }
@@ -131,14 +135,14 @@
         session.clone()
     }
 
-    async fn session_after(&self, ended: &ActiveSession) -> Option<()> {
+    async fn wait_for_other_session(&self, ended: &ActiveSession) -> Option<()> {
         let mut active = self.shared.active.subscribe();
-        let another = |session: &Option<ActiveSession>| {
+        let is_other = |session: &Option<ActiveSession>| {
             session
                 .as_ref()
                 .is_none_or(|session| session.session != ended.session)
         };
-        active.wait_for(another).await.ok()?;
+        active.wait_for(is_other).await.ok()?;
         Some(())
     }
 
--- a/crates/sablehaven-subscription/src/supervisor.rs
+++ b/crates/sablehaven-subscription/src/supervisor.rs
@@ -1,299 +1,315 @@
-//! Decides which relay the agent uses and when it moves to another one.
+//! Decides which relay the agent uses, and when it switches to another one.
 //!
-//! At most two sessions count: the active one, and a candidate that may replace it. The active one
-//! is kept until the candidate is of use, so that a move leaves no gap, and so that agents do not
-//! run from relay to relay while control as a whole cannot prove that it is current.
+//! There are at most two sessions: the active one, and a candidate that may replace it. The active
+//! session is kept until the candidate can take over. Thus a switch causes no interruption, and agents
+//! do not switch from relay to relay while control as a whole cannot prove that it is current.
 
 use std::time::Duration;
 
 use crate::relay_selector::{RelaySelector, RetrySettings};
 
-/// Greatest multiple of the wait for a lease that a relay is given after failures.
+/// Maximum factor by which the wait for a lease is extended after failures of a relay.
 const MAXIMUM_WAIT_FACTOR: u32 = 4;
 
-/// Numbers the sessions of one subscription.
+/// Identifies a session within a subscription.
 pub type SessionId = u64;
 
-/// Timings of the supervisor.
+/// Settings of the supervisor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SupervisorSettings {
-    /// How long a relay may take to give a usable lease.
+    /// How long a relay may take to grant a valid lease.
     pub lease_wait: Duration,
-    /// Greatest random wait after a relay was lost.
+    /// Maximum random delay after the connection to a relay is lost.
     pub failover_jitter: Duration,
-    /// Time after which a nearer relay is tried.
+    /// Maximum time after which a nearer relay is tried.
     pub return_interval: Duration,
-    /// How long a relay that failed is left alone.
+    /// Bounds of the delay before a failed relay is tried again.
     pub retry: RetrySettings,
 }
 
-/// The lease as the supervisor needs it.
+/// The remaining and the total time of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseHealth {
-    /// Time until the lease ends.
+    /// Time until the lease expires.
     pub remaining: Duration,
-    /// The lease's whole duration.
+    /// Total duration of the lease.
     pub duration: Duration,
 }
 
-/// What the caller has to do.
+/// An action that the caller has to perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Connect to a relay, given by its place in the list.
+    /// Connect to a relay, given by its index in the list of relays.
     Open {
-        /// The new session.
+        /// The identifier of the new session.
         session: SessionId,
-        /// The relay.
+        /// The index of the relay.
         relay: usize,
     },
-    /// Send new ledger calls and observations by this session.
+    /// Send new ledger calls and observations on this session.
     Activate(SessionId),
-    /// Send nothing new by this session; end it once its ledger calls are answered.
+    /// Send nothing new on this session, and end it once its ledger calls are answered.
     Drain(SessionId),
-    /// End this session now.
+    /// End this session immediately.
     Close(SessionId),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Link {
-    session: SessionId,
+struct Session {
+    id: SessionId,
     relay: usize,
+    /// When the session was opened or, for the active session, became active.
     since: Duration,
-    /// How long it may stay a candidate.
-    limit: Duration,
+    /// How long the session may stay a candidate.
+    time_limit: Duration,
     connected: bool,
+    /// Whether the relay has announced that it is stopping.
     going_away: bool,
-    want: Want,
+    /// Why the session was opened.
+    reason: SwitchReason,
 }
 
-/// Why another relay is wanted.
+/// Why the agent connects to a relay other than the active one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Want {
-    AnyRelay,
-    Lease,
+enum SwitchReason {
+    /// There is no active relay, or the active relay is stopping.
+    NoActiveRelay,
+    /// The active relay has not renewed the lease in time.
+    LeaseNotRenewed,
+    /// A nearer relay may be available again.
     NearerRelay,
 }
 
-/// The state machine.
+/// The state machine that decides which relay the agent uses.
 #[derive(Debug)]
 pub struct Supervisor {
     settings: SupervisorSettings,
-    choice: RelaySelector,
-    active: Option<Link>,
-    candidate: Option<Link>,
-    last_session: SessionId,
-    not_before: Duration,
-    return_at: Duration,
+    selector: RelaySelector,
+    active: Option<Session>,
+    candidate: Option<Session>,
+    last_session_id: SessionId,
+    /// Earliest time of connecting to another relay after the connection to a relay was lost.
+    connect_not_before: Duration,
+    /// When a nearer relay is tried next.
+    try_nearer_at: Duration,
 }
 
 impl Supervisor {
-    /// A supervisor over `relays` relays, the most preferred first; the seed makes the jitter.
+    /// Creates a supervisor for `relays` relays, in order of preference. `seed` seeds the jitter.
     pub fn new(relays: usize, settings: SupervisorSettings, seed: u64) -> Self {
         Self {
             settings,
-            choice: RelaySelector::new(relays, settings.retry, seed),
+            selector: RelaySelector::new(relays, settings.retry, seed),
             active: None,
             candidate: None,
-            last_session: 0,
-            not_before: Duration::ZERO,
-            return_at: Duration::ZERO,
+            last_session_id: 0,
+            connect_not_before: Duration::ZERO,
+            try_nearer_at: Duration::ZERO,
         }
     }
 
-    /// The handshake of a session is done.
+    /// Handles the completed handshake of a session.
     pub fn connected(&mut self, session: SessionId, now: Duration) -> Vec<Action> {
-        let Some(candidate) = self.candidate_of(session) else {
+        let Some(candidate) = self.candidate_with_id(session) else {
             return Vec::new();
         };
         candidate.connected = true;
-        let needed_now = self.active.is_none_or(|active| active.going_away);
-        if needed_now {
+        let is_needed_now = self.active.is_none_or(|active| active.going_away);
+        if is_needed_now {
             return self.promote(now);
         }
         Vec::new()
     }
 
-    /// A session renewed the lease.
+    /// Handles the renewal of the lease by a session.
     pub fn lease_renewed(&mut self, session: SessionId, now: Duration) -> Vec<Action> {
-        if let Some(active) = self.active.filter(|active| active.session == session) {
-            self.choice.succeeded(active.relay);
-            return self.drop_needless_candidate();
+        if let Some(active) = self.active.filter(|active| active.id == session) {
+            self.selector.record_success(active.relay);
+            return self.drop_unneeded_candidate();
         }
-        let Some(candidate) = self.candidate_of(session) else {
+        let Some(candidate) = self.candidate_with_id(session) else {
             return Vec::new();
         };
         let relay = candidate.relay;
-        self.choice.succeeded(relay);
+        self.selector.record_success(relay);
         self.promote(now)
     }
 
-    /// The relay of a session stops.
+    /// Handles the announcement of a session's relay that it is stopping.
     pub fn go_away(&mut self, session: SessionId, now: Duration) -> Vec<Action> {
-        if let Some(active) = self.active.as_mut().filter(|link| link.session == session) {
+        if let Some(active) = self.active.as_mut().filter(|active| active.id == session) {
             active.going_away = true;
             let relay = active.relay;
-            self.choice.failed(relay, now);
+            self.selector.record_failure(relay, now);
             if self.candidate.is_some_and(|candidate| candidate.connected) {
                 return self.promote(now);
             }
             return Vec::new();
         }
-        let Some(candidate) = self.candidate.take_if(|link| link.session == session) else {
+        let Some(candidate) = self.candidate.take_if(|candidate| candidate.id == session) else {
             return Vec::new();
         };
-        self.choice.failed(candidate.relay, now);
+        self.selector.record_failure(candidate.relay, now);
         vec![Action::Close(session)]
     }
 
-    /// A session ended, or its connection could not be made.
+    /// Handles the end of a session, or the failure to open it.
     pub fn ended(&mut self, session: SessionId, now: Duration) -> Vec<Action> {
-        if let Some(active) = self.active.take_if(|link| link.session == session) {
+        if let Some(active) = self.active.take_if(|active| active.id == session) {
             if !active.going_away {
-                self.choice.failed(active.relay, now);
-                self.not_before = now + self.choice.jitter(self.settings.failover_jitter);
+                self.selector.record_failure(active.relay, now);
+                self.connect_not_before = now + self.selector.jitter(self.settings.failover_jitter);
             }
             if self.candidate.is_some_and(|candidate| candidate.connected) {
                 return self.promote(now);
             }
             return Vec::new();
         }
-        if let Some(candidate) = self.candidate.take_if(|link| link.session == session) {
-            self.choice.failed(candidate.relay, now);
+        if let Some(candidate) = self.candidate.take_if(|candidate| candidate.id == session) {
+            self.selector.record_failure(candidate.relay, now);
         }
         Vec::new()
     }
 
-    /// Acts on the time that has passed.
+    /// Handles the passage of time.
     pub fn tick(&mut self, now: Duration, lease: LeaseHealth) -> Vec<Action> {
         let mut actions = Vec::new();
-        let overdue = |link: &mut Link| now >= link.since + link.limit;
-        if let Some(candidate) = self.candidate.take_if(overdue) {
-            self.choice.failed(candidate.relay, now);
-            actions.push(Action::Close(candidate.session));
+        let is_overdue = |candidate: &mut Session| now >= candidate.since + candidate.time_limit;
+        if let Some(candidate) = self.candidate.take_if(is_overdue) {
+            self.selector.record_failure(candidate.relay, now);
+            actions.push(Action::Close(candidate.id));
         }
         if self.candidate.is_none() {
-            actions.extend(self.open_if_wanted(now, lease));
+            actions.extend(self.open_candidate_if_needed(now, lease));
         }
         actions
     }
 
-    /// When [`Self::tick`] must be called next at the latest.
+    /// Returns the latest time of the next call of [`Self::tick`].
     pub fn wake_at(&self, now: Duration, lease: LeaseHealth) -> Option<Duration> {
         if let Some(candidate) = self.candidate {
-            return Some(candidate.since + candidate.limit);
+            return Some(candidate.since + candidate.time_limit);
         }
         let Some(active) = self.active else {
-            let retry_at = self.choice.next_at(None)?;
-            return Some(retry_at.max(self.not_before));
+            let retry_at = self.selector.next_retry_at(None)?;
+            return Some(retry_at.max(self.connect_not_before));
         };
-        let other_at = self.choice.next_at(Some(active.relay));
+        let other_relay_at = self.selector.next_retry_at(Some(active.relay));
         if active.going_away {
-            return other_at;
+            return other_relay_at;
         }
         let unhealthy_at = (now + lease.remaining)
             .saturating_sub(lease.duration / 2)
             .max(active.since + self.settings.lease_wait);
         if unhealthy_at <= now {
-            return other_at;
+            return other_relay_at;
         }
-        let return_at = (active.relay > 0).then_some(self.return_at);
-        [Some(unhealthy_at), return_at].into_iter().flatten().min()
+        let try_nearer_at = (active.relay > 0).then_some(self.try_nearer_at);
+        [Some(unhealthy_at), try_nearer_at]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    fn want(&self, now: Duration, lease: LeaseHealth) -> Option<Want> {
+    fn switch_reason(&self, now: Duration, lease: LeaseHealth) -> Option<SwitchReason> {
         let Some(active) = self.active else {
-            return (now >= self.not_before).then_some(Want::AnyRelay);
+            return (now >= self.connect_not_before).then_some(SwitchReason::NoActiveRelay);
         };
         if active.going_away {
-            return Some(Want::AnyRelay);
+            return Some(SwitchReason::NoActiveRelay);
         }
-        let had_time = now >= active.since + self.settings.lease_wait;
-        if had_time && lease.remaining <= lease.duration / 2 {
-            return Some(Want::Lease);
+        let is_settled = now >= active.since + self.settings.lease_wait;
+        if is_settled && lease.remaining <= lease.duration / 2 {
+            return Some(SwitchReason::LeaseNotRenewed);
         }
-        if active.relay > 0 && now >= self.return_at {
-            return Some(Want::NearerRelay);
+        if active.relay > 0 && now >= self.try_nearer_at {
+            return Some(SwitchReason::NearerRelay);
         }
         None
     }
 
-    fn open_if_wanted(&mut self, now: Duration, lease: LeaseHealth) -> Option<Action> {
-        let want = self.want(now, lease)?;
+    fn open_candidate_if_needed(&mut self, now: Duration, lease: LeaseHealth) -> Option<Action> {
+        let reason = self.switch_reason(now, lease)?;
         let active_relay = self.active.map(|active| active.relay);
-        let relay = match (want, active_relay) {
-            (Want::NearerRelay, Some(active)) => {
-                self.plan_return(now);
-                self.choice.nearer(now, active)
+        let relay = match (reason, active_relay) {
+            (SwitchReason::NearerRelay, Some(active)) => {
+                self.schedule_nearer_attempt(now);
+                self.selector.nearer_relay(now, active)
             }
-            _ => self.choice.next(now, active_relay),
+            _ => self.selector.next_relay(now, active_relay),
         }?;
-        self.last_session += 1;
-        let session = self.last_session;
-        self.candidate = Some(Link {
-            session,
+        self.last_session_id += 1;
+        let session = self.last_session_id;
+        self.candidate = Some(Session {
+            id: session,
             relay,
             since: now,
-            limit: self.candidate_limit(relay),
+            time_limit: self.candidate_time_limit(relay),
             connected: false,
             going_away: false,
-            want,
+            reason,
         });
         Some(Action::Open { session, relay })
     }
 
-    /// A relay that did not serve in time before gets more time, since it may be busy with a storm
-    /// of agents that too short a limit would keep going.
-    fn candidate_limit(&self, relay: usize) -> Duration {
-        let attempts = 1 + self.choice.failures(relay);
+    /// Returns how long a session with the relay may stay a candidate. The limit grows with the
+    /// relay's failures: the relay may be overloaded by many agents connecting at once, and with a
+    /// limit that is too short these agents would keep reconnecting.
+    fn candidate_time_limit(&self, relay: usize) -> Duration {
+        let attempts = 1 + self.selector.failures(relay);
         self.settings.lease_wait * attempts.min(MAXIMUM_WAIT_FACTOR)
     }
 
-    /// Makes the candidate the active session.
+    /// Makes the candidate the active session, and retires the previous one.
     fn promote(&mut self, now: Duration) -> Vec<Action> {
         let Some(mut candidate) = self.candidate.take() else {
             return Vec::new();
         };
         candidate.since = now;
-        self.plan_return(now);
-        let mut actions = vec![Action::Activate(candidate.session)];
+        self.schedule_nearer_attempt(now);
+        let mut actions = vec![Action::Activate(candidate.id)];
         if let Some(previous) = self.active.replace(candidate) {
-            actions.push(self.end_previous(previous, now));
+            actions.push(self.retire_previous(previous, now));
         }
         actions
     }
 
-    /// A relay that said goodbye, or that a nearer one replaces, still answers its ledger calls.
-    /// One that could not renew the lease may be cut off: its calls end without an answer, so that
-    /// the agent can send them again by the new one.
-    fn end_previous(&mut self, previous: Link, now: Duration) -> Action {
-        let replaced_by_nearer = self
+    /// Ends the previously active session. It is drained if its relay is stopping or is replaced by a
+    /// nearer one, since the relay still answers its ledger calls. Otherwise the relay did not renew
+    /// the lease and may be partitioned from control. The session is then closed, so that its calls
+    /// fail immediately and the agent can send them again on the new session.
+    fn retire_previous(&mut self, previous: Session, now: Duration) -> Action {
+        let is_replaced_by_nearer = self
             .active
-            .is_some_and(|active| active.want == Want::NearerRelay);
-        if previous.going_away || replaced_by_nearer {
-            return Action::Drain(previous.session);
+            .is_some_and(|active| active.reason == SwitchReason::NearerRelay);
+        if previous.going_away || is_replaced_by_nearer {
+            return Action::Drain(previous.id);
         }
-        self.choice.failed(previous.relay, now);
-        Action::Close(previous.session)
+        self.selector.record_failure(previous.relay, now);
+        Action::Close(previous.id)
     }
 
-    /// The active relay renews the lease again.
-    fn drop_needless_candidate(&mut self) -> Vec<Action> {
-        let needless = |link: &mut Link| link.want == Want::Lease;
-        let dropped = self.candidate.take_if(needless);
+    /// Closes a candidate that was opened because the lease was not renewed, now that the active relay
+    /// has renewed it.
+    fn drop_unneeded_candidate(&mut self) -> Vec<Action> {
+        let is_unneeded =
+            |candidate: &mut Session| candidate.reason == SwitchReason::LeaseNotRenewed;
+        let dropped = self.candidate.take_if(is_unneeded);
         dropped
-            .map(|link| Action::Close(link.session))
+            .map(|candidate| Action::Close(candidate.id))
             .into_iter()
             .collect()
     }
 
-    fn plan_return(&mut self, now: Duration) {
+    /// Schedules the next attempt to connect to a nearer relay.
+    fn schedule_nearer_attempt(&mut self, now: Duration) {
         let half = self.settings.return_interval / 2;
-        self.return_at = now + half + self.choice.jitter(half);
+        self.try_nearer_at = now + half + self.selector.jitter(half);
     }
 
-    fn candidate_of(&mut self, session: SessionId) -> Option<&mut Link> {
+    fn candidate_with_id(&mut self, session: SessionId) -> Option<&mut Session> {
         self.candidate
             .as_mut()
-            .filter(|candidate| candidate.session == session)
+            .filter(|candidate| candidate.id == session)
     }
 }
--- a/crates/sablehaven-subscription/src/view.rs
+++ b/crates/sablehaven-subscription/src/view.rs
@@ -1,23 +1,23 @@
-//! The state as an agent's request path reads it.
+//! The state in the form in which an agent's request path reads it.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use sablehaven_types::{BackendRecord, SchemaSource, ServiceConfiguration, ServiceName};
 
-/// The state in force in this agent, of the services that it is interested in.
+/// The state in force at this agent, limited to the services that it is interested in.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// The revision (0 before the first update); only grows.
+    /// The revision, or 0 before the first update. It never decreases.
     pub revision: u64,
-    /// The version of the configuration; only grows.
+    /// The configuration version. It never decreases.
     pub configuration_version: u64,
-    /// The schema, once there is one.
+    /// The schema, if there is one.
     pub schema: Option<Arc<SchemaSource>>,
-    /// The services.
+    /// The configuration of each service.
     pub services: BTreeMap<ServiceName, Arc<ServiceConfiguration>>,
-    /// The back ends of each service, ascending by id. One that another agent reported as draining
-    /// is shown as leaving.
+    /// The back ends of each service, in ascending order of their ids. A back end that an agent has
+    /// reported as draining has the state `Leaving`.
     pub backends: BTreeMap<ServiceName, Vec<Arc<BackendRecord>>>,
-    /// How many agents watch each service, rounded up to a power of two.
+    /// The number of agents that watch each service, rounded up to a power of two.
     pub agents_per_service: BTreeMap<ServiceName, u32>,
 }
--- a/crates/sablehaven-subscription/src/view_state.rs
+++ b/crates/sablehaven-subscription/src/view_state.rs
@@ -1,4 +1,4 @@
-//! Applies updates and hints; moves only forward.
+//! Applies updates and hints to the state in force. The state never reverts to an older revision.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,10 +10,13 @@
 
 use crate::View;
 
-/// Hints held at most; more are ignored, control's word will come.
+/// Maximum number of hints. Further hints are ignored; the change arrives later as an update from
+/// control.
 const MAXIMUM_HINTS: usize = 10_000;
 
-/// The state in force and the hints laid over it.
+/// The state in force, and the hints that modify the view of it.
+///
+/// A hint is a report that a back end is draining, received before the update from control.
 #[derive(Clone, Debug)]
 pub struct ViewState {
     committed: View,
@@ -29,7 +32,7 @@
 }
 
 impl ViewState {
-    /// A state before the first update.
+    /// Creates the state before the first update.
     pub fn new(hint_lifetime: Duration) -> Self {
         Self {
             committed: View::default(),
@@ -38,43 +41,43 @@
         }
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> u64 {
         self.committed.revision
     }
 
-    /// The version of the configuration in force.
+    /// Returns the configuration version in force.
     pub fn configuration_version(&self) -> u64 {
         self.committed.configuration_version
     }
 
-    /// Applies one update from a relay, if it fits.
+    /// Applies an update from a relay if [`StateUpdate::check`] allows it.
     pub fn apply(&mut self, update: StateUpdate) -> UpdateCheck {
         let committed = &self.committed;
-        let fit = update.check(committed.revision, committed.configuration_version);
-        if fit != UpdateCheck::Applies {
-            return fit;
+        let check = update.check(committed.revision, committed.configuration_version);
+        if check != UpdateCheck::Applies {
+            return check;
         }
         if update.full {
             self.committed = View::default();
         }
         self.apply_changes(update);
-        self.drop_answered_hints();
+        self.remove_superseded_hints();
         UpdateCheck::Applies
     }
 
-    /// Lays an observation over the state; returns whether the view changed.
+    /// Applies an observation to the view as a hint. Returns whether the view changed.
     ///
-    /// Only a back end's own word that it drains counts. Other observations are evidence for
-    /// control to weigh.
-    pub fn hint(&mut self, observation: &Observation, now: Duration) -> bool {
+    /// Only the observation that a back end has declared itself as draining is used. Other
+    /// observations are evidence that control evaluates.
+    pub fn apply_hint(&mut self, observation: &Observation, now: Duration) -> bool {
         if observation.kind != ObservationKind::Draining || self.hints.len() >= MAXIMUM_HINTS {
             return false;
         }
         let Some(record) = self.find(&observation.service, &observation.backend) else {
             return false;
         };
-        if !hint_concerns(record, observation.incarnation) {
+        if !is_hint_applicable(record, observation.incarnation) {
             return false;
         }
         let hint = Hint {
@@ -86,19 +89,19 @@
         previous.is_none()
     }
 
-    /// Drops hints whose time has passed; returns whether the view changed.
+    /// Removes expired hints. Returns whether the view changed.
     pub fn expire_hints(&mut self, now: Duration) -> bool {
         let before = self.hints.len();
         self.hints.retain(|_, hint| hint.expires_at > now);
         self.hints.len() != before
     }
 
-    /// When the next hint's time passes.
+    /// Returns when the next hint expires.
     pub fn next_hint_expiry(&self) -> Option<Duration> {
         self.hints.values().map(|hint| hint.expires_at).min()
     }
 
-    /// The view: the state with the hints laid over it.
+    /// Returns the view: the state in force, modified by the hints.
     pub fn view(&self) -> View {
         let mut view = self.committed.clone();
         for (backend, hint) in &self.hints {
@@ -120,7 +123,7 @@
         for (backend, change) in update.backends {
             if !update.full {
                 remove_backend(&mut state.backends, &backend);
-                drop_hint_before(&mut self.hints, &backend, change.as_ref());
+                remove_older_hint(&mut self.hints, &backend, change.as_ref());
             }
             if let Some(record) = change {
                 insert_backend(&mut state.backends, record);
@@ -129,13 +132,13 @@
         state.agents_per_service.extend(update.agents_per_service);
     }
 
-    /// A hint ends once control says that the back end is not live, that it is gone, or that it has
-    /// started again.
-    fn drop_answered_hints(&mut self) {
+    /// Removes the hints about back ends that, according to control, are not live, were removed, or
+    /// have restarted.
+    fn remove_superseded_hints(&mut self) {
         let committed = &self.committed;
         self.hints.retain(|backend, hint| {
             find(committed, &hint.service, backend)
-                .is_some_and(|record| hint_concerns(record, hint.incarnation))
+                .is_some_and(|record| is_hint_applicable(record, hint.incarnation))
         });
     }
 
@@ -144,9 +147,11 @@
     }
 }
 
-/// A change of the record is control's word, newer than a hint about the same start of the server.
-/// A full update is not: it also carries records that did not change after the hint.
-fn drop_hint_before(
+/// Removes the hint about a back end whose record has changed, unless the hint is about a later
+/// incarnation. A changed record is newer information from control than a hint about the same
+/// incarnation. This does not hold for the records of a full update, which also contains records that
+/// have not changed since the hint.
+fn remove_older_hint(
     hints: &mut BTreeMap<BackendId, Hint>,
     backend: &BackendId,
     change: Option<&BackendRecord>,
@@ -160,7 +165,9 @@
     }
 }
 
-fn hint_concerns(record: &BackendRecord, incarnation: u64) -> bool {
+/// Returns whether a hint about `incarnation` applies to the record: the record is live and not of a
+/// later incarnation.
+fn is_hint_applicable(record: &BackendRecord, incarnation: u64) -> bool {
     record.state == BackendState::Live && record.incarnation <= incarnation
 }
 
@@ -207,15 +214,15 @@
     backends: &mut BTreeMap<ServiceName, Vec<Arc<BackendRecord>>>,
     backend: &BackendId,
 ) {
-    let mut emptied = None;
+    let mut emptied_service = None;
     for (service, records) in backends.iter_mut() {
         if let Ok(position) = position(records, backend) {
             records.remove(position);
-            emptied = records.is_empty().then(|| service.clone());
+            emptied_service = records.is_empty().then(|| service.clone());
             break;
         }
     }
-    if let Some(service) = emptied {
+    if let Some(service) = emptied_service {
         backends.remove(&service);
     }
 }
--- a/crates/sablehaven-subscription/tests/config.rs
+++ b/crates/sablehaven-subscription/tests/config.rs
@@ -1,9 +1,9 @@
-//! Settings that cannot be used are named with their key and allowed range.
+//! Tests of the validation of settings: each error names the key of the invalid setting.
 
 use sablehaven_subscription::Config;
 
 #[test]
-fn each_setting_out_of_range_is_named() {
+fn validate_reports_each_setting_out_of_range() {
     let config = Config {
         lease_wait_ms: 0,
         retry_maximum_ms: 1,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_defaults_need_only_the_relays() {
+fn the_defaults_are_valid_once_relays_are_set() {
     let config = Config {
         relays: vec!["127.0.0.1:7000".parse().expect("address")],
         ..Config::default()
--- a/crates/sablehaven-subscription/tests/subscription.rs
+++ b/crates/sablehaven-subscription/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! The subscription against scripted relays on loopback.
+//! Tests of the subscription against scripted relays on the loopback interface.
 
 mod support;
 
@@ -10,9 +10,9 @@
     Observation, ObservationKind, Placement,
 };
 use sablehaven_wire::{AgentToRelay, RelayToAgent};
-use support::{LedgerScript, RelayDouble, delta, full, subscribe, until};
+use support::{LedgerScript, RelayDouble, delta, full, subscribe, wait_until};
 
-const CALL_LIMIT: Duration = Duration::from_secs(50);
+const CALL_TIMEOUT: Duration = Duration::from_secs(50);
 const GRANTED: LedgerReply = LedgerReply::Claim(ClaimAnswer::Granted);
 
 fn claim(number: u64) -> LedgerRequest {
@@ -36,8 +36,8 @@
     }
 }
 
-async fn current_at(subscription: &Subscription, revision: u64) {
-    until("the revision in force and current", || {
+async fn wait_until_current_at(subscription: &Subscription, revision: u64) {
+    wait_until("the revision is in force and current", || {
         subscription.view().revision == revision && subscription.lease().current
     })
     .await;
@@ -52,85 +52,94 @@
 }
 
 #[tokio::test]
-async fn a_new_agent_takes_the_current_state_and_acknowledges_it() {
+async fn a_new_agent_applies_the_current_state_and_acknowledges_it() {
     let relay = RelayDouble::start(500).await;
     let subscription = subscribe(&[&relay]);
-    current_at(&subscription, 500).await;
+    wait_until_current_at(&subscription, 500).await;
     assert_eq!(subscription.metrics().updates.get(), 1);
     let acknowledged = AgentToRelay::Acknowledge {
         revision: 500,
         configuration_version: 500,
     };
-    until("the acknowledgement", || {
+    wait_until("the acknowledgement is received", || {
         relay.has_received(|message| *message == acknowledged)
     })
     .await;
     relay.advance(delta(500, 501));
-    current_at(&subscription, 501).await;
+    wait_until_current_at(&subscription, 501).await;
     subscription.stop().await;
-    until("the goodbye", || {
+    wait_until("the Leave message is received", || {
         relay.has_received(|message| *message == AgentToRelay::Leave)
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_change_of_the_relay_never_leads_back() {
+async fn switching_relays_never_reverts_the_state() {
     let near = RelayDouble::start(20).await;
     let far = RelayDouble::start(15).await;
     far.script().grant_revision = 20;
     let subscription = subscribe(&[&near, &far]);
-    current_at(&subscription, 20).await;
+    wait_until_current_at(&subscription, 20).await;
     near.kill().await;
-    until("the far relay is asked", || far.has_received(is_watch)).await;
+    wait_until("the far relay receives a watch request", || {
+        far.has_received(is_watch)
+    })
+    .await;
     far.send(RelayToAgent::Update(full(15)));
     far.send(RelayToAgent::Update(delta(15, 18)));
     far.send(RelayToAgent::Update(delta(20, 21)));
-    until("the next revision", || subscription.view().revision == 21).await;
+    wait_until("the next revision is in force", || {
+        subscription.view().revision == 21
+    })
+    .await;
     assert_eq!(subscription.metrics().updates.get(), 2);
 }
 
 #[tokio::test]
-async fn a_relay_that_silently_stops_renewing_is_left_for_another() {
+async fn a_relay_that_stops_granting_leases_is_replaced() {
     let near = RelayDouble::start(5).await;
     let far = RelayDouble::start(5).await;
     let subscription = subscribe(&[&near, &far]);
-    current_at(&subscription, 5).await;
+    wait_until_current_at(&subscription, 5).await;
     near.script().grants = false;
-    until("a lease from the far relay", || {
+    wait_until("the far relay grants a lease", || {
         far.has_received(|message| matches!(message, AgentToRelay::RequestLease { .. }))
             && subscription.lease().current
             && subscription.metrics().relay_changes.get() == 2
     })
     .await;
-    assert_eq!(subscription.ledger(claim(1), CALL_LIMIT).await, GRANTED);
+    assert_eq!(subscription.ledger(claim(1), CALL_TIMEOUT).await, GRANTED);
     assert!(far.has_received(is_ledger));
 }
 
 #[tokio::test]
-async fn cut_off_from_every_lease_the_agent_says_so() {
+async fn without_any_lease_the_configuration_is_reported_as_not_current() {
     let near = RelayDouble::start(5).await;
     near.script().lease_ms = 300;
     let far = RelayDouble::start(5).await;
     far.script().grants = false;
     let subscription = subscribe(&[&near, &far]);
-    current_at(&subscription, 5).await;
+    wait_until_current_at(&subscription, 5).await;
     near.script().grants = false;
-    until("the lease has run out", || !subscription.lease().current).await;
+    wait_until("the lease has expired", || !subscription.lease().current).await;
     let age = subscription.lease();
     assert_eq!(age.version, 5);
     assert!(age.age_ms >= 290, "{age:?}");
     near.script().grants = true;
-    current_at(&subscription, 5).await;
+    wait_until_current_at(&subscription, 5).await;
 }
 
 #[tokio::test]
-async fn a_lease_for_a_state_that_has_not_arrived_does_not_count() {
+async fn a_lease_for_a_revision_not_yet_applied_is_not_valid() {
     let near = RelayDouble::start(5).await;
     near.script().grant_revision = 6;
     let subscription = subscribe(&[&near]);
-    until("several requests", || subscription.view().revision == 5).await;
-    until("several requests", || {
+    wait_until("the state is in force", || {
+        subscription.view().revision == 5
+    })
+    .await;
+    wait_until("several lease requests are received", || {
         let received = &near.script().received;
         let is_request =
             |message: &&AgentToRelay| matches!(message, AgentToRelay::RequestLease { .. });
@@ -139,41 +148,41 @@
     .await;
     assert!(!subscription.lease().current);
     near.send(RelayToAgent::Update(delta(5, 6)));
-    until("the lease counts", || subscription.lease().current).await;
+    wait_until("the lease is valid", || subscription.lease().current).await;
 }
 
 #[tokio::test]
-async fn a_lost_ledger_reply_is_unavailable_at_once_and_may_be_asked_again() {
+async fn a_ledger_call_fails_when_the_connection_breaks_and_can_be_repeated() {
     let near = RelayDouble::start(5).await;
-    near.script().ledger = LedgerScript::Swallow;
+    near.script().ledger = LedgerScript::Ignore;
     let far = RelayDouble::start(5).await;
     let subscription = subscribe(&[&near, &far]);
-    current_at(&subscription, 5).await;
-    let calling = subscription.clone();
-    let call = tokio::spawn(async move { calling.ledger(claim(1), CALL_LIMIT).await });
-    until("the call arrives", || near.has_received(is_ledger)).await;
+    wait_until_current_at(&subscription, 5).await;
+    let caller = subscription.clone();
+    let call = tokio::spawn(async move { caller.ledger(claim(1), CALL_TIMEOUT).await });
+    wait_until("the call is received", || near.has_received(is_ledger)).await;
     near.kill().await;
     let reply = call.await.expect("call");
     assert!(
         matches!(reply, LedgerReply::Unavailable { .. }),
         "{reply:?}"
     );
-    assert_eq!(subscription.ledger(claim(1), CALL_LIMIT).await, GRANTED);
-    let sent_again = far
+    assert_eq!(subscription.ledger(claim(1), CALL_TIMEOUT).await, GRANTED);
+    let calls_at_far = far
         .script()
         .received
         .iter()
         .filter(|m| is_ledger(m))
         .count();
-    assert_eq!(sent_again, 1, "only the caller sends a call again");
+    assert_eq!(calls_at_far, 1, "a call is repeated only by the caller");
 }
 
 #[tokio::test]
-async fn a_ledger_call_without_an_answer_ends_at_its_limit() {
+async fn a_ledger_call_without_an_answer_times_out() {
     let near = RelayDouble::start(5).await;
-    near.script().ledger = LedgerScript::Swallow;
+    near.script().ledger = LedgerScript::Ignore;
     let subscription = subscribe(&[&near]);
-    current_at(&subscription, 5).await;
+    wait_until_current_at(&subscription, 5).await;
     let reply = subscription
         .ledger(claim(1), Duration::from_millis(50))
         .await;
@@ -184,21 +193,21 @@
 }
 
 #[tokio::test]
-async fn a_stopping_relay_still_answers_and_the_next_one_takes_new_calls() {
+async fn a_stopping_relay_answers_its_pending_calls_and_new_calls_use_the_next_relay() {
     let near = RelayDouble::start(5).await;
-    near.script().ledger = LedgerScript::Swallow;
+    near.script().ledger = LedgerScript::Ignore;
     let far = RelayDouble::start(5).await;
     let subscription = subscribe(&[&near, &far]);
-    current_at(&subscription, 5).await;
-    let calling = subscription.clone();
-    let call = tokio::spawn(async move { calling.ledger(claim(1), CALL_LIMIT).await });
-    until("the call arrives", || near.has_received(is_ledger)).await;
+    wait_until_current_at(&subscription, 5).await;
+    let caller = subscription.clone();
+    let call = tokio::spawn(async move { caller.ledger(claim(1), CALL_TIMEOUT).await });
+    wait_until("the call is received", || near.has_received(is_ledger)).await;
     near.send(RelayToAgent::GoAway);
-    until("the far relay is active", || {
+    wait_until("the far relay is active", || {
         subscription.metrics().relay_changes.get() == 2
     })
     .await;
-    assert_eq!(subscription.ledger(claim(2), CALL_LIMIT).await, GRANTED);
+    assert_eq!(subscription.ledger(claim(2), CALL_TIMEOUT).await, GRANTED);
     assert!(far.has_received(is_ledger));
     near.send(RelayToAgent::Ledger {
         call: 1,
@@ -208,23 +217,24 @@
 }
 
 #[tokio::test]
-async fn a_gap_makes_the_agent_ask_again() {
+async fn a_gap_makes_the_agent_request_updates_again() {
     let relay = RelayDouble::start(5).await;
     let subscription = subscribe(&[&relay]);
-    current_at(&subscription, 5).await;
+    wait_until_current_at(&subscription, 5).await;
     relay.script().state = full(8);
     relay.send(RelayToAgent::Update(delta(7, 8)));
-    until("the state after the gap", || {
+    wait_until("the state after the gap is in force", || {
         subscription.view().revision == 8
     })
     .await;
-    let asked = |message: &AgentToRelay| matches!(message, AgentToRelay::Watch { revision: 5, .. });
-    assert!(relay.has_received(asked));
+    let is_request_from_5 =
+        |message: &AgentToRelay| matches!(message, AgentToRelay::Watch { revision: 5, .. });
+    assert!(relay.has_received(is_request_from_5));
     assert_eq!(subscription.metrics().gaps.get(), 1);
 }
 
 #[tokio::test]
-async fn a_hint_from_another_agent_is_shown_and_announced() {
+async fn a_hint_from_another_agent_changes_the_view_and_notifies_watchers() {
     let relay = RelayDouble::start(5).await;
     let record = BackendRecord {
         id: "depot-1".into(),
@@ -240,23 +250,23 @@
     let backends = [(record.id.clone(), Some(record))].into();
     relay.script().state.backends = backends;
     let subscription = subscribe(&[&relay]);
-    current_at(&subscription, 5).await;
+    wait_until_current_at(&subscription, 5).await;
     let mut changed = subscription.changed();
     changed.mark_unchanged();
     relay.send(RelayToAgent::Hint(vec![draining("depot-1")]));
     changed.changed().await.expect("a new view");
     let view = subscription.view();
-    let shown = &view.backends[&"stock.Search".into()][0];
-    assert_eq!(shown.state, BackendState::Leaving);
+    let backend = &view.backends[&"stock.Search".into()][0];
+    assert_eq!(backend.state, BackendState::Leaving);
     assert_eq!(view.revision, 5);
 }
 
 #[tokio::test]
-async fn observations_reach_the_relay() {
+async fn observations_are_sent_to_the_relay() {
     let relay = RelayDouble::start(5).await;
     let subscription = subscribe(&[&relay]);
     subscription.observe(draining("depot-1"));
-    until("the report", || {
+    wait_until("the report is received", || {
         relay.has_received(|message| *message == AgentToRelay::Observe(vec![draining("depot-1")]))
     })
     .await;
@@ -266,11 +276,11 @@
 async fn an_update_that_would_revert_the_configuration_ends_the_session() {
     let near = RelayDouble::start(5).await;
     let subscription = subscribe(&[&near]);
-    current_at(&subscription, 5).await;
-    let mut reverting = full(6);
-    reverting.configuration_version = 4;
-    near.send(RelayToAgent::Update(reverting));
-    until("the agent connects again", || {
+    wait_until_current_at(&subscription, 5).await;
+    let mut reverting_update = full(6);
+    reverting_update.configuration_version = 4;
+    near.send(RelayToAgent::Update(reverting_update));
+    wait_until("the agent connects again", || {
         near.script().connections >= 2
     })
     .await;
--- a/crates/sablehaven-subscription/tests/supervisor.rs
+++ b/crates/sablehaven-subscription/tests/supervisor.rs
@@ -1,4 +1,4 @@
-//! The choice of the relay, as a pure state machine.
+//! Tests of the state machine that decides which relay the agent uses, and of the relay selector.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -24,7 +24,7 @@
     remaining: Duration::from_millis(2_900),
     duration: Duration::from_millis(3_000),
 };
-const HALF_GONE: LeaseHealth = LeaseHealth {
+const HALF_EXPIRED: LeaseHealth = LeaseHealth {
     remaining: Duration::from_millis(1_400),
     duration: Duration::from_millis(3_000),
 };
@@ -37,17 +37,18 @@
     Supervisor::new(relays, SETTINGS, 7)
 }
 
-fn opened(actions: &[Action]) -> (SessionId, usize) {
+fn expect_open(actions: &[Action]) -> (SessionId, usize) {
     match actions {
         [Action::Open { session, relay }] => (*session, *relay),
-        other => panic!("expected one session to be opened: {other:?}"),
+        other => panic!("expected one session to be opened, got {other:?}"),
     }
 }
 
-/// A supervisor with an active session on its first relay, since time 0.
+/// Returns a supervisor whose session with the first relay has been active since time 0, and that
+/// session.
 fn on_first_relay(relays: usize) -> (Supervisor, SessionId) {
     let mut supervisor = supervisor(relays);
-    let (session, relay) = opened(&supervisor.tick(Duration::ZERO, NO_LEASE));
+    let (session, relay) = expect_open(&supervisor.tick(Duration::ZERO, NO_LEASE));
     assert_eq!(relay, 0);
     let actions = supervisor.connected(session, Duration::ZERO);
     assert_eq!(actions, [Action::Activate(session)]);
@@ -56,25 +57,25 @@
 }
 
 #[test]
-fn the_nearest_relay_is_first_and_a_failed_one_is_left_alone() {
+fn the_nearest_relay_is_tried_first_and_a_failed_one_only_after_a_delay() {
     let mut supervisor = supervisor(2);
-    let (first, relay) = opened(&supervisor.tick(Duration::ZERO, NO_LEASE));
+    let (first, relay) = expect_open(&supervisor.tick(Duration::ZERO, NO_LEASE));
     assert_eq!(relay, 0);
     assert!(supervisor.ended(first, Duration::ZERO).is_empty());
-    let (second, relay) = opened(&supervisor.tick(Duration::ZERO, NO_LEASE));
+    let (second, relay) = expect_open(&supervisor.tick(Duration::ZERO, NO_LEASE));
     assert_eq!(relay, 1);
     supervisor.ended(second, Duration::ZERO);
     assert!(supervisor.tick(Duration::ZERO, NO_LEASE).is_empty());
-    let (_, relay) = opened(&supervisor.tick(milliseconds(100), NO_LEASE));
+    let (_, relay) = expect_open(&supervisor.tick(milliseconds(100), NO_LEASE));
     assert_eq!(relay, 0);
 }
 
 #[test]
-fn a_relay_that_does_not_renew_the_lease_is_left_before_it_runs_out() {
+fn a_relay_that_does_not_renew_the_lease_is_replaced_before_the_lease_expires() {
     let (mut supervisor, active) = on_first_relay(2);
     let now = milliseconds(2_000);
     assert!(supervisor.tick(now, FRESH).is_empty());
-    let (candidate, relay) = opened(&supervisor.tick(now, HALF_GONE));
+    let (candidate, relay) = expect_open(&supervisor.tick(now, HALF_EXPIRED));
     assert_eq!(relay, 1);
     assert!(supervisor.connected(candidate, now).is_empty());
     let actions = supervisor.lease_renewed(candidate, now);
@@ -85,44 +86,48 @@
 }
 
 #[test]
-fn the_active_relay_is_kept_while_no_other_can_renew_the_lease_either() {
+fn the_active_relay_is_kept_while_no_other_relay_can_renew_the_lease() {
     let (mut supervisor, _) = on_first_relay(2);
     let now = milliseconds(2_000);
-    let (candidate, _) = opened(&supervisor.tick(now, HALF_GONE));
+    let (candidate, _) = expect_open(&supervisor.tick(now, HALF_EXPIRED));
     supervisor.connected(candidate, now);
     let later = now + SETTINGS.lease_wait;
     assert_eq!(supervisor.tick(later, NO_LEASE), [Action::Close(candidate)]);
-    let retry_at = supervisor.wake_at(later, NO_LEASE).expect("a retry");
-    assert!(retry_at > later, "the next attempt waits");
+    let retry_at = supervisor
+        .wake_at(later, NO_LEASE)
+        .expect("a retry is scheduled");
+    assert!(retry_at > later, "the next attempt is delayed");
 }
 
 #[test]
-fn a_relay_that_was_too_slow_gets_more_time_the_next_time() {
+fn a_relay_that_was_too_slow_gets_more_time_at_the_next_attempt() {
     let mut supervisor = supervisor(1);
-    let (first, _) = opened(&supervisor.tick(Duration::ZERO, NO_LEASE));
+    let (first, _) = expect_open(&supervisor.tick(Duration::ZERO, NO_LEASE));
     let now = SETTINGS.lease_wait;
     assert_eq!(supervisor.tick(now, NO_LEASE), [Action::Close(first)]);
     let now = now + SETTINGS.retry.minimum;
-    opened(&supervisor.tick(now, NO_LEASE));
-    let limit = supervisor.wake_at(now, NO_LEASE).expect("a limit");
+    expect_open(&supervisor.tick(now, NO_LEASE));
+    let limit = supervisor
+        .wake_at(now, NO_LEASE)
+        .expect("a time limit is set");
     assert_eq!(limit, now + 2 * SETTINGS.lease_wait);
 }
 
 #[test]
-fn a_renewal_by_the_active_relay_ends_the_search() {
+fn a_renewal_by_the_active_relay_closes_the_candidate() {
     let (mut supervisor, active) = on_first_relay(2);
     let now = milliseconds(2_000);
-    let (candidate, _) = opened(&supervisor.tick(now, HALF_GONE));
+    let (candidate, _) = expect_open(&supervisor.tick(now, HALF_EXPIRED));
     let actions = supervisor.lease_renewed(active, now);
     assert_eq!(actions, [Action::Close(candidate)]);
 }
 
 #[test]
-fn a_relay_that_goes_away_is_kept_until_another_is_connected_and_then_drained() {
+fn a_stopping_relay_is_kept_until_another_is_connected_and_then_drained() {
     let (mut supervisor, active) = on_first_relay(2);
     let now = milliseconds(100);
     assert!(supervisor.go_away(active, now).is_empty());
-    let (candidate, relay) = opened(&supervisor.tick(now, FRESH));
+    let (candidate, relay) = expect_open(&supervisor.tick(now, FRESH));
     assert_eq!(relay, 1);
     let actions = supervisor.connected(candidate, now);
     assert_eq!(
@@ -132,30 +137,36 @@
 }
 
 #[test]
-fn a_lost_relay_is_replaced_after_a_random_wait() {
-    let waits: BTreeSet<Duration> = (0..20)
+fn a_lost_relay_is_replaced_after_a_random_delay() {
+    let delays: BTreeSet<Duration> = (0..20)
         .map(|seed| {
             let mut supervisor = Supervisor::new(3, SETTINGS, seed);
-            let (session, _) = opened(&supervisor.tick(Duration::ZERO, NO_LEASE));
+            let (session, _) = expect_open(&supervisor.tick(Duration::ZERO, NO_LEASE));
             supervisor.connected(session, Duration::ZERO);
             supervisor.ended(session, Duration::ZERO);
-            supervisor.wake_at(Duration::ZERO, FRESH).expect("a wait")
+            supervisor
+                .wake_at(Duration::ZERO, FRESH)
+                .expect("an attempt is scheduled")
         })
         .collect();
-    assert!(waits.len() > 10, "the waits are spread: {waits:?}");
-    assert!(waits.iter().all(|wait| *wait <= SETTINGS.failover_jitter));
+    assert!(delays.len() > 10, "the delays are spread: {delays:?}");
+    assert!(
+        delays
+            .iter()
+            .all(|delay| *delay <= SETTINGS.failover_jitter)
+    );
 }
 
 #[test]
-fn an_agent_returns_to_a_nearer_relay_without_losing_calls() {
+fn an_agent_returns_to_a_nearer_relay_and_drains_the_previous_session() {
     let mut supervisor = supervisor(2);
-    let (first, _) = opened(&supervisor.tick(Duration::ZERO, NO_LEASE));
+    let (first, _) = expect_open(&supervisor.tick(Duration::ZERO, NO_LEASE));
     supervisor.ended(first, Duration::ZERO);
-    let (far, relay) = opened(&supervisor.tick(Duration::ZERO, NO_LEASE));
+    let (far, relay) = expect_open(&supervisor.tick(Duration::ZERO, NO_LEASE));
     assert_eq!(relay, 1);
     supervisor.connected(far, Duration::ZERO);
     let later = Duration::from_secs(60);
-    let (near, relay) = opened(&supervisor.tick(later, FRESH));
+    let (near, relay) = expect_open(&supervisor.tick(later, FRESH));
     assert_eq!(relay, 0);
     supervisor.connected(near, later);
     let actions = supervisor.lease_renewed(near, later);
@@ -163,23 +174,23 @@
 }
 
 #[test]
-fn backoff_doubles_up_to_its_limit_and_ends_with_a_success() {
-    let mut choice = RelaySelector::new(1, SETTINGS.retry, 3);
-    let mut waits = Vec::new();
+fn backoff_doubles_up_to_its_maximum_and_is_reset_by_a_success() {
+    let mut selector = RelaySelector::new(1, SETTINGS.retry, 3);
+    let mut delays = Vec::new();
     for _ in 0..12 {
-        choice.failed(0, Duration::ZERO);
-        waits.push(choice.next_at(None).expect("one relay"));
+        selector.record_failure(0, Duration::ZERO);
+        delays.push(selector.next_retry_at(None).expect("one relay"));
     }
-    assert!(waits[0] <= SETTINGS.retry.minimum);
-    assert!(waits[4] > waits[0] * 4);
-    assert!(waits.iter().all(|wait| *wait <= SETTINGS.retry.maximum));
-    choice.succeeded(0);
-    assert_eq!(choice.next(Duration::ZERO, None), Some(0));
+    assert!(delays[0] <= SETTINGS.retry.minimum);
+    assert!(delays[4] > delays[0] * 4);
+    assert!(delays.iter().all(|delay| *delay <= SETTINGS.retry.maximum));
+    selector.record_success(0);
+    assert_eq!(selector.next_relay(Duration::ZERO, None), Some(0));
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Pass(u64),
+    Advance(u64),
     Connected(u64),
     Renewed(u64),
     GoAway(u64),
@@ -188,7 +199,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (0u64..3_000).prop_map(Step::Pass),
+        3 => (0u64..3_000).prop_map(Step::Advance),
         2 => (0u64..3).prop_map(Step::Connected),
         2 => (0u64..3).prop_map(Step::Renewed),
         1 => (0u64..3).prop_map(Step::GoAway),
@@ -203,10 +214,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// In any run of events: at most three sessions are open (active, candidate, and none is
-    /// forgotten), at most one is active, and after a tick the next one lies in the future.
+    /// After any sequence of events, at most two sessions are open, the active one and the candidate;
+    /// only open sessions are drained or closed; and the next tick is scheduled for a later time.
     #[test]
-    fn any_run_of_events_keeps_few_sessions_and_never_spins(
+    fn any_event_sequence_opens_at_most_two_sessions_and_never_busy_loops(
         relays in 1usize..4,
         seed in any::<u64>(),
         steps in prop::collection::vec(step(), 1..80),
@@ -214,19 +225,19 @@
         let mut supervisor = Supervisor::new(relays, SETTINGS, seed);
         let mut now = Duration::ZERO;
         let mut renewed_at: Option<Duration> = None;
-        let mut last_session = 0;
+        let mut last_session_id = 0;
         let mut open: BTreeSet<SessionId> = BTreeSet::new();
         for step in steps {
             let mut actions = match step {
-                Step::Pass(by) => { now += milliseconds(by); Vec::new() }
-                Step::Connected(back) => supervisor.connected(last_session - back.min(last_session), now),
-                Step::Renewed(back) => {
+                Step::Advance(by_ms) => { now += milliseconds(by_ms); Vec::new() }
+                Step::Connected(offset) => supervisor.connected(last_session_id - offset.min(last_session_id), now),
+                Step::Renewed(offset) => {
                     renewed_at = Some(now);
-                    supervisor.lease_renewed(last_session - back.min(last_session), now)
+                    supervisor.lease_renewed(last_session_id - offset.min(last_session_id), now)
                 }
-                Step::GoAway(back) => supervisor.go_away(last_session - back.min(last_session), now),
-                Step::Ended(back) => {
-                    let session = last_session - back.min(last_session);
+                Step::GoAway(offset) => supervisor.go_away(last_session_id - offset.min(last_session_id), now),
+                Step::Ended(offset) => {
+                    let session = last_session_id - offset.min(last_session_id);
                     open.remove(&session);
                     supervisor.ended(session, now)
                 }
@@ -240,8 +251,8 @@
                 match action {
                     Action::Open { session, relay } => {
                         prop_assert!(relay < relays);
-                        prop_assert!(session > last_session);
-                        last_session = session;
+                        prop_assert!(session > last_session_id);
+                        last_session_id = session;
                         open.insert(session);
                     }
                     Action::Activate(_) => {}
--- a/crates/sablehaven-subscription/tests/support/mod.rs
+++ b/crates/sablehaven-subscription/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted relay on loopback.
+//! A scripted relay on the loopback interface.
 
 use std::{
     net::SocketAddr,
@@ -18,34 +18,34 @@
     time::{sleep, timeout},
 };
 
-/// Limit of every wait; far above what a busy machine needs.
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of every wait. Far longer than needed on a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the scripted relay does with ledger calls.
+/// How the scripted relay handles ledger calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LedgerScript {
     /// Grants each claim.
     Answer,
-    /// Takes the call and says nothing.
-    Swallow,
+    /// Receives the call and sends no reply.
+    Ignore,
 }
 
-/// What the scripted relay does.
+/// The behaviour of the scripted relay, and what it has received.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// The state that a watcher with a smaller revision gets, in full.
+    /// The full state that is sent to an agent with a smaller revision.
     pub state: StateUpdate,
-    /// Whether lease requests are answered.
+    /// Whether lease requests are granted.
     pub grants: bool,
     /// The duration of leases, in milliseconds.
     pub lease_ms: u64,
-    /// The revision named by grants.
+    /// The revision in the grants.
     pub grant_revision: u64,
-    /// What becomes of ledger calls.
+    /// How ledger calls are handled.
     pub ledger: LedgerScript,
-    /// Everything received from agents, in order.
+    /// All messages received from agents, in order.
     pub received: Vec<AgentToRelay>,
-    /// Connections accepted.
+    /// Number of accepted connections.
     pub connections: u32,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl RelayDouble {
-    /// Starts a relay that holds `revision` and grants leases for it.
+    /// Starts a relay that has the state of `revision` and grants leases for it.
     pub async fn start(revision: u64) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
@@ -92,7 +92,7 @@
         self.outgoing.send(message).expect("an agent is connected");
     }
 
-    /// Takes a new state and sends it to every connected agent.
+    /// Advances the relay's state to the update's revision and sends the update to every connected agent.
     pub fn advance(&self, update: StateUpdate) {
         let mut script = self.script();
         script.grant_revision = update.revision;
@@ -101,13 +101,13 @@
         self.send(RelayToAgent::Update(update));
     }
 
-    /// Ends the listener and every connection.
+    /// Closes the listener and every connection.
     pub async fn kill(mut self) {
         self.tasks.shutdown().await;
     }
 
-    pub fn has_received(&self, wanted: impl Fn(&AgentToRelay) -> bool) -> bool {
-        self.script().received.iter().any(wanted)
+    pub fn has_received(&self, matches: impl Fn(&AgentToRelay) -> bool) -> bool {
+        self.script().received.iter().any(matches)
     }
 }
 
@@ -120,11 +120,16 @@
     loop {
         let (stream, peer) = listener.accept().await.expect("accept");
         script.lock().expect("script").connections += 1;
-        connections.spawn(converse(stream, peer, script.clone(), outgoing.subscribe()));
+        connections.spawn(serve_connection(
+            stream,
+            peer,
+            script.clone(),
+            outgoing.subscribe(),
+        ));
     }
 }
 
-async fn converse(
+async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
     script: Arc<Mutex<Script>>,
@@ -196,7 +201,7 @@
     }
 }
 
-/// A subscription with short waits, to the relays in order.
+/// Starts a subscription with short delays to the relays, in the given order of preference.
 pub fn subscribe(relays: &[&RelayDouble]) -> Subscription {
     let config = Config {
         relays: relays.iter().map(|relay| relay.address).collect(),
@@ -220,14 +225,14 @@
     Subscription::start(config, identity)
 }
 
-/// Waits until `condition` holds.
-pub async fn until(what: &str, mut condition: impl FnMut() -> bool) {
-    let holds = async {
+/// Waits until `condition` holds. `what` describes the condition in the panic message.
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let poll = async {
         while !condition() {
             sleep(Duration::from_millis(2)).await;
         }
     };
-    timeout(WAIT_LIMIT, holds)
+    timeout(WAIT_TIMEOUT, poll)
         .await
-        .unwrap_or_else(|_| panic!("not reached: {what}"));
+        .unwrap_or_else(|_| panic!("timed out waiting until {what}"));
 }
--- a/crates/sablehaven-subscription/tests/view_state.rs
+++ b/crates/sablehaven-subscription/tests/view_state.rs
@@ -1,4 +1,4 @@
-//! The view moves only forward, and hints end when control speaks.
+//! Tests that the view never reverts to an older revision, and that updates from control supersede hints.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use sablehaven_wire::{StateUpdate, UpdateCheck};
 
 const SERVICE: &str = "stock.Search";
-const LIFETIME: Duration = Duration::from_secs(30);
+const HINT_LIFETIME: Duration = Duration::from_secs(30);
 
 fn record(id: &str, incarnation: u64, state: BackendState) -> BackendRecord {
     BackendRecord {
@@ -79,8 +79,8 @@
     Some(record.state)
 }
 
-fn with_two_backends() -> ViewState {
-    let mut state = ViewState::new(LIFETIME);
+fn state_with_two_backends() -> ViewState {
+    let mut state = ViewState::new(HINT_LIFETIME);
     let records = [
         record("depot-2", 1, BackendState::Live),
         record("depot-1", 1, BackendState::Live),
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn back_ends_are_ascending_by_id() {
-    let state = with_two_backends();
+fn back_ends_are_in_ascending_order_of_ids() {
+    let state = state_with_two_backends();
     let view = state.view();
     let ids: Vec<_> = view.backends[&SERVICE.into()]
         .iter()
@@ -101,8 +101,8 @@
 }
 
 #[test]
-fn updates_that_do_not_fit_change_nothing() {
-    let mut state = with_two_backends();
+fn stale_updates_and_gaps_change_nothing() {
+    let mut state = state_with_two_backends();
     let before = state.view();
     assert_eq!(state.apply(full(10, &[])), UpdateCheck::Stale);
     assert_eq!(state.apply(full(9, &[])), UpdateCheck::Stale);
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn an_older_configuration_under_a_newer_revision_is_refused() {
-    let mut state = with_two_backends();
+fn an_older_configuration_with_a_newer_revision_is_rejected() {
+    let mut state = state_with_two_backends();
     let mut update = full(11, &[]);
     update.configuration_version = 0;
     assert_eq!(state.apply(update), UpdateCheck::Reverted);
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn a_delta_changes_and_removes() {
-    let mut state = with_two_backends();
+fn a_delta_changes_and_removes_records() {
+    let mut state = state_with_two_backends();
     let mut update = delta(10, 11, &[record("depot-3", 1, BackendState::Live)]);
     update.backends.insert("depot-1".into(), None);
     update.services.insert(SERVICE.into(), None);
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_back_end_that_changes_its_service_is_listed_once() {
-    let mut state = with_two_backends();
+    let mut state = state_with_two_backends();
     let mut moved = record("depot-1", 2, BackendState::Live);
     moved.service = "stock.Reserve".into();
     assert_eq!(state.apply(delta(10, 11, &[moved])), UpdateCheck::Applies);
@@ -143,31 +143,31 @@
 }
 
 #[test]
-fn a_hint_shows_the_back_end_as_leaving_until_its_time_passes() {
-    let mut state = with_two_backends();
-    assert!(state.hint(&draining("depot-1", 1), Duration::ZERO));
-    assert!(!state.hint(&draining("depot-1", 1), Duration::ZERO));
+fn a_hint_shows_the_back_end_as_leaving_until_the_hint_expires() {
+    let mut state = state_with_two_backends();
+    assert!(state.apply_hint(&draining("depot-1", 1), Duration::ZERO));
+    assert!(!state.apply_hint(&draining("depot-1", 1), Duration::ZERO));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Leaving));
     assert_eq!(state_of(&state, "depot-2"), Some(BackendState::Live));
-    assert_eq!(state.next_hint_expiry(), Some(LIFETIME));
-    assert!(state.expire_hints(LIFETIME));
+    assert_eq!(state.next_hint_expiry(), Some(HINT_LIFETIME));
+    assert!(state.expire_hints(HINT_LIFETIME));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Live));
 }
 
 #[test]
-fn only_a_draining_word_about_a_known_start_counts() {
-    let mut state = with_two_backends();
+fn only_draining_observations_of_known_back_ends_and_current_incarnations_are_used() {
+    let mut state = state_with_two_backends();
     let mut unreachable = draining("depot-1", 1);
     unreachable.kind = ObservationKind::Unreachable;
-    assert!(!state.hint(&unreachable, Duration::ZERO));
-    assert!(!state.hint(&draining("depot-1", 0), Duration::ZERO));
-    assert!(!state.hint(&draining("depot-9", 1), Duration::ZERO));
+    assert!(!state.apply_hint(&unreachable, Duration::ZERO));
+    assert!(!state.apply_hint(&draining("depot-1", 0), Duration::ZERO));
+    assert!(!state.apply_hint(&draining("depot-9", 1), Duration::ZERO));
 }
 
 #[test]
-fn a_hint_ends_with_a_newer_start() {
-    let mut state = with_two_backends();
-    state.hint(&draining("depot-1", 1), Duration::ZERO);
+fn a_hint_is_removed_by_a_record_with_a_newer_incarnation() {
+    let mut state = state_with_two_backends();
+    state.apply_hint(&draining("depot-1", 1), Duration::ZERO);
     let restarted = record("depot-1", 2, BackendState::Live);
     state.apply(full(11, &[restarted]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Live));
@@ -175,9 +175,9 @@
 }
 
 #[test]
-fn a_hint_ends_when_control_says_otherwise_about_the_same_start() {
-    let mut state = with_two_backends();
-    state.hint(&draining("depot-1", 1), Duration::ZERO);
+fn a_hint_is_removed_by_a_changed_record_with_the_same_incarnation() {
+    let mut state = state_with_two_backends();
+    state.apply_hint(&draining("depot-1", 1), Duration::ZERO);
     let unrelated = record("depot-2", 1, BackendState::Suspected);
     state.apply(delta(10, 11, &[unrelated]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Leaving));
@@ -187,17 +187,17 @@
 }
 
 #[test]
-fn a_hint_outlasts_a_full_update_made_before_control_heard_of_it() {
-    let mut state = with_two_backends();
-    state.hint(&draining("depot-1", 1), Duration::ZERO);
+fn a_hint_is_kept_after_a_full_update_that_does_not_reflect_it() {
+    let mut state = state_with_two_backends();
+    state.apply_hint(&draining("depot-1", 1), Duration::ZERO);
     state.apply(full(11, &[record("depot-1", 1, BackendState::Live)]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Leaving));
 }
 
 #[test]
-fn a_hint_about_a_start_that_control_has_not_seen_outlasts_the_older_record() {
-    let mut state = with_two_backends();
-    state.hint(&draining("depot-1", 3), Duration::ZERO);
+fn a_hint_with_a_newer_incarnation_is_kept_after_a_change_of_the_older_record() {
+    let mut state = state_with_two_backends();
+    state.apply_hint(&draining("depot-1", 3), Duration::ZERO);
     let older = record("depot-1", 2, BackendState::Live);
     state.apply(delta(10, 11, &[older]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Leaving));
@@ -210,30 +210,30 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever updates arrive in whatever order: revision and version never go back, and an
-    /// applied state is exactly the one that the sender had at that revision.
+    /// For arbitrary updates in arbitrary order, the revision and the configuration version never
+    /// decrease, and an applied update results in the sender's state at that revision.
     #[test]
-    fn the_view_moves_only_forward(
+    fn the_view_never_reverts(
         updates in prop::collection::vec((any::<bool>(), 0u64..40, 0u64..8), 1..60),
     ) {
-        let mut state = ViewState::new(LIFETIME);
-        for (whole, from, step) in updates {
+        let mut state = ViewState::new(HINT_LIFETIME);
+        for (is_full, from, step) in updates {
             let revision = from + step;
             let records = [record("depot-1", revision, BackendState::Live)];
-            let update = match whole {
+            let update = match is_full {
                 true => full(revision, &records),
                 false => delta(from, revision, &records),
             };
             let before = (state.revision(), state.configuration_version());
-            let applied = state.apply(update);
+            let check = state.apply(update);
             let after = (state.revision(), state.configuration_version());
             prop_assert!(after.0 >= before.0 && after.1 >= before.1);
-            match applied {
+            match check {
                 UpdateCheck::Applies => {
                     prop_assert_eq!(state.revision(), revision);
                     let view = state.view();
-                    let shown = &view.backends[&SERVICE.into()][0];
-                    prop_assert_eq!(shown.incarnation, revision);
+                    let record = &view.backends[&SERVICE.into()][0];
+                    prop_assert_eq!(record.incarnation, revision);
                 }
                 _ => prop_assert_eq!(before, after),
             }
--- a/crates/sablehaven-wire/src/clock.rs
+++ b/crates/sablehaven-wire/src/clock.rs
@@ -1,29 +1,29 @@
-//! The process's monotonic clock as durations since its start, on which leases are counted.
+//! A monotonic clock whose readings are durations since its start. Leases are timed with it.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Reads the monotonic clock; copies share the same start.
+/// A monotonic clock. Copies have the same start.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     start: Instant,
 }
 
 impl MonotonicClock {
-    /// A clock that reads 0 now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
         }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// The instant at which [`Self::now`] reads `at`.
+    /// Returns the instant at which [`Self::now`] returns `at`.
     pub fn instant(&self, at: Duration) -> Instant {
         self.start + at
     }
--- a/crates/sablehaven-wire/src/connect_timeout.rs
+++ b/crates/sablehaven-wire/src/connect_timeout.rs
@@ -1,47 +1,46 @@
-//! How long an attempt to connect is waited for.
+//! The timeout for attempts to connect to a peer.
 
 use std::time::Duration;
 
 use tokio::time::timeout;
 
-/// The first patience: many round trips between regions, and far less than the second after which
-/// the system sends a lost first packet again. A machine that has just got its power back did not
-/// hear the first one.
-const FIRST_PATIENCE: Duration = Duration::from_millis(250);
-/// The longest patience, for a peer that is slow and not away.
-const LONGEST_PATIENCE: Duration = Duration::from_secs(2);
+/// The initial timeout. It allows many round trips between regions, and is far less than the second after which the
+/// system retransmits a lost first packet: a machine whose power has just returned did not receive the first one.
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(250);
+/// The maximum timeout, for a peer that is slow but not down.
+const MAXIMUM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the next attempt to connect to one peer is waited for: longer after each one that had no
-/// answer in time, so that a slow peer is reached in the end.
+/// The timeout for the next attempt to connect to a peer. It doubles with each attempt that times out, so that a slow
+/// peer is reached eventually.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectTimeout {
-    next: Duration,
+    current: Duration,
 }
 
 impl Default for ConnectTimeout {
     fn default() -> Self {
         Self {
-            next: FIRST_PATIENCE,
+            current: INITIAL_TIMEOUT,
         }
     }
 }
 
 impl ConnectTimeout {
-    /// The time for the next attempt.
-    pub fn limit(&self) -> Duration {
-        self.next
+    /// Returns the timeout for the next attempt.
+    pub fn current(&self) -> Duration {
+        self.current
     }
 
-    /// One attempt: what came of `dial`, or `None` when it had no answer in time. An answer that only
-    /// refuses is one too.
-    pub async fn attempt<Dial: Future>(&mut self, dial: Dial) -> Option<Dial::Output> {
-        match timeout(self.next, dial).await {
-            Ok(dialled) => {
+    /// Runs one attempt. Returns its output, or `None` if it timed out. Any output resets the timeout, even if the
+    /// peer refused the connection.
+    pub async fn attempt<Connect: Future>(&mut self, connect: Connect) -> Option<Connect::Output> {
+        match timeout(self.current, connect).await {
+            Ok(output) => {
                 *self = Self::default();
-                Some(dialled)
+                Some(output)
             }
             Err(_) => {
-                self.next = (self.next * 2).min(LONGEST_PATIENCE);
+                self.current = (self.current * 2).min(MAXIMUM_TIMEOUT);
                 None
             }
         }
--- a/crates/sablehaven-wire/src/connection.rs
+++ b/crates/sablehaven-wire/src/connection.rs
@@ -1,4 +1,4 @@
-//! Framing and the version handshake.
+//! Connections between processes of a deployment: framing and the version handshake.
 
 use std::{
     marker::PhantomData,
@@ -26,66 +26,66 @@
 /// The largest frame that is accepted, in bytes.
 pub const MAXIMUM_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
-/// The largest frame that is accepted before the handshake is done, in bytes, so that a stranger
-/// cannot make this process reserve memory.
+/// The largest frame that is accepted before the handshake is complete, in bytes. Keeps an unknown
+/// peer from making this process allocate much memory.
 pub const MAXIMUM_HELLO_BYTES: usize = 4 * 1024;
 
-/// Time that a connection attempt with its handshake may take.
+/// Timeout for connecting and the handshake together, or for the handshake of an accepted connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Errors of an internal connection; each names the step and the peer.
+/// Errors of an internal connection. Each message names the failed step and the peer.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum WireError {
     /// connect to {peer}: {source}
     Connect {
-        /// The other side.
+        /// The address of the peer.
         peer: String,
-        /// The cause.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// handshake with {peer}: no answer in time
+    /// handshake with {peer}: timed out
     HandshakeTimeout {
-        /// The other side.
+        /// The address of the peer.
         peer: String,
     },
     /// handshake with {peer}: {reason}
     Refused {
-        /// The other side.
+        /// The address of the peer.
         peer: String,
-        /// What does not fit.
+        /// What is incompatible.
         reason: String,
     },
     /// receive from {peer}: {source}
     Receive {
-        /// The other side.
+        /// The address of the peer.
         peer: String,
-        /// The cause.
+        /// The underlying error.
         source: std::io::Error,
     },
     /// decode message from {peer}: {source}
     Decode {
-        /// The other side.
+        /// The address of the peer.
         peer: String,
-        /// The cause.
+        /// The underlying error.
         source: rmp_serde::decode::Error,
     },
     /// send to {peer}: {source}
     Send {
-        /// The other side.
+        /// The address of the peer.
         peer: String,
-        /// The cause.
+        /// The underlying error.
         source: std::io::Error,
     },
     /// encode message to {peer}: {source}
     Encode {
-        /// The other side.
+        /// The address of the peer.
         peer: String,
-        /// The cause.
+        /// The underlying error.
         source: rmp_serde::encode::Error,
     },
-    /// receive from {peer}: the other side closed the connection
+    /// receive from {peer}: connection closed by the peer
     Closed {
-        /// The other side.
+        /// The address of the peer.
         peer: String,
     },
 }
@@ -107,18 +107,18 @@
 
 /// A connection after the handshake.
 pub struct Connection<Incoming, Outgoing> {
-    /// The other side's first message.
+    /// The first message of the peer.
     pub hello: Hello,
-    /// The other side's address.
+    /// The address of the peer.
     pub peer_address: SocketAddr,
-    /// Receives.
+    /// The receiving half.
     pub reader: FrameReader<Incoming>,
-    /// Sends.
+    /// The sending half.
     pub writer: FrameWriter<Outgoing>,
 }
 
 impl<Message: DeserializeOwned> FrameReader<Message> {
-    /// Receives the next message. Safe to cancel: no frame is lost.
+    /// Receives the next message. Cancel safe: no frame is lost.
     pub async fn receive(&mut self) -> Result<Message, WireError> {
         let frame = match self.inner.next().await {
             Some(Ok(frame)) => frame,
@@ -138,13 +138,13 @@
         })
     }
 
-    /// Bytes of all frames received so far, their lengths included.
+    /// Returns the number of bytes in all frames received so far, including their length headers.
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes
     }
 
-    /// Bytes that have arrived so far, also of a frame that is not whole yet: a large one that is on its way is a
-    /// sign of life too.
+    /// Returns the number of bytes received so far, including those of an incomplete frame. A peer that is in the
+    /// middle of sending a large frame can thus be recognized as alive.
     pub fn arrived_bytes(&self) -> u64 {
         self.received_bytes + self.inner.read_buffer().len() as u64
     }
@@ -160,13 +160,13 @@
 }
 
 impl<Message: Serialize> FrameWriter<Message> {
-    /// Sends one message.
+    /// Sends one message, after those that are queued.
     pub async fn send(&mut self, message: &Message) -> Result<(), WireError> {
         self.feed(message).await?;
         self.flush().await
     }
 
-    /// Queues one message; [`Self::flush`] sends what is queued.
+    /// Queues one message. [`Self::flush`] sends the queued messages.
     pub async fn feed(&mut self, message: &Message) -> Result<(), WireError> {
         let encoded = EncodedMessage::new(message).map_err(|source| WireError::Encode {
             peer: self.peer.clone(),
@@ -175,7 +175,7 @@
         self.feed_encoded(&encoded).await
     }
 
-    /// Queues one message that was encoded before, so that many connections share the work.
+    /// Queues a message that is already encoded, so that it is encoded only once for many connections.
     pub async fn feed_encoded(
         &mut self,
         message: &EncodedMessage<Message>,
@@ -184,12 +184,12 @@
         result.map_err(|source| self.send_error(source))
     }
 
-    /// Bytes of all frames queued or sent so far, their lengths included.
+    /// Returns the number of bytes in all frames queued or sent so far, including their length headers.
     pub fn sent_bytes(&self) -> u64 {
         self.queue.total_bytes()
     }
 
-    /// Sends what is queued.
+    /// Sends the queued messages.
     pub async fn flush(&mut self) -> Result<(), WireError> {
         let result = self.queue.flush().await;
         result.map_err(|source| self.send_error(source))
@@ -211,26 +211,26 @@
     }
 }
 
-/// Connects to `address` and shakes hands; the other side must be of role `expected`.
+/// Connects to `address` and performs the handshake. The peer must have the role `expected_role`.
 pub async fn connect<Incoming, Outgoing>(
     address: SocketAddr,
     hello: &Hello,
-    expected: Role,
+    expected_role: Role,
 ) -> Result<Connection<Incoming, Outgoing>, WireError>
 where
     Incoming: DeserializeOwned,
     Outgoing: Serialize,
 {
-    connect_from(None, address, hello, expected).await
+    connect_from(None, address, hello, expected_role).await
 }
 
-/// As [`connect`], from the given IP number: a machine with several network interfaces says by it
-/// which one its control traffic takes.
+/// Like [`connect`], but binds the local end to `local_ip` if it is given. On a machine with several
+/// network interfaces, this selects the one for control traffic.
 pub async fn connect_from<Incoming, Outgoing>(
-    source: Option<IpAddr>,
+    local_ip: Option<IpAddr>,
     address: SocketAddr,
     hello: &Hello,
-    expected: Role,
+    expected_role: Role,
 ) -> Result<Connection<Incoming, Outgoing>, WireError>
 where
     Incoming: DeserializeOwned,
@@ -238,17 +238,20 @@
 {
     let peer = address.to_string();
     let attempt = async {
-        let stream = open_stream(source, address)
+        let stream = open_stream(local_ip, address)
             .await
             .map_err(|source| WireError::Connect {
                 peer: peer.clone(),
                 source,
             })?;
-        let connection = shake_hands(stream, address, hello).await?;
-        if connection.hello.role != expected {
+        let connection = perform_handshake(stream, address, hello).await?;
+        if connection.hello.role != expected_role {
             return Err(WireError::Refused {
                 peer: peer.clone(),
-                reason: format!("its role is {:?}, not {expected:?}", connection.hello.role),
+                reason: format!(
+                    "peer has role {:?}, expected {expected_role:?}",
+                    connection.hello.role
+                ),
             });
         }
         Ok(connection)
@@ -259,27 +262,27 @@
     }
 }
 
-async fn open_stream(source: Option<IpAddr>, address: SocketAddr) -> std::io::Result<TcpStream> {
-    let Some(source) = source else {
+async fn open_stream(local_ip: Option<IpAddr>, address: SocketAddr) -> std::io::Result<TcpStream> {
+    let Some(local_ip) = local_ip else {
         return TcpStream::connect(address).await;
     };
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    socket.bind(SocketAddr::new(source, 0))?;
+    socket.bind(SocketAddr::new(local_ip, 0))?;
     socket.connect(address).await
 }
 
-/// Shakes hands on an accepted stream; the caller looks at the other side's role in
-/// [`Connection::hello`] and then gives the halves their message types by [`Connection::retype`].
+/// Performs the handshake on an accepted stream. The caller then reads the role of the peer from
+/// [`Connection::hello`] and sets the message types with [`Connection::retype`].
 pub async fn accept(
     stream: TcpStream,
     peer_address: SocketAddr,
     hello: &Hello,
 ) -> Result<Connection<Hello, Hello>, WireError> {
-    let shaken = shake_hands(stream, peer_address, hello);
-    match timeout(HANDSHAKE_TIMEOUT, shaken).await {
+    let handshake = perform_handshake(stream, peer_address, hello);
+    match timeout(HANDSHAKE_TIMEOUT, handshake).await {
         Ok(result) => result,
         Err(_) => Err(WireError::HandshakeTimeout {
             peer: peer_address.to_string(),
@@ -288,7 +291,7 @@
 }
 
 impl<Incoming, Outgoing> Connection<Incoming, Outgoing> {
-    /// The same connection with other message types.
+    /// Converts the connection to other message types.
     pub fn retype<OtherIncoming, OtherOutgoing>(self) -> Connection<OtherIncoming, OtherOutgoing>
     where
         Incoming: DeserializeOwned,
@@ -303,7 +306,7 @@
     }
 }
 
-async fn shake_hands<Incoming, Outgoing>(
+async fn perform_handshake<Incoming, Outgoing>(
     stream: TcpStream,
     peer_address: SocketAddr,
     hello: &Hello,
@@ -332,35 +335,35 @@
         message: PhantomData,
     };
     writer.send(hello).await?;
-    let theirs = reader.receive().await?;
-    check_hello(&peer, hello, &theirs)?;
+    let remote = reader.receive().await?;
+    check_hello(&peer, hello, &remote)?;
     let decoder = reader.inner.decoder_mut();
     decoder.set_max_frame_length(MAXIMUM_FRAME_BYTES);
     Ok(Connection {
-        hello: theirs,
+        hello: remote,
         peer_address,
         reader: reader.retype(),
         writer: writer.retype(),
     })
 }
 
-fn check_hello(peer: &str, ours: &Hello, theirs: &Hello) -> Result<(), WireError> {
+fn check_hello(peer: &str, local: &Hello, remote: &Hello) -> Result<(), WireError> {
     let refuse = |reason: String| {
         Err(WireError::Refused {
             peer: peer.to_owned(),
             reason,
         })
     };
-    if theirs.protocol_version != ours.protocol_version {
+    if remote.protocol_version != local.protocol_version {
         return refuse(format!(
-            "it speaks protocol version {}, this process speaks {}",
-            theirs.protocol_version, ours.protocol_version
+            "peer uses protocol version {}, this process uses {}",
+            remote.protocol_version, local.protocol_version
         ));
     }
-    if theirs.deployment != ours.deployment {
+    if remote.deployment != local.deployment {
         return refuse(format!(
-            "it belongs to deployment '{}', this process to '{}'",
-            theirs.deployment, ours.deployment
+            "peer belongs to deployment '{}', this process to '{}'",
+            remote.deployment, local.deployment
         ));
     }
     Ok(())
--- a/crates/sablehaven-wire/src/encoded.rs
+++ b/crates/sablehaven-wire/src/encoded.rs
@@ -1,14 +1,14 @@
-//! A message that is encoded once and sent on many connections.
+//! Messages that are encoded once and sent on many connections.
 
 use std::marker::PhantomData;
 
 use bytes::Bytes;
 use serde::Serialize;
 
-/// Bytes of the length in front of each frame.
+/// Size of the length header at the start of each frame, in bytes.
 pub(crate) const FRAME_HEADER_BYTES: usize = 4;
 
-/// One encoded message of a known type; clones share the bytes.
+/// An encoded message of a known type. Clones share the bytes.
 pub struct EncodedMessage<Message> {
     frame: Bytes,
     message: PhantomData<fn(&Message)>,
@@ -19,7 +19,7 @@
     pub fn new(message: &Message) -> Result<Self, rmp_serde::encode::Error> {
         let mut frame = vec![0; FRAME_HEADER_BYTES];
         rmp_serde::encode::write(&mut frame, message)?;
-        // A message too long for the length is refused when it is sent; see `FrameQueue::push`.
+        // A message whose length exceeds the header's range is rejected when it is sent, by `FrameQueue::push`.
         let length = u32::try_from(frame.len() - FRAME_HEADER_BYTES).unwrap_or(u32::MAX);
         frame[..FRAME_HEADER_BYTES].copy_from_slice(&length.to_be_bytes());
         Ok(Self {
@@ -30,17 +30,17 @@
 }
 
 impl<Message> EncodedMessage<Message> {
-    /// The encoded message, without the frame's length.
+    /// Returns the encoded message without the length header.
     pub fn bytes(&self) -> Bytes {
         self.frame.slice(FRAME_HEADER_BYTES..)
     }
 
-    /// The number of encoded bytes, without the frame's length.
+    /// Returns the size of the encoded message in bytes, without the length header.
     pub fn size(&self) -> usize {
         self.frame.len() - FRAME_HEADER_BYTES
     }
 
-    /// The whole frame.
+    /// Returns the frame: the length header and the encoded message.
     pub(crate) fn frame(&self) -> Bytes {
         self.frame.clone()
     }
--- a/crates/sablehaven-wire/src/frame_queue.rs
+++ b/crates/sablehaven-wire/src/frame_queue.rs
@@ -1,7 +1,7 @@
-//! Frames on their way to a socket.
+//! A queue of frames to be written to a socket.
 //!
-//! Frames are queued as shared bytes, so that an update to many connections is in memory once,
-//! however slow some of them are.
+//! Frames are queued as shared bytes. An update that is sent on many connections is therefore held
+//! in memory once, even if some of the connections are slow.
 
 use std::{
     collections::VecDeque,
@@ -13,13 +13,13 @@
 
 use crate::{MAXIMUM_FRAME_BYTES, encoded::FRAME_HEADER_BYTES};
 
-/// Bytes queued before [`FrameQueue::push`] has to write some.
+/// Number of queued bytes from which [`FrameQueue::push`] flushes the queue first.
 const QUEUE_LIMIT_BYTES: usize = 8 * 1024;
 
-/// Frames given to the kernel in one call.
+/// Maximum number of frames passed to one vectored write.
 const MAXIMUM_SLICES: usize = 64;
 
-/// Frames that wait to be written, and the socket.
+/// A socket with the frames that are still to be written to it.
 pub(crate) struct FrameQueue {
     socket: OwnedWriteHalf,
     frames: VecDeque<Bytes>,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Queues a frame; writes earlier ones first if too much is queued. A frame that is too large
-    /// is refused. Safe to cancel: the frame is queued whole or not at all.
+    /// Queues a frame. If the queue has reached its limit, it is flushed first. A frame that is too
+    /// large is rejected. Cancel safe: the frame is queued completely or not at all.
     pub(crate) async fn push(&mut self, frame: Bytes) -> Result<(), Error> {
         if frame.len() > MAXIMUM_FRAME_BYTES + FRAME_HEADER_BYTES {
             return Err(Error::new(ErrorKind::InvalidInput, "frame size too big"));
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Writes all that is queued. Safe to cancel: what was not written stays queued.
+    /// Writes all queued frames. Cancel safe: bytes that were not written stay queued.
     pub(crate) async fn flush(&mut self) -> Result<(), Error> {
         while !self.frames.is_empty() {
             let slices: Vec<IoSlice<'_>> = self
@@ -70,11 +70,12 @@
         Ok(())
     }
 
-    /// Bytes of all frames queued so far, their lengths included.
+    /// Returns the number of bytes in all frames queued so far, including their length headers.
     pub(crate) fn total_bytes(&self) -> u64 {
         self.total_bytes
     }
 
+    /// Removes the first `written` bytes from the queue.
     fn advance(&mut self, mut written: usize) {
         self.queued_bytes -= written;
         while let Some(frame) = self.frames.front_mut() {
--- a/crates/sablehaven-wire/src/lib.rs
+++ b/crates/sablehaven-wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! Internal messages between control, relay and agent, their framing and the version handshake.
+//! Internal messages between the control replicas, relays, agents and gateways, their framing and the
+//! version handshake.
 //!
-//! Every connection starts with a [`Hello`] in each direction. Each frame is a four-byte big-endian
-//! length and one `rmp-serde` value.
+//! Each side starts a connection by sending a [`Hello`]. A frame consists of its length, as four
+//! bytes in big-endian order, and one value encoded with `rmp-serde`.
 
 mod clock;
 mod connect_timeout;
--- a/crates/sablehaven-wire/src/message.rs
+++ b/crates/sablehaven-wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of each link.
+//! The messages exchanged between processes of each pair of roles.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The role of a process on a connection.
+/// The role of a process in a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
     /// A control replica.
@@ -23,60 +23,61 @@
     Gateway,
 }
 
-/// The first message in each direction.
+/// The first message that each side of a connection sends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The version of the internal protocol; an unknown one is refused.
+    /// The version of the internal protocol. A different version is rejected.
     pub protocol_version: u32,
-    /// The deployment; a process of another one is refused.
+    /// The deployment. A process of another deployment is rejected.
     pub deployment: String,
     /// The sender's role.
     pub role: Role,
-    /// The sender's identifier, for errors and logs.
+    /// The sender's identifier, for error messages and logs.
     pub sender: String,
 }
 
-/// New state, only of the services that the receiver is interested in.
+/// An update of the state, limited to the services that the receiver is interested in.
 ///
 /// A receiver applies an update only if `from_revision` is its own revision or `full` is set, and
-/// never goes back to a smaller `revision`.
+/// never reverts to a smaller `revision`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateUpdate {
-    /// Whether this is the whole state, which replaces what the receiver has.
+    /// Whether this is the complete state, which replaces the state of the receiver.
     pub full: bool,
-    /// The revision that the update starts from (0 for a full one).
+    /// The revision that the update is based on, or 0 for a full update.
     pub from_revision: u64,
-    /// The revision after the update. Grows with every committed change of configuration or
-    /// membership; it is the index in control's log.
+    /// The revision after the update. It grows with every committed change of the configuration or
+    /// the membership, and is the index of that change in the log of control.
     pub revision: u64,
-    /// The version of the configuration after the update.
+    /// The configuration version after the update.
     pub configuration_version: u64,
-    /// The schema, where it changed.
+    /// The schema, if it has changed.
     pub schema: Option<SchemaSource>,
-    /// Services that were added or changed; `None` means removed.
+    /// Services that were added or changed, or `None` for a removed service.
     pub services: BTreeMap<ServiceName, Option<ServiceConfiguration>>,
-    /// Back ends that were added or changed; `None` means removed.
+    /// Back ends that were added or changed, or `None` for a removed back end.
     pub backends: BTreeMap<BackendId, Option<BackendRecord>>,
-    /// For services whose number changed: how many agents watch the service, rounded up to a power
-    /// of two so that it changes seldom. Sizes the subsets within the servers' connection limits.
+    /// The number of agents that watch a service, for services for which it has changed. It is rounded
+    /// up to a power of two so that it changes rarely. Agents choose the size of their subsets of
+    /// servers by it, to stay within the servers' connection limits.
     pub agents_per_service: BTreeMap<ServiceName, u32>,
 }
 
-/// Whether a receiver may apply an update.
+/// The result of checking whether a receiver may apply an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateCheck {
-    /// It leads forward from the receiver's state.
+    /// The update advances the receiver's state and can be applied.
     Applies,
-    /// Its revision is not larger than the receiver's; to be ignored.
+    /// The update's revision is not larger than the receiver's. The receiver ignores it.
     Stale,
-    /// It starts from another revision than the receiver's; to be asked for again.
+    /// The update is based on a revision other than the receiver's. The receiver requests a new one.
     Gap,
-    /// Its revision is larger, but its configuration version is smaller: the sender is faulty.
+    /// The update's revision is larger, but its configuration version is smaller. The sender is faulty.
     Reverted,
 }
 
 impl StateUpdate {
-    /// Whether a receiver at the given revision and configuration version may apply this update.
+    /// Checks whether a receiver at the given revision and configuration version may apply this update.
     pub fn check(&self, revision: u64, configuration_version: u64) -> UpdateCheck {
         if self.revision <= revision {
             return UpdateCheck::Stale;
@@ -91,248 +92,248 @@
     }
 }
 
-/// An agent as its relay reports it to control.
+/// The status of an agent, as its relay reports it to control.
 ///
-/// The word of one relay says nothing about another's: an agent that moves is reported by both for
-/// a while, and the larger version is right, since an agent only moves forward. A relay reports
-/// again when an agent's lease runs out; until then a reported holder stays one, as long as the
-/// relay's own connection lives.
+/// The reports of different relays are independent. An agent that changes its relay is reported by
+/// both for a while; the larger version is the correct one, since an agent never reverts to an older
+/// version. A relay reports an agent again when the agent's lease expires. Until then, control counts
+/// the agent as a lease holder, as long as the connection of the relay lasts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentStatus {
-    /// The version of the configuration that it has put in force.
+    /// The configuration version in force at the agent.
     pub configuration_version: u64,
-    /// Where it runs.
+    /// The placement of the agent.
     pub placement: Placement,
-    /// The services it calls; empty means all.
+    /// The services that the agent calls. An empty set means all services.
     pub interest: BTreeSet<ServiceName>,
-    /// Time since the agent was last granted a lease, in milliseconds; when it passes the lease's
-    /// duration the agent holds none.
+    /// Time since the agent was last granted a lease, in milliseconds. Once it exceeds the duration of
+    /// the lease, the agent no longer holds a lease.
     pub lease_age_ms: u64,
 }
 
-/// Proof that the leader was current at a moment not longer ago than `age_ms`.
+/// A proof that the leader was current at some time within the last `age_ms` milliseconds.
 ///
-/// The receiver counts the age back from the moment at which it sent the request that this answers,
-/// on its own monotonic clock, so that no two clocks are compared.
+/// The receiver subtracts the age from the time at which it sent the answered request, on its own
+/// monotonic clock, so that the clocks of two machines are never compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Echoes the request.
+    /// The nonce of the request.
     pub nonce: u64,
     /// Time between the proof and the sending of this reply, in milliseconds.
     pub age_ms: u64,
-    /// The lease lasts this long from the proof, in milliseconds.
+    /// Duration of the lease, counted from the proof, in milliseconds.
     pub duration_ms: u64,
-    /// The revision that was in force at the proof; a lease holds only for a receiver that has
-    /// applied it.
+    /// The revision in force when the proof was made. The lease is valid only for a receiver that has
+    /// applied this revision.
     pub revision: u64,
-    /// The version of the configuration that was in force at the proof.
+    /// The configuration version in force when the proof was made.
     pub configuration_version: u64,
 }
 
-/// From an agent to its relay.
+/// Messages from an agent to its relay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentToRelay {
-    /// Asks for updates; sent first, and again when the interest changes.
+    /// Requests updates. Sent first, and again when the interest changes or an update is missing.
     Watch {
         /// The agent.
         agent: AgentId,
-        /// Where it runs.
+        /// The placement of the agent.
         placement: Placement,
-        /// The services it calls; empty means all.
+        /// The services that the agent calls. An empty set means all services.
         interest: BTreeSet<ServiceName>,
-        /// The revision it has (0 for none).
+        /// The revision that the sender has, or 0 for none.
         revision: u64,
     },
-    /// The agent has put a revision in force.
+    /// Confirms that the agent has put a revision in force.
     Acknowledge {
         /// The revision.
         revision: u64,
-        /// The version of the configuration.
+        /// The configuration version.
         configuration_version: u64,
     },
-    /// Asks for a lease.
+    /// Requests a lease.
     RequestLease {
-        /// Echoed in the grant.
+        /// The nonce that the grant repeats.
         nonce: u64,
     },
-    /// What the agent saw of back ends since its last report.
+    /// The agent's observations of back ends since its last report.
     Observe(Vec<Observation>),
-    /// A call to the ledger, answered by [`RelayToAgent::Ledger`] with the same number.
+    /// A call to the ledger. The reply is a [`RelayToAgent::Ledger`] with the same number.
     Ledger {
-        /// Unique on this connection.
+        /// The number of the call, unique on this connection.
         call: u64,
         /// The request.
         request: LedgerRequest,
     },
-    /// The agent stops: it is no longer waited for.
+    /// The agent is stopping. Nothing waits for its acknowledgements any longer.
     Leave,
 }
 
-/// From a relay to an agent.
+/// Messages from a relay to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RelayToAgent {
-    /// New state.
+    /// An update of the state.
     Update(StateUpdate),
-    /// A lease.
+    /// Grants a lease.
     Lease(LeaseGrant),
-    /// The answer to a ledger call.
+    /// The reply to a ledger call.
     Ledger {
-        /// The call.
+        /// The number of the call.
         call: u64,
         /// The reply.
         reply: LedgerReply,
     },
-    /// Another agent's word that a back end drains, passed on before control has committed it.
+    /// Reports by other agents that back ends are draining, forwarded before control has committed them.
     Hint(Vec<Observation>),
-    /// The relay stops: connect to another one.
+    /// The relay is stopping. The agent should connect to another relay.
     GoAway,
 }
 
-/// From a relay to a control replica.
+/// Messages from a relay to a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RelayToControl {
-    /// Asks for updates of all services.
+    /// Requests updates for all services.
     Watch {
         /// The relay.
         relay: RelayId,
-        /// The revision it has (0 for none).
+        /// The revision that the sender has, or 0 for none.
         revision: u64,
     },
-    /// Asks for a proof that the leader is current.
+    /// Requests a proof that the leader is current.
     RequestLease {
-        /// Echoed in the grant.
+        /// The nonce that the grant repeats.
         nonce: u64,
     },
-    /// The agents behind this relay; sent in full once a connection, then changes only. `None` means
-    /// that the agent left.
+    /// The agents connected to this relay. Sent completely once per connection, then only the changes.
+    /// `None` means that the agent has left.
     Agents(BTreeMap<AgentId, Option<AgentStatus>>),
-    /// What agents saw of back ends.
+    /// The agents' observations of back ends.
     Observe {
-        /// Each agent with what it saw.
+        /// Each observation with the agent that made it.
         observations: Vec<(AgentId, Observation)>,
     },
-    /// A batch of ledger calls, each answered with the same number.
+    /// A batch of numbered ledger calls. The reply to each call has the same number.
     Ledger(Vec<(u64, LedgerRequest)>),
 }
 
-/// From a control replica to a relay.
+/// Messages from a control replica to a relay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlToRelay {
-    /// New state.
+    /// An update of the state.
     Update(StateUpdate),
-    /// A proof.
+    /// A proof that the leader is current.
     Lease(LeaseGrant),
-    /// Answers to ledger calls.
+    /// Replies to ledger calls, each with the number of its call.
     Ledger(Vec<(u64, LedgerReply)>),
-    /// This replica does not lead; try the named address, or another replica.
+    /// This replica is not the leader. The relay should connect to the given leader or to another replica.
     NotLeader {
-        /// The leader's address for internal connections, where known.
+        /// The leader's address for internal connections, if known.
         leader: Option<std::net::SocketAddr>,
     },
-    /// The replica stops: connect to another one.
+    /// The replica is stopping. The relay should connect to another replica.
     GoAway,
 }
 
-/// Between control replicas: one consensus message of one group, encoded by control.
+/// A consensus message between control replicas, belonging to one consensus group and encoded by control.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerMessage {
     /// The consensus group.
     pub group: u32,
-    /// The encoded message, as one byte string on the wire.
+    /// The encoded message, sent as one byte string.
     pub payload: bytes::Bytes,
 }
 
-/// From a gateway to a control replica.
+/// Messages from a gateway to a control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayToControl {
-    /// Where the gateway stands; sent first and at each change.
+    /// The gateway's status. Sent first and at each change.
     Status(GatewayStatus),
-    /// A sign of life between two statuses.
+    /// A keep-alive with the gateway's load, sent between two statuses.
     Alive(GatewayLoad),
-    /// Asks for routes that are newer than this version.
+    /// Requests routes that are newer than this version.
     FetchRoutes(u64),
-    /// Asks for what leads from this reading of the platform's list to the replica's.
+    /// Requests the changes from this listing to the replica's current listing.
     FetchListing(ListingNumber),
-    /// Whether the replica is the one that tells this gateway who takes part; none is before it is said.
+    /// Whether the replica is to send this gateway the members of the deployment. It does not until it receives `true`.
     Prefer(bool),
-    /// Requests under which servers ended, for all other gateways. What is known goes out at the start of each
-    /// connection, what is new at once.
+    /// Reports of requests during which servers crashed, for all other gateways. Known reports are sent at the start of
+    /// each connection, and new ones immediately.
     Crashes(Vec<CrashReport>),
-    /// Asks for tokens of tenants' quotas, each answered by a [`TokenReply`] with the same number.
+    /// Requests tokens from the quotas of tenants. Each request is answered by a [`TokenReply`] with the same number.
     TakeTokens(Vec<TokenRequest>),
 }
 
-/// Where a gateway stands.
+/// The status of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayStatus {
-    /// Where callers reach it.
+    /// The address at which callers reach the gateway.
     pub address: std::net::SocketAddr,
-    /// Where it runs.
+    /// The placement of the gateway.
     pub placement: Placement,
-    /// Whether it takes callers' requests: it has routes and is not stopping.
+    /// Whether the gateway accepts requests from callers: it has routes and is not stopping.
     pub is_ready: bool,
-    /// The version of the routes that it has put in force; 0 for none.
+    /// The version of the routes in force at the gateway, or 0 for none.
     pub routes_version: u64,
-    /// The reading of the platform's list that it has.
+    /// The number of the listing that the gateway has.
     pub listing: ListingNumber,
-    /// The revision of the evacuated zones that it obeys; 0 for none.
+    /// The revision of the evacuated zones in force at the gateway, or 0 for none.
     pub evacuation_revision: u64,
 }
 
-/// How much a gateway has had to do over the last second or so.
+/// The load of a gateway over about the last second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayLoad {
-    /// Part of the time in which it was working, in thousandths.
+    /// The fraction of time in which the gateway was busy, in thousandths.
     pub busy_permille: u16,
-    /// Attempts at servers that it has begun: a query over many shards counts once for each.
+    /// Number of attempts started at servers. A query over several shards counts once for each shard.
     pub attempts: u32,
 }
 
-/// From a control replica to a gateway.
+/// Messages from a control replica to a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlToGateway {
-    /// Where the replica runs; sent first.
+    /// The placement of the replica. Sent first.
     Placement(Placement),
-    /// What the replica has. Sent at the start and at each change; the gateway fetches what it lacks.
+    /// The versions that the replica has. Sent at the start and at each change. The gateway fetches what it lacks.
     Versions(StateVersions),
     /// Committed routes.
     Routes(std::sync::Arc<RouteDocument>),
-    /// A reading of the platform's list.
+    /// A listing of the platform's servers.
     Listing(std::sync::Arc<ServerListing>),
-    /// What a reading of the platform's list says otherwise than the one that the gateway has.
+    /// The changes of a listing since the one that the gateway has.
     ListingChange(ListingChange),
-    /// Who takes part.
+    /// The members of the deployment.
     Members(DeploymentMembers),
-    /// Zones whose servers are to get nothing new. Sent before any routes, so that a gateway that starts
-    /// does not serve without knowing them.
+    /// The zones whose servers must get no new requests. Sent before any routes, so that a starting gateway does not
+    /// serve requests before it knows these zones.
     Evacuation(EvacuatedZones),
-    /// Requests under which servers ended, as gateways have reported them.
+    /// Reports of requests during which servers crashed, received from gateways.
     Crashes(Vec<CrashReport>),
-    /// A sign of life.
+    /// A keep-alive.
     Alive,
-    /// Answers to [`GatewayToControl::TakeTokens`].
+    /// Replies to [`GatewayToControl::TakeTokens`].
     Tokens(Vec<TokenReply>),
-    /// What committed routes say otherwise than the version that the gateway has.
+    /// The changes of the committed routes since the version that the gateway has.
     RoutesChange(RoutesChange),
 }
 
-/// The versions of what a control replica has for gateways.
+/// The versions of the data that a control replica provides to gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateVersions {
-    /// The version of its routes; 0 for none.
+    /// The version of the routes, or 0 for none.
     pub routes: u64,
-    /// Its reading of the platform's list.
+    /// The number of the listing.
     pub listing: ListingNumber,
 }
 
-/// Who takes part in the deployment, as one control replica sees it.
+/// The members of the deployment, as known to one control replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeploymentMembers {
     /// Internal addresses of the control replicas.
     pub controls: BTreeSet<std::net::SocketAddr>,
-    /// Gateways by zone that callers are told of or that still take requests: those that share what
-    /// servers bear.
+    /// Number of gateways in each zone that are advertised to callers or still accept requests. The capacity of the
+    /// servers is divided among these gateways.
     pub gateways: BTreeMap<ZoneName, u32>,
-    /// Whether the gateway that is told this is one of them. Others have no part of what is shared.
+    /// Whether the receiving gateway is one of these gateways. Other gateways get no share of the capacity.
     pub is_sharer: bool,
 }
--- a/crates/sablehaven-wire/src/suspension_clock.rs
+++ b/crates/sablehaven-wire/src/suspension_clock.rs
@@ -1,4 +1,4 @@
-//! A steady clock that goes on while the machine is suspended.
+//! Monotonic clocks that keep running while the machine is suspended.
 
 use std::{
     sync::atomic::{AtomicBool, Ordering},
@@ -7,39 +7,40 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// A steady clock that goes on while the machine is suspended, so that what held before is not taken to hold after.
+/// A monotonic clock that keeps running while the machine is suspended, so that what was valid before a suspension is
+/// not assumed to be still valid after it.
 pub trait SuspendAwareClock {
-    /// The time since any fixed point.
+    /// Returns the time since an arbitrary fixed point.
     fn now(&self) -> Duration;
 }
 
-/// The system's clock of the time since its start, suspension included. Where the system has none, the steady time since
-/// the start of the process.
+/// The time since the system was booted, including the time spent suspended (`CLOCK_BOOTTIME`). If the system has no
+/// such clock, the monotonic time since this value was created.
 #[derive(Debug)]
 pub struct BootTimeClock {
     started_at: Instant,
-    is_refused: AtomicBool,
+    is_unsupported: AtomicBool,
 }
 
 impl Default for BootTimeClock {
     fn default() -> Self {
         Self {
             started_at: Instant::now(),
-            is_refused: AtomicBool::new(false),
+            is_unsupported: AtomicBool::new(false),
         }
     }
 }
 
 impl SuspendAwareClock for BootTimeClock {
     fn now(&self) -> Duration {
-        if !self.is_refused.load(Ordering::Relaxed) {
+        if !self.is_unsupported.load(Ordering::Relaxed) {
             match clock_gettime(ClockId::CLOCK_BOOTTIME) {
                 Ok(time) => return time.into(),
                 Err(error) => {
-                    self.is_refused.store(true, Ordering::Relaxed);
+                    self.is_unsupported.store(true, Ordering::Relaxed);
                     log::warn!(
                         event = "no_suspension_clock", reason:% = error;
-                        "read clock that counts suspension: ages are counted by steady time instead"
+                        "cannot read CLOCK_BOOTTIME; ages are measured with the monotonic clock and exclude time spent suspended"
                     );
                 }
             }
--- a/crates/sablehaven-wire/tests/connect_timeout.rs
+++ b/crates/sablehaven-wire/tests/connect_timeout.rs
@@ -1,4 +1,4 @@
-//! How long a peer that does not answer is waited for.
+//! Tests of the timeout for attempts to connect.
 
 use std::{
     future::{pending, ready},
@@ -8,20 +8,20 @@
 use sablehaven_wire::ConnectTimeout;
 
 #[tokio::test(start_paused = true)]
-async fn patience_grows_while_nobody_answers_and_starts_over_with_an_answer() {
-    let mut patience = ConnectTimeout::default();
-    let first = patience.limit();
-    assert_eq!(patience.attempt(pending::<()>()).await, None);
-    assert_eq!(patience.limit(), first * 2);
-    assert_eq!(patience.attempt(ready("refused")).await, Some("refused"));
-    assert_eq!(patience.limit(), first);
+async fn the_timeout_doubles_without_an_answer_and_is_reset_by_one() {
+    let mut timeout = ConnectTimeout::default();
+    let first = timeout.current();
+    assert_eq!(timeout.attempt(pending::<()>()).await, None);
+    assert_eq!(timeout.current(), first * 2);
+    assert_eq!(timeout.attempt(ready("refused")).await, Some("refused"));
+    assert_eq!(timeout.current(), first);
 }
 
 #[tokio::test(start_paused = true)]
-async fn patience_has_an_end() {
-    let mut patience = ConnectTimeout::default();
+async fn the_timeout_has_a_maximum() {
+    let mut timeout = ConnectTimeout::default();
     for _ in 0..10 {
-        assert_eq!(patience.attempt(pending::<()>()).await, None);
+        assert_eq!(timeout.attempt(pending::<()>()).await, None);
     }
-    assert_eq!(patience.limit(), Duration::from_secs(2));
+    assert_eq!(timeout.current(), Duration::from_secs(2));
 }
--- a/crates/sablehaven-wire/tests/frames.rs
+++ b/crates/sablehaven-wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames after the handshake: order, sharing, limits.
+//! Tests of frames after the handshake: order, shared encoding, size limits and cancellation.
 
 use sablehaven_types::{AgentId, Placement};
 use sablehaven_wire::{
@@ -19,14 +19,14 @@
     }
 }
 
-async fn pair() -> (AgentSide, RelaySide) {
+async fn connected_pair() -> (AgentSide, RelaySide) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let server = async {
         let (stream, peer) = listener.accept().await.expect("accept");
         accept(stream, peer, &hello(Role::Relay))
             .await
-            .expect("shake")
+            .expect("handshake")
     };
     let agent_hello = hello(Role::Agent);
     let client = connect(address, &agent_hello, Role::Relay);
@@ -47,8 +47,8 @@
 }
 
 #[tokio::test]
-async fn messages_arrive_whole_and_in_order() {
-    let (mut agent, mut relay) = pair().await;
+async fn messages_arrive_complete_and_in_order() {
+    let (mut agent, mut relay) = connected_pair().await;
     agent.writer.feed(&watch()).await.expect("feed");
     for nonce in 1..=100 {
         let request = AgentToRelay::RequestLease { nonce };
@@ -64,8 +64,8 @@
 }
 
 #[tokio::test]
-async fn an_encoded_message_arrives_as_the_message() {
-    let (mut agent, mut relay) = pair().await;
+async fn a_message_encoded_once_can_be_sent_repeatedly() {
+    let (mut agent, mut relay) = connected_pair().await;
     let update = RelayToAgent::Update(StateUpdate {
         full: true,
         revision: 5,
@@ -80,17 +80,17 @@
 }
 
 #[tokio::test]
-async fn the_end_of_the_other_side_is_told() {
-    let (mut agent, relay) = pair().await;
+async fn a_connection_closed_by_the_peer_is_an_error() {
+    let (mut agent, relay) = connected_pair().await;
     drop(relay);
     let error = agent.reader.receive().await.expect_err("closed");
     assert!(matches!(error, WireError::Closed { .. }), "{error}");
 }
 
 #[tokio::test]
-async fn a_message_larger_than_a_frame_is_not_sent() {
-    let (mut agent, _relay) = pair().await;
-    let huge = AgentToRelay::Watch {
+async fn a_message_larger_than_the_maximum_frame_is_not_sent() {
+    let (mut agent, _relay) = connected_pair().await;
+    let oversized = AgentToRelay::Watch {
         agent: AgentId::from("a".repeat(sablehaven_wire::MAXIMUM_FRAME_BYTES)),
         placement: Placement {
             region: "west".into(),
@@ -99,15 +99,15 @@
         interest: Default::default(),
         revision: 0,
     };
-    let error = agent.writer.send(&huge).await.expect_err("too large");
+    let error = agent.writer.send(&oversized).await.expect_err("too large");
     assert!(matches!(error, WireError::Send { .. }), "{error}");
 }
 
-/// Many large frames to a receiver that does not read: the writes wait, and a cancelled one loses
-/// nothing.
+/// Sends large frames faster than the receiver reads them, so that writes have to wait and are
+/// cancelled. A cancelled write must neither lose nor repeat a frame.
 #[tokio::test]
-async fn cancelled_writes_lose_and_repeat_nothing() {
-    let (mut agent, mut relay) = pair().await;
+async fn cancelled_writes_neither_lose_nor_repeat_frames() {
+    let (mut agent, mut relay) = connected_pair().await;
     let update = |revision| {
         RelayToAgent::Update(StateUpdate {
             full: true,
@@ -118,12 +118,12 @@
             ..StateUpdate::default()
         })
     };
-    let writing = async {
+    let writer = async {
         for revision in 1..=100 {
             let message = update(revision);
             let encoded = EncodedMessage::new(&message).expect("encode");
             loop {
-                // Cancelled whenever the socket takes no more bytes at once.
+                // Cancels the write whenever the socket is not ready to accept more bytes.
                 let queued = tokio::select! {
                     biased;
                     queued = relay.writer.feed_encoded(&encoded) => Some(queued),
@@ -137,11 +137,11 @@
         }
         relay.writer.flush().await.expect("flush");
     };
-    let reading = async {
+    let reader = async {
         for revision in 1..=100 {
             let received = agent.reader.receive().await.expect("receive");
             assert_eq!(received, update(revision));
         }
     };
-    tokio::join!(writing, reading);
+    tokio::join!(writer, reader);
 }
--- a/crates/sablehaven-wire/tests/fuzz.rs
+++ b/crates/sablehaven-wire/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Random and damaged bytes as messages: a clear error or a message, never a panic, and no more
-//! memory than the bytes call for.
+//! Decodes random bytes and corrupted messages. The result must be an error or a message, never a
+//! panic, and its size must be bounded by the size of the input.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use sablehaven_types::{
@@ -11,7 +11,7 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-fn configuration() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: 2_000,
         rng_seed: RngSeed::Fixed(0x5ab1e),
@@ -23,12 +23,12 @@
 fn decode_as<Message: DeserializeOwned + Serialize>(bytes: &[u8]) {
     if let Ok(message) = rmp_serde::from_slice::<Message>(bytes) {
         let encoded = EncodedMessage::new(&message).expect("a decoded message encodes");
-        // Every value takes at least one byte in the input, and at most nine again in the output.
+        // Each value takes at least one byte of input and at most nine bytes when it is encoded again.
         assert!(encoded.size() <= 16 + 9 * bytes.len());
     }
 }
 
-fn decode_as_each(bytes: &[u8]) {
+fn decode_as_every_type(bytes: &[u8]) {
     decode_as::<Hello>(bytes);
     decode_as::<AgentToRelay>(bytes);
     decode_as::<RelayToAgent>(bytes);
@@ -37,7 +37,7 @@
     decode_as::<PeerMessage>(bytes);
 }
 
-fn samples() -> Vec<Vec<u8>> {
+fn sample_messages() -> Vec<Vec<u8>> {
     let key = LedgerKey {
         caller: "pantry-7".into(),
         request: "request-1".into(),
@@ -96,43 +96,43 @@
 }
 
 #[test]
-fn lengths_that_promise_more_than_the_bytes_are_errors() {
-    // An array, a map and a byte string, each of 4,294,967,295 elements that do not follow.
+fn lengths_beyond_the_end_of_the_input_are_errors() {
+    // The headers of an array, a map and a byte string with 4,294,967,295 elements, none of which follow.
     for head in [0xdd_u8, 0xdf, 0xc6] {
-        let claimed = [head, 0xff, 0xff, 0xff, 0xff];
-        assert!(rmp_serde::from_slice::<PeerMessage>(&claimed).is_err());
-        let observe = [&[0x81, 0xa7][..], b"Observe", &claimed].concat();
+        let header_only = [head, 0xff, 0xff, 0xff, 0xff];
+        assert!(rmp_serde::from_slice::<PeerMessage>(&header_only).is_err());
+        let observe = [&[0x81, 0xa7][..], b"Observe", &header_only].concat();
         assert!(rmp_serde::from_slice::<AgentToRelay>(&observe).is_err());
     }
 }
 
 #[test]
-fn deep_nesting_is_an_error_not_an_overflow() {
+fn deep_nesting_is_an_error_and_no_stack_overflow() {
     let nested = vec![0x91_u8; 100_000];
     assert!(rmp_serde::from_slice::<AgentToRelay>(&nested).is_err());
     assert!(rmp_serde::from_slice::<StateUpdate>(&nested).is_err());
 }
 
 proptest! {
-    #![proptest_config(configuration())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn random_bytes_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..512)) {
-        decode_as_each(&bytes);
+    fn decoding_random_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..512)) {
+        decode_as_every_type(&bytes);
     }
 
     #[test]
-    fn damaged_messages_do_no_harm(
+    fn decoding_corrupted_messages_does_not_panic(
         sample in 0usize..8,
-        damage in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..8),
-        cut in any::<prop::sample::Index>(),
+        replaced_bytes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..8),
+        length_index in any::<prop::sample::Index>(),
     ) {
-        let mut bytes = samples()[sample].clone();
-        for (position, value) in damage {
-            let at = position.index(bytes.len());
-            bytes[at] = value;
+        let mut bytes = sample_messages()[sample].clone();
+        for (position, value) in replaced_bytes {
+            let offset = position.index(bytes.len());
+            bytes[offset] = value;
         }
-        bytes.truncate(cut.index(bytes.len()) + 1);
-        decode_as_each(&bytes);
+        bytes.truncate(length_index.index(bytes.len()) + 1);
+        decode_as_every_type(&bytes);
     }
 }
--- a/crates/sablehaven-wire/tests/handshake.rs
+++ b/crates/sablehaven-wire/tests/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake refuses what does not fit and says why.
+//! Tests that the handshake rejects incompatible peers and names the reason.
 
 use std::net::SocketAddr;
 
@@ -28,67 +28,70 @@
     (listener, address)
 }
 
-/// Both sides' results of one handshake.
-async fn shake(ours: Hello, theirs: Hello) -> (Result<AgentSide, WireError>, bool) {
+/// Performs one handshake. Returns the result of the connecting side, and whether the other side accepted.
+async fn handshake(
+    client_hello: Hello,
+    server_hello: Hello,
+) -> (Result<AgentSide, WireError>, bool) {
     let (listener, address) = listener().await;
     let server = async {
         let (stream, peer) = listener.accept().await.expect("accept");
-        accept(stream, peer, &theirs).await
+        accept(stream, peer, &server_hello).await
     };
-    let client = connect(address, &ours, Role::Relay);
+    let client = connect(address, &client_hello, Role::Relay);
     let (accepted, connected) = tokio::join!(server, client);
     (connected, accepted.is_ok())
 }
 
-fn refusal(result: Result<AgentSide, WireError>) -> String {
+fn refusal_reason(result: Result<AgentSide, WireError>) -> String {
     match result {
         Err(WireError::Refused { reason, .. }) => reason,
-        Err(other) => panic!("refused for another reason: {other}"),
+        Err(other) => panic!("expected a refusal, got: {other}"),
         Ok(_) => panic!("not refused"),
     }
 }
 
 #[tokio::test]
-async fn equal_versions_and_deployments_connect() {
-    let (connected, accepted) = shake(hello(Role::Agent), hello(Role::Relay)).await;
+async fn peers_with_equal_version_and_deployment_connect() {
+    let (connected, accepted) = handshake(hello(Role::Agent), hello(Role::Relay)).await;
     assert!(connected.is_ok());
     assert!(accepted);
 }
 
 #[tokio::test]
-async fn another_protocol_version_is_refused_by_both() {
-    let mut theirs = hello(Role::Relay);
-    theirs.protocol_version = PROTOCOL_VERSION + 1;
-    let (connected, accepted) = shake(hello(Role::Agent), theirs).await;
-    let named = format!("protocol version {}", PROTOCOL_VERSION + 1);
-    assert!(refusal(connected).contains(&named));
+async fn a_different_protocol_version_is_refused_by_both_sides() {
+    let mut server_hello = hello(Role::Relay);
+    server_hello.protocol_version = PROTOCOL_VERSION + 1;
+    let (connected, accepted) = handshake(hello(Role::Agent), server_hello).await;
+    let expected = format!("protocol version {}", PROTOCOL_VERSION + 1);
+    assert!(refusal_reason(connected).contains(&expected));
     assert!(!accepted);
 }
 
 #[tokio::test]
-async fn another_deployment_is_refused_by_both() {
-    let mut theirs = hello(Role::Relay);
-    theirs.deployment = "tareas".to_owned();
-    let (connected, accepted) = shake(hello(Role::Agent), theirs).await;
-    assert!(refusal(connected).contains("'tareas'"));
+async fn a_different_deployment_is_refused_by_both_sides() {
+    let mut server_hello = hello(Role::Relay);
+    server_hello.deployment = "tareas".to_owned();
+    let (connected, accepted) = handshake(hello(Role::Agent), server_hello).await;
+    assert!(refusal_reason(connected).contains("'tareas'"));
     assert!(!accepted);
 }
 
 #[tokio::test]
-async fn another_role_is_refused() {
-    let (connected, _) = shake(hello(Role::Agent), hello(Role::Control)).await;
-    assert!(refusal(connected).contains("Control"));
+async fn an_unexpected_role_is_refused() {
+    let (connected, _) = handshake(hello(Role::Agent), hello(Role::Control)).await;
+    assert!(refusal_reason(connected).contains("Control"));
 }
 
 #[tokio::test]
-async fn a_peer_that_says_nothing_is_given_up() {
+async fn a_silent_peer_causes_a_handshake_timeout() {
     let (_listener, address) = listener().await;
     let result: Result<AgentSide, _> = connect(address, &hello(Role::Agent), Role::Relay).await;
     assert!(matches!(result, Err(WireError::HandshakeTimeout { .. })));
 }
 
 #[tokio::test]
-async fn a_closed_port_is_named() {
+async fn the_error_for_a_closed_port_names_the_address() {
     let (listener, address) = listener().await;
     drop(listener);
     let result: Result<AgentSide, _> = connect(address, &hello(Role::Agent), Role::Relay).await;
@@ -96,8 +99,8 @@
     assert!(error.contains(&address.to_string()), "{error}");
 }
 
-/// What `accept` says to a peer that sends `bytes` and closes.
-async fn accept_raw(bytes: &[u8]) -> WireError {
+/// Returns the error of `accept` for a peer that sends `bytes` and closes the connection.
+async fn accept_error(bytes: &[u8]) -> WireError {
     let (listener, address) = listener().await;
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(bytes).await.expect("write");
@@ -110,44 +113,50 @@
 }
 
 #[tokio::test]
-async fn an_oversized_first_frame_is_refused_before_it_is_read() {
+async fn an_oversized_first_frame_is_refused_before_its_content_is_read() {
     let length = (MAXIMUM_FRAME_BYTES as u32) - 1;
-    let error = accept_raw(&length.to_be_bytes()).await;
+    let error = accept_error(&length.to_be_bytes()).await;
     assert!(error.to_string().contains("frame size too big"), "{error}");
 }
 
 #[tokio::test]
 async fn a_truncated_frame_is_an_error() {
-    let error = accept_raw(&[0, 0, 0, 20, 1, 2, 3]).await;
+    let error = accept_error(&[0, 0, 0, 20, 1, 2, 3]).await;
     assert!(matches!(error, WireError::Receive { .. }), "{error}");
 }
 
 #[tokio::test]
-async fn a_frame_that_is_no_hello_is_an_error() {
-    let error = accept_raw(&[0, 0, 0, 2, 0x92, 0x01]).await;
+async fn a_first_frame_that_is_not_a_hello_is_an_error() {
+    let error = accept_error(&[0, 0, 0, 2, 0x92, 0x01]).await;
     assert!(matches!(error, WireError::Decode { .. }), "{error}");
 }
 
 #[tokio::test]
-async fn a_peer_that_closes_at_once_is_an_error() {
-    let error = accept_raw(&[]).await;
+async fn a_peer_that_closes_immediately_is_an_error() {
+    let error = accept_error(&[]).await;
     assert!(matches!(error, WireError::Closed { .. }), "{error}");
 }
 
 #[tokio::test]
-async fn a_connection_comes_from_the_source_that_was_asked_for() {
+async fn a_connection_is_made_from_the_given_local_address() {
     let (listener, address) = listener().await;
-    let source: std::net::IpAddr = "127.0.0.9".parse().expect("an IP number");
-    let theirs = hello(Role::Relay);
+    let local_ip: std::net::IpAddr = "127.0.0.9".parse().expect("IP address");
+    let server_hello = hello(Role::Relay);
     let server = async {
         let (stream, peer) = listener.accept().await.expect("accept");
-        accept(stream, peer, &theirs).await.expect("shake hands");
+        accept(stream, peer, &server_hello)
+            .await
+            .expect("handshake");
         peer
     };
-    let ours = hello(Role::Agent);
-    let client =
-        connect_from::<RelayToAgent, AgentToRelay>(Some(source), address, &ours, Role::Relay);
-    let (seen_from, connected) = tokio::join!(server, client);
+    let client_hello = hello(Role::Agent);
+    let client = connect_from::<RelayToAgent, AgentToRelay>(
+        Some(local_ip),
+        address,
+        &client_hello,
+        Role::Relay,
+    );
+    let (peer_address, connected) = tokio::join!(server, client);
     connected.expect("connect");
-    assert_eq!(seen_from.ip(), source);
+    assert_eq!(peer_address.ip(), local_ip);
 }
--- a/crates/sablehaven-wire/tests/lease.rs
+++ b/crates/sablehaven-wire/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Lease arithmetic: a lease never outlasts the proof's duration in true time.
+//! Tests of the lease arithmetic: measured in real time, a lease never lasts longer than its duration from the proof on.
 
 use std::time::Duration;
 
@@ -26,11 +26,11 @@
     let nonce = requests.record_request(sent_at);
     requests
         .accept_grant(&grant(nonce, age_ms))
-        .expect("an open request")
+        .expect("the request is pending")
 }
 
 #[test]
-fn a_lease_counts_from_the_request_less_the_age() {
+fn the_age_of_a_proof_is_the_time_since_the_request_plus_the_granted_age() {
     let proof = proof(milliseconds(10_000), 500);
     assert_eq!(proof.age(milliseconds(10_000)), milliseconds(500));
     assert!(proof.is_valid(milliseconds(12_000)));
@@ -39,19 +39,19 @@
 }
 
 #[test]
-fn a_grant_without_its_request_counts_for_nothing() {
+fn a_grant_without_a_pending_request_is_ignored() {
     let mut requests = LeaseRequests::default();
     let nonce = requests.record_request(milliseconds(1));
     assert!(requests.accept_grant(&grant(nonce + 1, 0)).is_none());
     assert!(requests.accept_grant(&grant(nonce, 0)).is_some());
     assert!(
         requests.accept_grant(&grant(nonce, 0)).is_none(),
-        "a duplicate"
+        "duplicate grant"
     );
 }
 
 #[test]
-fn requests_without_answers_are_bounded() {
+fn the_number_of_pending_requests_is_bounded() {
     let mut requests = LeaseRequests::default();
     let first = requests.record_request(milliseconds(0));
     for at in 1..100 {
@@ -61,15 +61,15 @@
 }
 
 #[test]
-fn an_old_proof_passed_on_gains_no_time() {
+fn forwarding_a_proof_does_not_extend_the_lease() {
     let held = proof(milliseconds(5_000), 100);
-    let passed = held.to_grant(1, milliseconds(7_000));
-    assert_eq!(passed.age_ms, 2_100);
-    assert_eq!(passed.duration_ms, DURATION_MS);
+    let forwarded = held.to_grant(1, milliseconds(7_000));
+    assert_eq!(forwarded.age_ms, 2_100);
+    assert_eq!(forwarded.duration_ms, DURATION_MS);
 }
 
 #[test]
-fn the_newer_of_two_proofs_is_told() {
+fn is_newer_than_compares_the_times_of_the_proofs() {
     let older = proof(milliseconds(5_000), 0);
     let newer = proof(milliseconds(5_600), 500);
     assert!(newer.is_newer_than(&older));
@@ -83,36 +83,37 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two hops (leader to relay to agent) with any delays and any clock offsets: while the agent
-    /// holds the lease, the leader's proof is younger than the duration.
+    /// A proof takes two hops, from the leader to a relay and from there to an agent, with arbitrary
+    /// delays and clock offsets. While the agent holds the lease, the leader's proof must be younger
+    /// than the lease duration.
     #[test]
     fn a_lease_never_outlasts_its_proof(
-        to_leader in 0u64..4_000,
-        from_leader in 0u64..4_000,
-        wait_at_relay in 0u64..4_000,
-        to_relay in 0u64..4_000,
-        from_relay in 0u64..4_000,
-        relay_clock in 0u64..1_000_000,
-        agent_clock in 0u64..1_000_000,
-        later in 0u64..10_000,
+        relay_to_leader_ms in 0u64..4_000,
+        leader_to_relay_ms in 0u64..4_000,
+        relay_wait_ms in 0u64..4_000,
+        agent_to_relay_ms in 0u64..4_000,
+        relay_to_agent_ms in 0u64..4_000,
+        relay_clock_offset_ms in 0u64..1_000_000,
+        agent_clock_offset_ms in 0u64..1_000_000,
+        check_delay_ms in 0u64..10_000,
     ) {
-        let relay_sent = 1_000;
-        let proof_made = relay_sent + to_leader;
-        let relay_has_it = proof_made + from_leader;
+        let relay_sent_at = 1_000;
+        let proof_made_at = relay_sent_at + relay_to_leader_ms;
+        let relay_received_proof_at = proof_made_at + leader_to_relay_ms;
         let mut relay = LeaseRequests::default();
-        let nonce = relay.record_request(milliseconds(relay_clock + relay_sent));
-        let held = relay.accept_grant(&grant(nonce, 0)).expect("open");
+        let nonce = relay.record_request(milliseconds(relay_clock_offset_ms + relay_sent_at));
+        let held = relay.accept_grant(&grant(nonce, 0)).expect("the request is pending");
 
-        let relay_receives = relay_has_it + wait_at_relay;
-        let agent_sent = relay_receives.saturating_sub(to_relay);
+        let relay_received_request_at = relay_received_proof_at + relay_wait_ms;
+        let agent_sent_at = relay_received_request_at.saturating_sub(agent_to_relay_ms);
         let mut agent = LeaseRequests::default();
-        let nonce = agent.record_request(milliseconds(agent_clock + agent_sent));
-        let passed = held.to_grant(nonce, milliseconds(relay_clock + relay_receives));
-        let lease = agent.accept_grant(&passed).expect("open");
+        let nonce = agent.record_request(milliseconds(agent_clock_offset_ms + agent_sent_at));
+        let forwarded = held.to_grant(nonce, milliseconds(relay_clock_offset_ms + relay_received_request_at));
+        let lease = agent.accept_grant(&forwarded).expect("the request is pending");
 
-        let looked_at = relay_receives + from_relay + later;
-        if lease.is_valid(milliseconds(agent_clock + looked_at)) {
-            prop_assert!(looked_at - proof_made < DURATION_MS);
+        let checked_at = relay_received_request_at + relay_to_agent_ms + check_delay_ms;
+        if lease.is_valid(milliseconds(agent_clock_offset_ms + checked_at)) {
+            prop_assert!(checked_at - proof_made_at < DURATION_MS);
         }
     }
 }
