--- a/crates/sablehaven-subscription/src/config.rs
+++ b/crates/sablehaven-subscription/src/config.rs
@@ -36,7 +36,7 @@
     /// milliseconds. It keeps the agents of a failed relay from all connecting at once.
     pub failover_jitter_ms: u64,
     /// Maximum time after which an agent on a more distant relay tries a nearer one, in milliseconds.
-    /// The second half of the time is random.
+    /// Half of the time is fixed, the other half is random.
     pub return_interval_ms: u64,
     /// Minimum interval between two reports of observations, in milliseconds.
     pub observation_interval_ms: u64,
--- a/crates/sablehaven-subscription/src/lease.rs
+++ b/crates/sablehaven-subscription/src/lease.rs
@@ -30,8 +30,8 @@
 }
 
 impl LeaseState {
-    /// Records a request that is about to be sent. Returns its nonce. Must be called before the request is
-    /// written; see [`LeaseRequests::record_request`].
+    /// Records a request that is about to be sent, and returns its nonce. Must be called before the
+    /// request is written; see [`LeaseRequests::record_request`].
     pub fn record_request(&mut self, now: Duration) -> u64 {
         self.requests.record_request(now)
     }
@@ -43,8 +43,8 @@
         applied_revision: u64,
         now: Duration,
     ) -> Renewal {
-        let answered = self.requests.accept_grant(grant);
-        let Some(proof) = answered.filter(|proof| proof.is_valid(now)) else {
+        let proof = self.requests.accept_grant(grant);
+        let Some(proof) = proof.filter(|proof| proof.is_valid(now)) else {
             return Renewal::Ignored;
         };
         if proof.revision > applied_revision {
@@ -54,8 +54,8 @@
         self.replace_if_newer(proof)
     }
 
-    /// Uses the pending proofs up to `revision`, which has been applied. Returns whether this extended
-    /// the lease.
+    /// Uses the pending proofs for revisions up to `revision`, which has now been applied. Returns
+    /// whether this extended the lease.
     pub fn revision_applied(&mut self, revision: u64) -> bool {
         let pending = std::mem::take(&mut self.pending);
         let (usable, pending): (Vec<_>, Vec<_>) = pending
@@ -80,8 +80,8 @@
             .map_or(Duration::ZERO, |proof| proof.usable_duration())
     }
 
-    /// Returns what replies state about the age of the configuration with the given version. The age
-    /// is `u64::MAX` until the configuration has been proved to be current for the first time.
+    /// Returns the age of the configuration with the given version, as stated in replies. The age is
+    /// `u64::MAX` until the configuration has been proved to be current for the first time.
     pub fn configuration_age(&self, version: u64, now: Duration) -> ConfigurationAge {
         let age_ms = self
             .held
--- a/crates/sablehaven-subscription/src/relay_selector.rs
+++ b/crates/sablehaven-subscription/src/relay_selector.rs
@@ -10,9 +10,9 @@
 /// Bounds of the delay before a failed relay is tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySettings {
-    /// The delay after the first failure.
+    /// The delay after the first failure, before jitter.
     pub minimum: Duration,
-    /// The maximum delay.
+    /// The maximum delay, before jitter.
     pub maximum: Duration,
 }
 
--- a/crates/sablehaven-subscription/src/session.rs
+++ b/crates/sablehaven-subscription/src/session.rs
@@ -66,7 +66,7 @@
     },
 }
 
-/// The session's ends of its channels.
+/// The channels between a session and the manager and callers, at the session's end.
 pub(crate) struct SessionChannels {
     pub(crate) commands: mpsc::Receiver<SessionCommand>,
     pub(crate) calls: mpsc::Receiver<LedgerCall>,
--- a/crates/sablehaven-subscription/tests/subscription.rs
+++ b/crates/sablehaven-subscription/tests/subscription.rs
@@ -10,7 +10,7 @@
     Observation, ObservationKind, Placement,
 };
 use sablehaven_wire::{AgentToRelay, RelayToAgent};
-use support::{LedgerScript, RelayDouble, delta, full, subscribe, wait_until};
+use support::{LedgerScript, RelayDouble, delta_update, full_update, subscribe, wait_until};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(50);
 const GRANTED: LedgerReply = LedgerReply::Claim(ClaimAnswer::Granted);
@@ -27,7 +27,7 @@
     }
 }
 
-fn draining(backend: &str) -> Observation {
+fn draining_observation(backend: &str) -> Observation {
     Observation {
         backend: backend.into(),
         service: "stock.Search".into(),
@@ -65,7 +65,7 @@
         relay.has_received(|message| *message == acknowledged)
     })
     .await;
-    relay.advance(delta(500, 501));
+    relay.advance(delta_update(500, 501));
     wait_until_current_at(&subscription, 501).await;
     subscription.stop().await;
     wait_until("the Leave message is received", || {
@@ -86,9 +86,9 @@
         far.has_received(is_watch)
     })
     .await;
-    far.send(RelayToAgent::Update(full(15)));
-    far.send(RelayToAgent::Update(delta(15, 18)));
-    far.send(RelayToAgent::Update(delta(20, 21)));
+    far.send(RelayToAgent::Update(full_update(15)));
+    far.send(RelayToAgent::Update(delta_update(15, 18)));
+    far.send(RelayToAgent::Update(delta_update(20, 21)));
     wait_until("the next revision is in force", || {
         subscription.view().revision == 21
     })
@@ -147,7 +147,7 @@
     })
     .await;
     assert!(!subscription.lease().current);
-    near.send(RelayToAgent::Update(delta(5, 6)));
+    near.send(RelayToAgent::Update(delta_update(5, 6)));
     wait_until("the lease is valid", || subscription.lease().current).await;
 }
 
@@ -221,8 +221,8 @@
     let relay = RelayDouble::start(5).await;
     let subscription = subscribe(&[&relay]);
     wait_until_current_at(&subscription, 5).await;
-    relay.script().state = full(8);
-    relay.send(RelayToAgent::Update(delta(7, 8)));
+    relay.script().state = full_update(8);
+    relay.send(RelayToAgent::Update(delta_update(7, 8)));
     wait_until("the state after the gap is in force", || {
         subscription.view().revision == 8
     })
@@ -253,7 +253,7 @@
     wait_until_current_at(&subscription, 5).await;
     let mut changed = subscription.changed();
     changed.mark_unchanged();
-    relay.send(RelayToAgent::Hint(vec![draining("depot-1")]));
+    relay.send(RelayToAgent::Hint(vec![draining_observation("depot-1")]));
     changed.changed().await.expect("a new view");
     let view = subscription.view();
     let backend = &view.backends[&"stock.Search".into()][0];
@@ -265,9 +265,11 @@
 async fn observations_are_sent_to_the_relay() {
     let relay = RelayDouble::start(5).await;
     let subscription = subscribe(&[&relay]);
-    subscription.observe(draining("depot-1"));
+    subscription.observe(draining_observation("depot-1"));
     wait_until("the report is received", || {
-        relay.has_received(|message| *message == AgentToRelay::Observe(vec![draining("depot-1")]))
+        relay.has_received(|message| {
+            *message == AgentToRelay::Observe(vec![draining_observation("depot-1")])
+        })
     })
     .await;
 }
@@ -277,7 +279,7 @@
     let near = RelayDouble::start(5).await;
     let subscription = subscribe(&[&near]);
     wait_until_current_at(&subscription, 5).await;
-    let mut reverting_update = full(6);
+    let mut reverting_update = full_update(6);
     reverting_update.configuration_version = 4;
     near.send(RelayToAgent::Update(reverting_update));
     wait_until("the agent connects again", || {
--- a/crates/sablehaven-subscription/tests/supervisor.rs
+++ b/crates/sablehaven-subscription/tests/supervisor.rs
@@ -20,11 +20,11 @@
     remaining: Duration::ZERO,
     duration: Duration::ZERO,
 };
-const FRESH: LeaseHealth = LeaseHealth {
+const FRESH_LEASE: LeaseHealth = LeaseHealth {
     remaining: Duration::from_millis(2_900),
     duration: Duration::from_millis(3_000),
 };
-const HALF_EXPIRED: LeaseHealth = LeaseHealth {
+const HALF_EXPIRED_LEASE: LeaseHealth = LeaseHealth {
     remaining: Duration::from_millis(1_400),
     duration: Duration::from_millis(3_000),
 };
@@ -46,7 +46,7 @@
 
 /// Returns a supervisor whose session with the first relay has been active since time 0, and that
 /// session.
-fn on_first_relay(relays: usize) -> (Supervisor, SessionId) {
+fn connected_to_first_relay(relays: usize) -> (Supervisor, SessionId) {
     let mut supervisor = supervisor(relays);
     let (session, relay) = expect_open(&supervisor.tick(Duration::ZERO, NO_LEASE));
     assert_eq!(relay, 0);
@@ -72,10 +72,10 @@
 
 #[test]
 fn a_relay_that_does_not_renew_the_lease_is_replaced_before_the_lease_expires() {
-    let (mut supervisor, active) = on_first_relay(2);
+    let (mut supervisor, active) = connected_to_first_relay(2);
     let now = milliseconds(2_000);
-    assert!(supervisor.tick(now, FRESH).is_empty());
-    let (candidate, relay) = expect_open(&supervisor.tick(now, HALF_EXPIRED));
+    assert!(supervisor.tick(now, FRESH_LEASE).is_empty());
+    let (candidate, relay) = expect_open(&supervisor.tick(now, HALF_EXPIRED_LEASE));
     assert_eq!(relay, 1);
     assert!(supervisor.connected(candidate, now).is_empty());
     let actions = supervisor.lease_renewed(candidate, now);
@@ -87,9 +87,9 @@
 
 #[test]
 fn the_active_relay_is_kept_while_no_other_relay_can_renew_the_lease() {
-    let (mut supervisor, _) = on_first_relay(2);
+    let (mut supervisor, _) = connected_to_first_relay(2);
     let now = milliseconds(2_000);
-    let (candidate, _) = expect_open(&supervisor.tick(now, HALF_EXPIRED));
+    let (candidate, _) = expect_open(&supervisor.tick(now, HALF_EXPIRED_LEASE));
     supervisor.connected(candidate, now);
     let later = now + SETTINGS.lease_wait;
     assert_eq!(supervisor.tick(later, NO_LEASE), [Action::Close(candidate)]);
@@ -115,19 +115,19 @@
 
 #[test]
 fn a_renewal_by_the_active_relay_closes_the_candidate() {
-    let (mut supervisor, active) = on_first_relay(2);
+    let (mut supervisor, active) = connected_to_first_relay(2);
     let now = milliseconds(2_000);
-    let (candidate, _) = expect_open(&supervisor.tick(now, HALF_EXPIRED));
+    let (candidate, _) = expect_open(&supervisor.tick(now, HALF_EXPIRED_LEASE));
     let actions = supervisor.lease_renewed(active, now);
     assert_eq!(actions, [Action::Close(candidate)]);
 }
 
 #[test]
 fn a_stopping_relay_is_kept_until_another_is_connected_and_then_drained() {
-    let (mut supervisor, active) = on_first_relay(2);
+    let (mut supervisor, active) = connected_to_first_relay(2);
     let now = milliseconds(100);
     assert!(supervisor.go_away(active, now).is_empty());
-    let (candidate, relay) = expect_open(&supervisor.tick(now, FRESH));
+    let (candidate, relay) = expect_open(&supervisor.tick(now, FRESH_LEASE));
     assert_eq!(relay, 1);
     let actions = supervisor.connected(candidate, now);
     assert_eq!(
@@ -145,7 +145,7 @@
             supervisor.connected(session, Duration::ZERO);
             supervisor.ended(session, Duration::ZERO);
             supervisor
-                .wake_at(Duration::ZERO, FRESH)
+                .wake_at(Duration::ZERO, FRESH_LEASE)
                 .expect("an attempt is scheduled")
         })
         .collect();
@@ -166,7 +166,7 @@
     assert_eq!(relay, 1);
     supervisor.connected(far, Duration::ZERO);
     let later = Duration::from_secs(60);
-    let (near, relay) = expect_open(&supervisor.tick(later, FRESH));
+    let (near, relay) = expect_open(&supervisor.tick(later, FRESH_LEASE));
     assert_eq!(relay, 0);
     supervisor.connected(near, later);
     let actions = supervisor.lease_renewed(near, later);
@@ -188,6 +188,8 @@
     assert_eq!(selector.next_relay(Duration::ZERO, None), Some(0));
 }
 
+/// A step of an event sequence. The number is the time in milliseconds for `Advance`. For the other
+/// steps it selects the session: 0 for the last one that was opened, 1 for the one before, and so on.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Advance(u64),
--- a/crates/sablehaven-subscription/tests/support/mod.rs
+++ b/crates/sablehaven-subscription/tests/support/mod.rs
@@ -63,7 +63,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let script = Script {
-            state: full(revision),
+            state: full_update(revision),
             grants: true,
             lease_ms: 3_000,
             grant_revision: revision,
@@ -96,7 +96,7 @@
     pub fn advance(&self, update: StateUpdate) {
         let mut script = self.script();
         script.grant_revision = update.revision;
-        script.state = full(update.revision);
+        script.state = full_update(update.revision);
         drop(script);
         self.send(RelayToAgent::Update(update));
     }
@@ -184,7 +184,7 @@
     }
 }
 
-pub fn full(revision: u64) -> StateUpdate {
+pub fn full_update(revision: u64) -> StateUpdate {
     StateUpdate {
         full: true,
         revision,
@@ -193,11 +193,11 @@
     }
 }
 
-pub fn delta(from_revision: u64, revision: u64) -> StateUpdate {
+pub fn delta_update(from_revision: u64, revision: u64) -> StateUpdate {
     StateUpdate {
         full: false,
         from_revision,
-        ..full(revision)
+        ..full_update(revision)
     }
 }
 
--- a/crates/sablehaven-subscription/tests/view_state.rs
+++ b/crates/sablehaven-subscription/tests/view_state.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn full(revision: u64, records: &[BackendRecord]) -> StateUpdate {
+fn full_update(revision: u64, records: &[BackendRecord]) -> StateUpdate {
     StateUpdate {
         full: true,
         revision,
@@ -54,16 +54,16 @@
     }
 }
 
-fn delta(from_revision: u64, revision: u64, records: &[BackendRecord]) -> StateUpdate {
+fn delta_update(from_revision: u64, revision: u64, records: &[BackendRecord]) -> StateUpdate {
     StateUpdate {
         full: false,
         from_revision,
         services: Default::default(),
-        ..full(revision, records)
+        ..full_update(revision, records)
     }
 }
 
-fn draining(id: &str, incarnation: u64) -> Observation {
+fn draining_observation(id: &str, incarnation: u64) -> Observation {
     Observation {
         backend: id.into(),
         service: SERVICE.into(),
@@ -85,7 +85,7 @@
         record("depot-2", 1, BackendState::Live),
         record("depot-1", 1, BackendState::Live),
     ];
-    assert_eq!(state.apply(full(10, &records)), UpdateCheck::Applies);
+    assert_eq!(state.apply(full_update(10, &records)), UpdateCheck::Applies);
     state
 }
 
@@ -104,17 +104,17 @@
 fn stale_updates_and_gaps_change_nothing() {
     let mut state = state_with_two_backends();
     let before = state.view();
-    assert_eq!(state.apply(full(10, &[])), UpdateCheck::Stale);
-    assert_eq!(state.apply(full(9, &[])), UpdateCheck::Stale);
-    assert_eq!(state.apply(delta(9, 12, &[])), UpdateCheck::Gap);
-    assert_eq!(state.apply(delta(11, 12, &[])), UpdateCheck::Gap);
+    assert_eq!(state.apply(full_update(10, &[])), UpdateCheck::Stale);
+    assert_eq!(state.apply(full_update(9, &[])), UpdateCheck::Stale);
+    assert_eq!(state.apply(delta_update(9, 12, &[])), UpdateCheck::Gap);
+    assert_eq!(state.apply(delta_update(11, 12, &[])), UpdateCheck::Gap);
     assert_eq!(state.view(), before);
 }
 
 #[test]
 fn an_older_configuration_with_a_newer_revision_is_rejected() {
     let mut state = state_with_two_backends();
-    let mut update = full(11, &[]);
+    let mut update = full_update(11, &[]);
     update.configuration_version = 0;
     assert_eq!(state.apply(update), UpdateCheck::Reverted);
     assert_eq!(state.configuration_version(), 1);
@@ -123,7 +123,7 @@
 #[test]
 fn a_delta_changes_and_removes_records() {
     let mut state = state_with_two_backends();
-    let mut update = delta(10, 11, &[record("depot-3", 1, BackendState::Live)]);
+    let mut update = delta_update(10, 11, &[record("depot-3", 1, BackendState::Live)]);
     update.backends.insert("depot-1".into(), None);
     update.services.insert(SERVICE.into(), None);
     assert_eq!(state.apply(update), UpdateCheck::Applies);
@@ -137,7 +137,10 @@
     let mut state = state_with_two_backends();
     let mut moved = record("depot-1", 2, BackendState::Live);
     moved.service = "stock.Reserve".into();
-    assert_eq!(state.apply(delta(10, 11, &[moved])), UpdateCheck::Applies);
+    assert_eq!(
+        state.apply(delta_update(10, 11, &[moved])),
+        UpdateCheck::Applies
+    );
     assert_eq!(state_of(&state, "depot-1"), None);
     assert_eq!(state.view().backends[&"stock.Reserve".into()].len(), 1);
 }
@@ -145,8 +148,8 @@
 #[test]
 fn a_hint_shows_the_back_end_as_leaving_until_the_hint_expires() {
     let mut state = state_with_two_backends();
-    assert!(state.apply_hint(&draining("depot-1", 1), Duration::ZERO));
-    assert!(!state.apply_hint(&draining("depot-1", 1), Duration::ZERO));
+    assert!(state.apply_hint(&draining_observation("depot-1", 1), Duration::ZERO));
+    assert!(!state.apply_hint(&draining_observation("depot-1", 1), Duration::ZERO));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Leaving));
     assert_eq!(state_of(&state, "depot-2"), Some(BackendState::Live));
     assert_eq!(state.next_hint_expiry(), Some(HINT_LIFETIME));
@@ -157,19 +160,19 @@
 #[test]
 fn only_draining_observations_of_known_back_ends_and_current_incarnations_are_used() {
     let mut state = state_with_two_backends();
-    let mut unreachable = draining("depot-1", 1);
+    let mut unreachable = draining_observation("depot-1", 1);
     unreachable.kind = ObservationKind::Unreachable;
     assert!(!state.apply_hint(&unreachable, Duration::ZERO));
-    assert!(!state.apply_hint(&draining("depot-1", 0), Duration::ZERO));
-    assert!(!state.apply_hint(&draining("depot-9", 1), Duration::ZERO));
+    assert!(!state.apply_hint(&draining_observation("depot-1", 0), Duration::ZERO));
+    assert!(!state.apply_hint(&draining_observation("depot-9", 1), Duration::ZERO));
 }
 
 #[test]
 fn a_hint_is_removed_by_a_record_with_a_newer_incarnation() {
     let mut state = state_with_two_backends();
-    state.apply_hint(&draining("depot-1", 1), Duration::ZERO);
+    state.apply_hint(&draining_observation("depot-1", 1), Duration::ZERO);
     let restarted = record("depot-1", 2, BackendState::Live);
-    state.apply(full(11, &[restarted]));
+    state.apply(full_update(11, &[restarted]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Live));
     assert_eq!(state.next_hint_expiry(), None);
 }
@@ -177,29 +180,29 @@
 #[test]
 fn a_hint_is_removed_by_a_changed_record_with_the_same_incarnation() {
     let mut state = state_with_two_backends();
-    state.apply_hint(&draining("depot-1", 1), Duration::ZERO);
+    state.apply_hint(&draining_observation("depot-1", 1), Duration::ZERO);
     let unrelated = record("depot-2", 1, BackendState::Suspected);
-    state.apply(delta(10, 11, &[unrelated]));
+    state.apply(delta_update(10, 11, &[unrelated]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Leaving));
     let live = record("depot-1", 1, BackendState::Live);
-    state.apply(delta(11, 12, &[live]));
+    state.apply(delta_update(11, 12, &[live]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Live));
 }
 
 #[test]
 fn a_hint_is_kept_after_a_full_update_that_does_not_reflect_it() {
     let mut state = state_with_two_backends();
-    state.apply_hint(&draining("depot-1", 1), Duration::ZERO);
-    state.apply(full(11, &[record("depot-1", 1, BackendState::Live)]));
+    state.apply_hint(&draining_observation("depot-1", 1), Duration::ZERO);
+    state.apply(full_update(11, &[record("depot-1", 1, BackendState::Live)]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Leaving));
 }
 
 #[test]
 fn a_hint_with_a_newer_incarnation_is_kept_after_a_change_of_the_older_record() {
     let mut state = state_with_two_backends();
-    state.apply_hint(&draining("depot-1", 3), Duration::ZERO);
+    state.apply_hint(&draining_observation("depot-1", 3), Duration::ZERO);
     let older = record("depot-1", 2, BackendState::Live);
-    state.apply(delta(10, 11, &[older]));
+    state.apply(delta_update(10, 11, &[older]));
     assert_eq!(state_of(&state, "depot-1"), Some(BackendState::Leaving));
 }
 
@@ -221,8 +224,8 @@
             let revision = from + step;
             let records = [record("depot-1", revision, BackendState::Live)];
             let update = match is_full {
-                true => full(revision, &records),
-                false => delta(from, revision, &records),
+                true => full_update(revision, &records),
+                false => delta_update(from, revision, &records),
             };
             let before = (state.revision(), state.configuration_version());
             let check = state.apply(update);
--- a/crates/sablehaven-wire/src/suspension_clock.rs
+++ b/crates/sablehaven-wire/src/suspension_clock.rs
@@ -40,7 +40,7 @@
                     self.is_unsupported.store(true, Ordering::Relaxed);
                     log::warn!(
                         event = "no_suspension_clock", reason:% = error;
-                        "cannot read CLOCK_BOOTTIME; ages are measured with the monotonic clock and exclude time spent suspended"
+                        "cannot read CLOCK_BOOTTIME; measured ages do not include time spent suspended"
                     );
                 }
             }
--- a/crates/sablehaven-wire/tests/lease.rs
+++ b/crates/sablehaven-wire/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Tests of the lease arithmetic: measured in real time, a lease never lasts longer than its duration from the proof on.
+//! Tests of the lease arithmetic: in real time, a lease never lasts longer than its duration, counted from the proof.
 
 use std::time::Duration;
 
