--- a/crates/sablehaven-wire/tests/fuzz.rs
+++ b/crates/sablehaven-wire/tests/fuzz.rs
@@ -1,5 +1,5 @@
 //! Decodes random bytes and corrupted messages. The result must be an error or a message, never a
-//! panic, and its size must be bounded by the size of the input.
+//! panic, and decoding must not use more memory than the size of the input warrants.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use sablehaven_types::{
