--- a/crates/sablehaven-subscription/src/lib.rs
+++ b/crates/sablehaven-subscription/src/lib.rs
@@ -1,15 +1,16 @@
 //! An agent's connection to the relays: configuration view, lease and ledger calls.
 //!
-//! The decisions are pure state machines with the time passed in: [`ViewState`] (what state is in
-//! force), [`LeaseState`] (whether it is proved to be current), [`Supervisor`] (which relay to use)
-//! and [`ObservationBuffer`] (what to report). [`Subscription`] runs them over sockets.
+//! The logic is in state machines without I/O that get the current time as a parameter: [`ViewState`]
+//! (the state in force), [`LeaseState`] (whether that state is proved to be current), [`Supervisor`]
+//! (which relay to use) and [`ObservationBuffer`] (which observations to report). [`Subscription`] runs
+//! them over network connections.
 
 mod config;
 mod lease;
 mod manager;
 mod metrics;
 mod observations;
-mod relay_choice;
+mod relay_selector;
 mod session;
 mod shared;
 mod subscription;
@@ -21,7 +22,7 @@
 pub use lease::{LeaseState, Renewal};
 pub use metrics::SubscriptionMetrics;
 pub use observations::ObservationBuffer;
-pub use relay_choice::{RelayChoice, RetrySettings};
+pub use relay_selector::{RelaySelector, RetrySettings};
 pub use subscription::{AgentIdentity, Subscription};
 pub use supervisor::{Action, LeaseHealth, SessionId, Supervisor, SupervisorSettings};
 pub use view::View;
