--- a/crates/sablehaven-agent/src/interface/response.rs
+++ b/crates/sablehaven-agent/src/interface/response.rs
@@ -51,7 +51,7 @@
     let body = match answer.body.as_ref().map(encode_json) {
         Some(Ok(body)) => Some(body),
         Some(Err(error)) => {
-            reason = Some(format!("the reply cannot be encoded as JSON: {error}"));
+            reason = Some(format!("the reply cannot be written as JSON: {error}"));
             None
         }
         None => None,
--- a/crates/sablehaven-wire/src/connection.rs
+++ b/crates/sablehaven-wire/src/connection.rs
@@ -43,7 +43,7 @@
         /// The underlying error.
         source: std::io::Error,
     },
-    /// handshake with {peer}: timed out
+    /// handshake with {peer}: no answer in time
     HandshakeTimeout {
         /// The address of the peer.
         peer: String,
@@ -83,7 +83,7 @@
         /// The underlying error.
         source: rmp_serde::encode::Error,
     },
-    /// receive from {peer}: connection closed by the peer
+    /// receive from {peer}: the other side closed the connection
     Closed {
         /// The address of the peer.
         peer: String,
