--- a/crates/sablehaven-routing/examples/routing_model/arena.rs
+++ b/crates/sablehaven-routing/examples/routing_model/arena.rs
@@ -1,13 +1,13 @@
-//! Storage for attempts and queries whose keys stay unique after the entry is gone.
+//! A generational arena for attempts and queries: the key of a removed entry is never valid again.
 
-/// The key of an entry.
+/// The key of an entry: its slot and the generation of the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Key {
     index: u32,
     generation: u32,
 }
 
-/// Entries by key; a key of a removed entry finds nothing.
+/// A generational arena. A lookup by the key of a removed entry returns `None`.
 #[derive(Debug)]
 pub struct Arena<Entry> {
     slots: Vec<(u32, Option<Entry>)>,
@@ -24,7 +24,7 @@
 }
 
 impl<Entry> Arena<Entry> {
-    /// Stores an entry.
+    /// Inserts an entry and returns its key.
     pub fn insert(&mut self, entry: Entry) -> Key {
         if let Some(index) = self.free.pop() {
             let slot = &mut self.slots[index as usize];
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The entry, if it is still there.
+    /// Returns the entry, or `None` if it was removed.
     pub fn get(&self, key: Key) -> Option<&Entry> {
         let (generation, entry) = self.slots.get(key.index as usize)?;
         (*generation == key.generation)
@@ -50,7 +50,7 @@
             .flatten()
     }
 
-    /// The entry, to change it, if it is still there.
+    /// Returns a mutable reference to the entry, or `None` if it was removed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut Entry> {
         let (generation, entry) = self.slots.get_mut(key.index as usize)?;
         (*generation == key.generation)
@@ -58,7 +58,7 @@
             .flatten()
     }
 
-    /// Removes the entry, if it is still there.
+    /// Removes and returns the entry, or returns `None` if it was removed before.
     pub fn remove(&mut self, key: Key) -> Option<Entry> {
         let (generation, entry) = self.slots.get_mut(key.index as usize)?;
         if *generation != key.generation {
--- a/crates/sablehaven-routing/examples/routing_model/experiments/cold_start.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/cold_start.rs
@@ -1,4 +1,4 @@
-//! A third of the back ends starts cold.
+//! Measures the latency while a third of the back ends joins cold, that is, slower at first.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 use crate::metrics::Measurements;
 use crate::policy::PolicyKind;
 use crate::runs::{Plan, over_seeds};
-use crate::scenario::{Behaviour, Change, Scenario, Topology, base};
-use crate::table::{Spread, Table, cell, per_cent};
+use crate::scenario::{Behaviour, Change, Scenario, Topology, base_scenario};
+use crate::table::{Summary, Table, format_percentage, format_summary};
 
-/// How much slower a back end is at first.
+/// Factor by which a cold back end is slower at first.
 const COLD_FACTOR: f64 = 5.0;
-/// Requests until a back end is warm.
+/// Requests after which a back end is warm.
 const COLD_REQUESTS: u32 = 500;
 
-/// 15 shards of 6 replicas in two zones; 2 of each shard join at 15 s, cold. `slow_start_ms` is the
-/// ramp of the router.
+/// 15 shards with 6 replicas each in two zones; 2 replicas of each shard join cold at 15 s.
+/// `slow_start_ms` is the duration of the router's slow start.
 fn scenario(slow_start_ms: u64) -> Scenario {
     let topology = Topology {
         regions: 1,
@@ -25,27 +25,27 @@
         replicas_per_zone: 3,
         agents_per_zone: 10,
     };
-    let mut scenario = base(topology);
+    let mut scenario = base_scenario(topology);
     scenario.settings.slow_start_ms = slow_start_ms;
     scenario.warm_up = Duration::from_secs(15);
     scenario.end = Duration::from_secs(45);
-    let newcomers: Vec<usize> = (0..scenario.topology.servers())
+    let joining: Vec<usize> = (0..scenario.topology.servers())
         .filter(|server| server % scenario.topology.replicas_per_zone == 0)
         .collect();
     let cold = Behaviour::Cold {
         factor: COLD_FACTOR,
         requests: COLD_REQUESTS,
     };
-    scenario.absent.clone_from(&newcomers);
+    scenario.absent.clone_from(&joining);
     scenario.changes = vec![
         (Duration::ZERO, scenario.even_load(0.4)),
         (
             Duration::from_secs(14),
-            Change::Behave(newcomers.clone(), cold),
+            Change::SetBehaviour(joining.clone(), cold),
         ),
         (
             Duration::from_secs(15),
-            Change::Publish(newcomers, BackendState::Live),
+            Change::SetState(joining, BackendState::Live),
         ),
     ];
     scenario
@@ -74,15 +74,18 @@
             .map(|(run, baseline)| run.latency_ms(0.99) / baseline.latency_ms(0.99));
         table.row(vec![
             name.to_owned(),
-            cell(Spread::of(runs.iter().map(|run| run.latency_ms(0.5))), 0),
-            cell(Spread::of(runs.iter().map(|run| run.latency_ms(0.99))), 0),
-            cell(Spread::of(ratios), 3),
-            per_cent(Spread::of(runs.iter().map(Measurements::complete_share)), 2),
-            per_cent(Spread::of(runs.iter().map(Measurements::extra_load)), 2),
+            format_summary(Summary::of(runs.iter().map(|run| run.latency_ms(0.5))), 0),
+            format_summary(Summary::of(runs.iter().map(|run| run.latency_ms(0.99))), 0),
+            format_summary(Summary::of(ratios), 3),
+            format_percentage(
+                Summary::of(runs.iter().map(Measurements::complete_share)),
+                2,
+            ),
+            format_percentage(Summary::of(runs.iter().map(Measurements::extra_load)), 2),
         ]);
     }
     table.print(
         "Cold start: a third of the back ends joins 5 times slower, until each has run 500 requests; \
-         60% load on the others before",
+         60% load on the others before they join",
     );
 }
--- a/crates/sablehaven-routing/examples/routing_model/experiments/mod.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! The experiments, each a ratio to a plain baseline in one run.
+//! The experiments. Most compare the router with a simple baseline in the same run.
 
 pub mod budget;
 pub mod cold_start;
--- a/crates/sablehaven-routing/examples/routing_model/experiments/reports.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/reports.rs
@@ -1,16 +1,16 @@
-//! Load reports that lag, and reports that mislead.
+//! Measures routing by load reports that are out of date or wrong.
 
 use std::time::Duration;
 
 use crate::metrics::Measurements;
 use crate::policy::PolicyKind;
 use crate::runs::{Plan, over_seeds};
-use crate::scenario::{Scenario, Topology, base};
-use crate::table::{Spread, Table, cell, per_cent};
+use crate::scenario::{Scenario, Topology, base_scenario};
+use crate::table::{Summary, Table, format_percentage, format_summary};
 
-/// 15 shards of 6 replicas in two zones, 75% load; reports as old as `lag_ms`; a part of the servers
-/// always reports that it has nothing to do.
-fn scenario(lag_ms: u64, misleading: f64) -> Scenario {
+/// 15 shards with 6 replicas each in two zones, at 75% load. Load reports are up to `lag_ms` old,
+/// and the share `misleading_share` of the servers always reports that it is idle.
+fn scenario(lag_ms: u64, misleading_share: f64) -> Scenario {
     let topology = Topology {
         regions: 1,
         zones_per_region: 2,
@@ -18,10 +18,10 @@
         replicas_per_zone: 3,
         agents_per_zone: 10,
     };
-    let mut scenario = base(topology);
+    let mut scenario = base_scenario(topology);
     scenario.servers.straggler_share = 0.01;
     scenario.servers.report_lag = Duration::from_millis(lag_ms);
-    scenario.servers.misleading_share = misleading;
+    scenario.servers.misleading_share = misleading_share;
     scenario.end = Duration::from_secs(30);
     scenario.changes = vec![(Duration::ZERO, scenario.even_load(0.75))];
     scenario
@@ -39,7 +39,7 @@
         "complete answers %",
         "extra %",
     ]);
-    for (lag_ms, misleading) in [(0, 0.0), (200, 0.0), (1_000, 0.0), (200, 0.2), (200, 1.0)] {
+    for (lag_ms, misleading_share) in [(0, 0.0), (200, 0.0), (1_000, 0.0), (200, 0.2), (200, 1.0)] {
         for (name, kind) in [
             ("baseline", PolicyKind::BaselineWithRetries),
             ("router", PolicyKind::Router),
@@ -47,26 +47,26 @@
             if kind == PolicyKind::BaselineWithRetries && lag_ms > 0 {
                 continue;
             }
-            let runs = over_seeds(plan, kind, |_| scenario(lag_ms, misleading));
-            table.row(row(name, lag_ms, misleading, &runs));
+            let runs = over_seeds(plan, kind, |_| scenario(lag_ms, misleading_share));
+            table.row(row(name, lag_ms, misleading_share, &runs));
         }
     }
     table.print(
-        "Reports: 75% load, 1 reply in 100 ten times slower; the baseline takes a random replica, \
-         retries without a budget and reads no reports",
+        "Reports: 75% load, 1 reply in 100 ten times slower; the baseline picks a random replica, \
+         retries without a budget and ignores load reports",
     );
 }
 
-fn row(name: &str, lag_ms: u64, misleading: f64, runs: &[Measurements]) -> Vec<String> {
-    let figure = |of: fn(&Measurements) -> f64| Spread::of(runs.iter().map(of));
+fn row(name: &str, lag_ms: u64, misleading_share: f64, runs: &[Measurements]) -> Vec<String> {
+    let summarize = |metric: fn(&Measurements) -> f64| Summary::of(runs.iter().map(metric));
     vec![
         lag_ms.to_string(),
-        format!("{:.0}", misleading * 100.0),
+        format!("{:.0}", misleading_share * 100.0),
         name.to_owned(),
-        cell(figure(|run| run.latency_ms(0.5)), 0),
-        cell(figure(|run| run.latency_ms(0.99)), 0),
-        per_cent(figure(Measurements::shed_share), 3),
-        per_cent(figure(Measurements::complete_share), 2),
-        per_cent(figure(Measurements::extra_load), 2),
+        format_summary(summarize(|run| run.latency_ms(0.5)), 0),
+        format_summary(summarize(|run| run.latency_ms(0.99)), 0),
+        format_percentage(summarize(Measurements::shed_share), 3),
+        format_percentage(summarize(Measurements::complete_share), 2),
+        format_percentage(summarize(Measurements::extra_load), 2),
     ]
 }
--- a/crates/sablehaven-routing/examples/routing_model/experiments/subsets.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/subsets.rs
@@ -1,4 +1,4 @@
-//! Connections of servers and churn of subsets, by the number of agents.
+//! Measures the connections per server and the churn of the subsets by the number of agents.
 
 use std::collections::BTreeSet;
 
@@ -9,15 +9,15 @@
 use crate::runs::Plan;
 use crate::table::Table;
 
-/// Connections of one server.
-const CONNECTIONS: u32 = 75;
-/// Zones, two in each of three regions.
+/// Target number of connections per server.
+const CONNECTIONS_PER_SERVER: u32 = 75;
+/// Number of zones: two in each of three regions.
 const ZONES: usize = 6;
 /// Replicas of the shard in each zone.
 const REPLICAS_PER_ZONE: usize = 4;
 
-/// The shard's servers.
-fn servers() -> Vec<BackendId> {
+/// Returns the servers of the shard.
+fn backend_ids() -> Vec<BackendId> {
     (0..ZONES * REPLICAS_PER_ZONE)
         .map(|server| BackendId(format!("server-{server}")))
         .collect()
@@ -33,11 +33,12 @@
     }
 }
 
-/// The servers that each agent uses; `gone` does not exist.
-fn subsets(agents: u32, concentrated: bool, gone: Option<usize>) -> Vec<BTreeSet<usize>> {
-    let ids = servers();
+/// Returns the servers in the subset of each agent, without the server `removed`. With
+/// `concentrated`, all agents are in one zone.
+fn subsets(agents: u32, concentrated: bool, removed: Option<usize>) -> Vec<BTreeSet<usize>> {
+    let ids = backend_ids();
     let bounds = ConnectionBounds {
-        connections_per_server: CONNECTIONS,
+        connections_per_server: CONNECTIONS_PER_SERVER,
         agents,
         replica_sets_per_server: 1,
     };
@@ -45,7 +46,7 @@
         .map(|agent| {
             let home = if concentrated { 0 } else { agent % ZONES };
             let present: Vec<usize> = (0..ids.len())
-                .filter(|&server| Some(server) != gone)
+                .filter(|&server| Some(server) != removed)
                 .collect();
             let candidates: Vec<_> = present
                 .iter()
@@ -78,7 +79,7 @@
         }
     }
     table.print(
-        "Subsets: one shard of 24 replicas in 6 zones, 75 connections a server; changes as a share \
+        "Subsets: one shard of 24 replicas in 6 zones, 75 connections per server; changes as a share \
          of all members",
     );
 }
--- a/crates/sablehaven-routing/examples/routing_model/experiments/tail.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/tail.rs
@@ -1,19 +1,20 @@
-//! Stragglers and stuck replicas under a fan-out of 55 shards.
+//! Measures the tail latency with stragglers and stuck replicas at a fan-out of 55 shards.
 
 use std::time::Duration;
 
 use crate::metrics::Measurements;
 use crate::policy::PolicyKind;
 use crate::runs::{Plan, over_seeds};
-use crate::scenario::{Behaviour, Change, Scenario, Topology, base};
-use crate::table::{Spread, Table, cell, per_cent, verdict};
+use crate::scenario::{Behaviour, Change, Scenario, Topology, base_scenario};
+use crate::table::{Summary, Table, format_percentage, format_summary, format_verdict};
 
-/// The target: p99 against the baseline's.
-const MAX_RATIO: f64 = 0.4;
-/// The target: extra load.
-const MAX_EXTRA: f64 = 0.05;
+/// Target: highest ratio of the router's p99 to that of the baseline.
+const MAX_P99_RATIO: f64 = 0.4;
+/// Target: highest extra load, as a share of the needed sub-requests.
+const MAX_EXTRA_LOAD: f64 = 0.05;
 
-/// 55 shards of 4 replicas in the two zones of one region; 1 reply in 100 takes ten times longer.
+/// 55 shards with 4 replicas each in the two zones of one region; 1 reply in 100 takes ten times as
+/// long. With `stuck`, one replica of each shard stops replying at 5 s.
 fn scenario(utilisation: f64, stuck: bool) -> Scenario {
     let topology = Topology {
         regions: 1,
@@ -22,15 +23,15 @@
         replicas_per_zone: 2,
         agents_per_zone: 10,
     };
-    let mut scenario = base(topology);
+    let mut scenario = base_scenario(topology);
     scenario.servers.straggler_share = 0.01;
     scenario.end = Duration::from_secs(30);
-    let working = if stuck { 0.75 } else { 1.0 };
-    let load = scenario.even_load(utilisation * working);
+    let healthy_share = if stuck { 0.75 } else { 1.0 };
+    let load = scenario.even_load(utilisation * healthy_share);
     scenario.changes.push((Duration::ZERO, load));
     if stuck {
         let servers = one_of_each_shard(&scenario.topology);
-        let change = Change::Behave(servers, Behaviour::Stuck);
+        let change = Change::SetBehaviour(servers, Behaviour::Stuck);
         scenario.changes.push((Duration::from_secs(5), change));
     }
     scenario
@@ -81,24 +82,24 @@
     let router = over_seeds(plan, PolicyKind::Router, |_| scenario(utilisation, stuck));
     let ratios = p99_ratios(&router, &baseline);
     let extra: Vec<f64> = router.iter().map(Measurements::extra_load).collect();
-    let holds = ratios.iter().all(|&ratio| ratio <= MAX_RATIO)
-        && extra.iter().all(|&extra| extra <= MAX_EXTRA);
+    let holds = ratios.iter().all(|&ratio| ratio <= MAX_P99_RATIO)
+        && extra.iter().all(|&extra| extra <= MAX_EXTRA_LOAD);
     vec![
         if stuck { "yes" } else { "no" }.to_owned(),
         format!("{:.0}", utilisation * 100.0),
-        cell(p99(&baseline), 0),
-        cell(Spread::of(router.iter().map(|run| run.latency_ms(0.5))), 0),
-        cell(p99(&router), 0),
-        cell(Spread::of(ratios), 3),
-        cell(Spread::of(p99_ratios(&router, &retrying)), 3),
-        per_cent(Spread::of(extra), 2),
-        per_cent(sheds(&baseline), 3),
-        per_cent(sheds(&router), 3),
-        per_cent(
-            Spread::of(router.iter().map(Measurements::complete_share)),
+        format_summary(p99(&baseline), 0),
+        format_summary(Summary::of(router.iter().map(|run| run.latency_ms(0.5))), 0),
+        format_summary(p99(&router), 0),
+        format_summary(Summary::of(ratios), 3),
+        format_summary(Summary::of(p99_ratios(&router, &retrying)), 3),
+        format_percentage(Summary::of(extra), 2),
+        format_percentage(shed_shares(&baseline), 3),
+        format_percentage(shed_shares(&router), 3),
+        format_percentage(
+            Summary::of(router.iter().map(Measurements::complete_share)),
             2,
         ),
-        verdict(holds),
+        format_verdict(holds),
     ]
 }
 
@@ -110,10 +111,10 @@
         .collect()
 }
 
-fn sheds(runs: &[Measurements]) -> Spread {
-    Spread::of(runs.iter().map(Measurements::shed_share))
+fn shed_shares(runs: &[Measurements]) -> Summary {
+    Summary::of(runs.iter().map(Measurements::shed_share))
 }
 
-fn p99(runs: &[Measurements]) -> Spread {
-    Spread::of(runs.iter().map(|run| run.latency_ms(0.99)))
+fn p99(runs: &[Measurements]) -> Summary {
+    Summary::of(runs.iter().map(|run| run.latency_ms(0.99)))
 }
--- a/crates/sablehaven-routing/examples/routing_model/experiments/trace.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/trace.rs
@@ -1,11 +1,11 @@
-//! The course of one run, second by second, to look at while a mechanism is tuned.
+//! Prints every second of one run, as an aid for tuning a mechanism.
 
 use crate::policy::PolicyKind;
 use crate::runs::Plan;
 use crate::scenario::Scenario;
 use crate::simulation::run;
 
-/// Prints utilisation, answers and extra load of every second of one run.
+/// Runs the scenario once and prints the utilisation, answers and extra load of every second.
 pub fn print(scenario: &Scenario, _plan: Plan) {
     let measured = run(scenario, PolicyKind::Router, 1);
     let capacity = scenario.capacity() / scenario.topology.regions as f64;
--- a/crates/sablehaven-routing/examples/routing_model/main.rs
+++ b/crates/sablehaven-routing/examples/routing_model/main.rs
@@ -1,5 +1,5 @@
-//! A discrete-event model of agents and back ends, to measure the routing mechanisms against plain
-//! baselines. Every run is determined by its seed; times are the model's, not the machine's.
+//! A discrete-event simulation of agents and back ends that compares the routing mechanisms with
+//! simple baselines. Runs are deterministic for a given seed, and all times are simulated.
 
 mod arena;
 mod experiments;
@@ -16,10 +16,10 @@
 use clap::{Arg, Command, value_parser};
 use runs::Plan;
 
-/// An experiment: runs and prints its tables.
+/// An experiment, which runs its simulations and prints a table.
 type Experiment = fn(Plan);
 
-/// The experiments by name.
+/// All experiments with their names on the command line.
 const EXPERIMENTS: &[(&str, Experiment)] = &[
     ("subsets", experiments::subsets::run),
     ("tail", experiments::tail::run),
@@ -34,7 +34,7 @@
 fn command() -> Command {
     let names = EXPERIMENTS.iter().map(|(name, _)| *name);
     Command::new("routing_model")
-        .about("Measures routing mechanisms in a model, against plain baselines")
+        .about("Compares routing mechanisms with simple baselines in a simulation")
         .arg(
             Arg::new("experiment")
                 .required(true)
@@ -56,14 +56,14 @@
 
 fn main() {
     let matches = command().get_matches();
-    let wanted = matches.get_one::<String>("experiment").expect("required");
+    let selected = matches.get_one::<String>("experiment").expect("required");
     let plan = Plan {
         seeds: *matches.get_one("seeds").expect("has a default"),
         threads: *matches.get_one::<u64>("threads").expect("has a default") as usize,
     };
     for (name, run) in EXPERIMENTS {
         let is_trace = name.ends_with("trace");
-        if wanted == name || (wanted == "all" && !is_trace) {
+        if selected == name || (selected == "all" && !is_trace) {
             run(plan);
         }
     }
--- a/crates/sablehaven-routing/examples/routing_model/metrics.rs
+++ b/crates/sablehaven-routing/examples/routing_model/metrics.rs
@@ -1,31 +1,31 @@
-//! What one run measures.
+//! The measurements of one run.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Counts of a run after its warm-up.
+/// Counters of a run, without its warm-up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Answers that cover every shard.
+    /// Queries whose answer covers every shard.
     pub complete: u64,
-    /// Answers that miss shards.
+    /// Queries whose answer lacks at least one shard.
     pub partial: u64,
-    /// Queries refused by admission.
+    /// Queries refused by admission control.
     pub refused: u64,
     /// Sub-requests of admitted queries.
     pub needed: u64,
     /// Sub-requests that were answered.
     pub answered: u64,
-    /// Hedges.
+    /// Hedged attempts.
     pub hedges: u64,
-    /// Retries.
+    /// Retried attempts.
     pub retries: u64,
     /// Attempts that servers shed.
     pub sheds: u64,
 }
 
-/// One second of a run.
+/// Measurements of one second of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Second {
     /// Sub-requests that servers finished, by region of the server.
@@ -45,19 +45,20 @@
 pub struct Measurements {
     /// Counts after the warm-up.
     pub counts: Counts,
-    /// Time to each answer in microseconds; an answer that misses shards counts as the deadline, so
-    /// that giving up early does not look fast.
+    /// Latency of each answer in microseconds. An answer that lacks shards is recorded with the
+    /// full deadline, so that giving up early does not count as fast.
     pub latency: Histogram<u64>,
-    /// Every second, from the start of the run.
+    /// Measurements per second, from the start of the run.
     pub seconds: Vec<Second>,
-    /// Messages of the shared bucket.
+    /// Messages exchanged with the shared bucket.
     pub messages: u64,
-    /// The most connections that one server had, counting one for each agent that ever used it.
+    /// The highest number of agents that ever sent a request to the same server; each counts as
+    /// one connection.
     pub max_agents_per_server: usize,
 }
 
 impl Measurements {
-    /// Nothing measured yet.
+    /// Creates empty measurements.
     pub fn new() -> Self {
         Self {
             counts: Counts::default(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The second that a time falls in.
+    /// Returns the entry of the second that contains `now`.
     pub fn second(&mut self, now: Duration, regions: usize) -> &mut Second {
         let index = now.as_secs() as usize;
         while self.seconds.len() <= index {
@@ -83,43 +84,43 @@
         &mut self.seconds[index]
     }
 
-    /// A quantile of the time to an answer, in milliseconds.
+    /// Returns a quantile of the latency in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// Hedges and retries as a share of the needed work.
+    /// Returns the hedges and retries as a share of the needed sub-requests.
     pub fn extra_load(&self) -> f64 {
         let extra = self.counts.hedges + self.counts.retries;
         extra as f64 / self.counts.needed.max(1) as f64
     }
 
-    /// Sheds as a share of the needed work.
+    /// Returns the shed attempts as a share of the needed sub-requests.
     pub fn shed_share(&self) -> f64 {
         self.counts.sheds as f64 / self.counts.needed.max(1) as f64
     }
 
-    /// Answered sub-requests as a share of the needed ones.
+    /// Returns the answered sub-requests as a share of the needed ones.
     pub fn answered_share(&self) -> f64 {
         self.counts.answered as f64 / self.counts.needed.max(1) as f64
     }
 
-    /// Complete answers as a share of all queries that ended.
+    /// Returns the complete answers as a share of all finished queries.
     pub fn complete_share(&self) -> f64 {
         let ended = self.counts.complete + self.counts.partial + self.counts.refused;
         self.counts.complete as f64 / ended.max(1) as f64
     }
 
-    /// Complete answers as a share of the queries that were not refused.
+    /// Returns the complete answers as a share of the queries that were not refused.
     pub fn complete_share_of_admitted(&self) -> f64 {
         let admitted = self.counts.complete + self.counts.partial;
         self.counts.complete as f64 / admitted.max(1) as f64
     }
 
-    /// The highest extra load within any run of `window` seconds.
-    pub fn worst_extra_load(&self, window: usize) -> f64 {
+    /// Returns the highest extra load in any `window_seconds` consecutive seconds.
+    pub fn worst_extra_load(&self, window_seconds: usize) -> f64 {
         self.seconds
-            .windows(window)
+            .windows(window_seconds)
             .map(|seconds| {
                 let extra: u64 = seconds.iter().map(|second| second.extra).sum();
                 let needed: u64 = seconds.iter().map(|second| second.needed).sum();
--- a/crates/sablehaven-routing/examples/routing_model/policy.rs
+++ b/crates/sablehaven-routing/examples/routing_model/policy.rs
@@ -1,4 +1,4 @@
-//! How an agent decides: by the routing crate, or by a plain baseline.
+//! The routing policies of an agent: the routing crate or a simple baseline.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use crate::scenario::Scenario;
 use crate::shared_bucket::{LocalBucket, SharedBucket};
 
-/// Which policy a run uses.
+/// The policy of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
     /// The routing crate.
     Router,
     /// The routing crate without hedges.
     RouterWithoutHedges,
-    /// The routing crate without admission: nothing is refused.
+    /// The routing crate without admission control: no query is refused.
     RouterWithoutAdmission,
     /// The routing crate with one token bucket shared by all agents.
     RouterWithSharedBudget,
@@ -32,47 +32,53 @@
     BaselineWithRetries,
 }
 
-/// One agent's decisions. Servers are named by their number.
+/// The routing policy of one agent. Servers are identified by their index.
 pub trait Policy {
-    /// Whether a query may start; otherwise when to come back.
+    /// Admits a query, or returns the delay after which the caller may retry.
     fn admit(&mut self, now: Duration, sub_requests: u32) -> Result<(), Duration>;
-    /// The server for an attempt.
+    /// Chooses a server for an attempt, other than those in `tried`.
     fn choose(&mut self, now: Duration, shard: usize, tried: &[usize]) -> Option<usize>;
-    /// When to hedge.
+    /// Returns the delay after which to send a hedge, if any.
     fn hedge_after(&self, now: Duration, shard: usize, server: usize) -> Option<Duration>;
-    /// Whether an attempt beyond the first is allowed.
+    /// Takes an extra attempt from the budget; `false` means that it is not allowed.
     fn take_extra(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool;
-    /// An attempt went out.
+    /// Records that an attempt was sent.
     fn sent(&mut self, now: Duration, server: usize);
-    /// An attempt ended.
+    /// Records the result of an attempt.
     fn finished(&mut self, now: Duration, server: usize, result: AttemptResult);
-    /// The agent learns which servers are live.
+    /// Passes the current states of the servers to the agent.
     fn publish(&mut self, now: Duration, scenario: &Scenario, states: &[Option<BackendState>]);
 }
 
-/// Makes the policy of one agent.
-pub fn make(
+/// Creates the policy of one agent.
+pub fn new_policy(
     kind: PolicyKind,
     scenario: &Scenario,
     agent: usize,
     seed: u64,
-    shared: &SharedBucket,
+    shared_bucket: &SharedBucket,
 ) -> Box<dyn Policy> {
     let seed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ agent as u64;
     match kind {
         PolicyKind::Baseline => Box::new(Baseline::new(scenario, seed, false)),
         PolicyKind::BaselineWithRetries => Box::new(Baseline::new(scenario, seed, true)),
-        _ => Box::new(RouterPolicy::new(kind, scenario, agent, seed, shared)),
+        _ => Box::new(RouterPolicy::new(
+            kind,
+            scenario,
+            agent,
+            seed,
+            shared_bucket,
+        )),
     }
 }
 
-/// Decisions by the routing crate.
+/// Uses the routing crate.
 struct RouterPolicy {
     kind: PolicyKind,
     router: ServiceRouter,
     ids: Vec<BackendId>,
-    numbers: std::collections::HashMap<BackendId, usize>,
-    shared: LocalBucket,
+    index_by_id: std::collections::HashMap<BackendId, usize>,
+    local_bucket: LocalBucket,
 }
 
 impl RouterPolicy {
@@ -81,27 +87,27 @@
         scenario: &Scenario,
         agent: usize,
         seed: u64,
-        shared: &SharedBucket,
+        shared_bucket: &SharedBucket,
     ) -> Self {
         let topology = &scenario.topology;
-        let site = AgentLocation {
+        let location = AgentLocation {
             agent: AgentId(format!("agent-{seed:x}")),
             placement: topology.placement(topology.zone_of_agent(agent)),
         };
         let ids: Vec<_> = (0..topology.servers())
             .map(|server| topology.backend_id(server))
             .collect();
-        let numbers = ids.iter().cloned().zip(0..).collect();
+        let index_by_id = ids.iter().cloned().zip(0..).collect();
         Self {
             kind,
-            router: ServiceRouter::new(site, &scenario.settings, seed),
+            router: ServiceRouter::new(location, &scenario.settings, seed),
             ids,
-            numbers,
-            shared: LocalBucket::new(shared.clone(), agent),
+            index_by_id,
+            local_bucket: LocalBucket::new(shared_bucket.clone(), agent),
         }
     }
 
-    fn tried(&self, servers: &[usize]) -> Vec<BackendId> {
+    fn ids_of(&self, servers: &[usize]) -> Vec<BackendId> {
         servers
             .iter()
             .map(|&server| self.ids[server].clone())
@@ -112,7 +118,7 @@
 impl Policy for RouterPolicy {
     fn admit(&mut self, now: Duration, sub_requests: u32) -> Result<(), Duration> {
         if self.kind == PolicyKind::RouterWithSharedBudget {
-            self.shared.needed(now, sub_requests);
+            self.local_bucket.needed(now, sub_requests);
         }
         match self.router.admit(now, sub_requests) {
             Admission::Admitted => Ok(()),
@@ -122,9 +128,9 @@
     }
 
     fn choose(&mut self, now: Duration, shard: usize, tried: &[usize]) -> Option<usize> {
-        let tried = self.tried(tried);
+        let tried = self.ids_of(tried);
         let chosen = self.router.choose(now, ShardId(shard as u32), &tried)?;
-        Some(self.numbers[&chosen.backend])
+        Some(self.index_by_id[&chosen.backend])
     }
 
     fn hedge_after(&self, now: Duration, shard: usize, server: usize) -> Option<Duration> {
@@ -138,7 +144,7 @@
     fn take_extra(&mut self, now: Duration, kind: ExtraAttemptKind) -> bool {
         match self.kind {
             PolicyKind::RouterWithoutBudget => true,
-            PolicyKind::RouterWithSharedBudget => self.shared.take(now),
+            PolicyKind::RouterWithSharedBudget => self.local_bucket.take(now),
             _ => self.router.take_extra(now, kind),
         }
     }
@@ -166,7 +172,7 @@
     }
 }
 
-/// A random live replica, no hedges.
+/// Chooses a random live replica and never hedges.
 struct Baseline {
     random: Pcg64Mcg,
     replicas: Vec<std::ops::Range<usize>>,
@@ -219,8 +225,9 @@
     }
 }
 
-/// A number from 0 to 1 for the first arrival of each agent, so that they do not start together.
-pub fn arrival_gap(random: &mut Pcg64Mcg, per_second: f64) -> Option<Duration> {
+/// Draws the time to the next arrival of a Poisson process, or returns `None` if the rate is zero.
+/// Random gaps keep the agents from starting together.
+pub fn time_to_next_arrival(random: &mut Pcg64Mcg, per_second: f64) -> Option<Duration> {
     if per_second <= 0.0 {
         return None;
     }
--- a/crates/sablehaven-routing/examples/routing_model/query_flow.rs
+++ b/crates/sablehaven-routing/examples/routing_model/query_flow.rs
@@ -1,4 +1,4 @@
-//! The agents' side of the simulation: a query from its admission to its answer.
+//! The agents' part of the simulation: a query from admission control to its answer.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::arena::Key;
 
 impl Simulation<'_> {
-    pub(super) fn start_query(&mut self, agent: usize, returns_left: u32) {
+    pub(super) fn start_query(&mut self, agent: usize, retries_left: u32) {
         let (now, shards) = (self.now(), self.scenario.topology.shards);
         if let Err(retry_after) = self.policies[agent].admit(now, shards as u32) {
-            self.refuse(agent, returns_left, retry_after);
+            self.refuse(agent, retries_left, retry_after);
             return;
         }
-        if self.measured() {
+        if self.is_measured() {
             self.measurements.counts.needed += shards as u64;
         }
         let regions = self.scenario.topology.regions;
@@ -37,16 +37,16 @@
         }
     }
 
-    pub(super) fn refuse(&mut self, agent: usize, returns_left: u32, retry_after: Duration) {
-        if returns_left > 0 {
-            let event = Event::CallerReturns {
+    pub(super) fn refuse(&mut self, agent: usize, retries_left: u32, retry_after: Duration) {
+        if retries_left > 0 {
+            let event = Event::CallerRetries {
                 agent,
-                returns_left: returns_left - 1,
+                retries_left: retries_left - 1,
             };
             self.scheduler.after(retry_after, event);
             return;
         }
-        if self.measured() {
+        if self.is_measured() {
             self.measurements.counts.refused += 1;
         }
     }
@@ -64,7 +64,7 @@
     }
 
     pub(super) fn send(&mut self, query_key: Key, shard: usize, server: usize) {
-        let (now, measured) = (self.now(), self.measured());
+        let (now, measured) = (self.now(), self.is_measured());
         let attempt = self.attempts.insert(Attempt {
             query: query_key,
             shard,
@@ -78,7 +78,7 @@
         let agent = query.agent;
         query.sub_requests[shard].tried.push(server);
         query.sub_requests[shard].outstanding.push(attempt);
-        self.used[server][agent] = true;
+        self.used_by_agent[server][agent] = true;
         self.policies[agent].sent(now, server);
         let delay = self.latency(agent, server);
         self.scheduler.after(delay, Event::AttemptArrives(attempt));
@@ -95,7 +95,7 @@
         let agent = query.agent;
         let sub_request = &mut query.sub_requests[attempt.shard];
         sub_request.outstanding.retain(|&other| other != key);
-        let alone = sub_request.outstanding.is_empty();
+        let none_outstanding = sub_request.outstanding.is_empty();
         let result = AttemptResult {
             outcome: reply.outcome,
             latency: now - attempt.sent_at,
@@ -108,7 +108,7 @@
         }
         if reply.outcome == AttemptOutcome::Replied {
             self.close(attempt.query, attempt.shard, true);
-        } else if alone {
+        } else if none_outstanding {
             self.retry(attempt.query, attempt.shard);
         }
     }
@@ -156,7 +156,7 @@
     pub(super) fn count_extra(&mut self, kind: ExtraAttemptKind) {
         let (now, regions) = (self.now(), self.scenario.topology.regions);
         self.measurements.second(now, regions).extra += 1;
-        if !self.measured() {
+        if !self.is_measured() {
             return;
         }
         match kind {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Ends one shard's part of a query, and the query with the last one.
+    /// Closes one sub-request of a query, and ends the query when no other sub-request is open.
     pub(super) fn close(&mut self, key: Key, shard: usize, answered: bool) {
         let Some(query) = self.queries.get_mut(key) else {
             return;
@@ -180,7 +180,7 @@
         query.missing += usize::from(!answered);
         let outstanding = std::mem::take(&mut sub_request.outstanding);
         let ended = query.open == 0;
-        if answered && self.measured() {
+        if answered && self.is_measured() {
             self.measurements.counts.answered += 1;
         }
         for attempt in outstanding {
--- a/crates/sablehaven-routing/examples/routing_model/runs.rs
+++ b/crates/sablehaven-routing/examples/routing_model/runs.rs
@@ -1,4 +1,4 @@
-//! Runs of one scenario over all seeds and policies, a few at a time.
+//! Runs a scenario with several seeds on a limited number of threads.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,16 +8,17 @@
 use crate::scenario::Scenario;
 use crate::simulation::run;
 
-/// Which seeds to run and how many runs go at the same time.
+/// The seeds to run and the number of concurrent runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Seeds from 1 to this.
+    /// Highest seed; the runs use the seeds from 1 to this.
     pub seeds: u64,
-    /// Runs at the same time.
+    /// Number of concurrent runs.
     pub threads: usize,
 }
 
-/// Runs a scenario, made anew for each seed, with one policy; the measurements in order of seeds.
+/// Creates the scenario for each seed, runs it with one policy, and returns the measurements in the
+/// order of the seeds.
 pub fn over_seeds(
     plan: Plan,
     policy: PolicyKind,
--- a/crates/sablehaven-routing/examples/routing_model/scenario.rs
+++ b/crates/sablehaven-routing/examples/routing_model/scenario.rs
@@ -1,4 +1,4 @@
-//! What one run models: places, servers, load, faults.
+//! The scenario of one run: topology, servers, load and faults.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -9,17 +9,18 @@
     ServiceName, ShardAssignment, ShardId, SnapshotId, ZoneName,
 };
 
-/// One way within a zone. The brief gives no figure; a quarter of that between zones.
+/// One-way latency within a zone. The requirements give no figure, so this is a quarter of the
+/// latency between zones.
 pub const ZONE_LATENCY: Duration = Duration::from_micros(250);
-/// One way between zones (the brief).
+/// One-way latency between zones of a region, from the requirements.
 pub const REGION_LATENCY: Duration = Duration::from_millis(1);
-/// One way between regions (the brief).
+/// One-way latency between regions, from the requirements.
 pub const REMOTE_LATENCY: Duration = Duration::from_millis(10);
 
-/// The places and their sizes.
+/// The number of regions, zones, shards, replicas and agents.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
     /// Zones in each region.
     pub zones_per_region: usize,
@@ -32,48 +33,48 @@
 }
 
 impl Topology {
-    /// All zones.
+    /// Returns the number of zones in all regions.
     pub fn zones(&self) -> usize {
         self.regions * self.zones_per_region
     }
 
-    /// Servers of all shards and zones.
+    /// Returns the number of servers of all shards in all zones.
     pub fn servers(&self) -> usize {
         self.shards * self.replicas_per_shard()
     }
 
-    /// Replicas of each shard in all zones.
+    /// Returns the number of replicas of each shard in all zones.
     pub fn replicas_per_shard(&self) -> usize {
         self.zones() * self.replicas_per_zone
     }
 
-    /// Agents in all zones.
+    /// Returns the number of agents in all zones.
     pub fn agents(&self) -> usize {
         self.zones() * self.agents_per_zone
     }
 
-    /// The servers that hold a shard.
+    /// Returns the servers that hold a shard.
     pub fn servers_of(&self, shard: usize) -> std::ops::Range<usize> {
         let replicas = self.replicas_per_shard();
         shard * replicas..(shard + 1) * replicas
     }
 
-    /// The zone of a server, counted over all regions.
+    /// Returns the zone of a server, numbered across all regions.
     pub fn zone_of_server(&self, server: usize) -> usize {
         (server % self.replicas_per_shard()) / self.replicas_per_zone
     }
 
-    /// The zone of an agent, counted over all regions.
+    /// Returns the zone of an agent, numbered across all regions.
     pub fn zone_of_agent(&self, agent: usize) -> usize {
         agent / self.agents_per_zone
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone.
     pub fn region_of_zone(&self, zone: usize) -> usize {
         zone / self.zones_per_region
     }
 
-    /// The one-way latency between two zones.
+    /// Returns the one-way latency between two zones.
     pub fn latency(&self, from_zone: usize, to_zone: usize) -> Duration {
         if from_zone == to_zone {
             ZONE_LATENCY
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The place of a zone.
+    /// Returns the names of a zone and of its region.
     pub fn placement(&self, zone: usize) -> Placement {
         Placement {
             region: RegionName(format!("region-{}", self.region_of_zone(zone))),
@@ -92,12 +93,12 @@
         }
     }
 
-    /// The name of a server.
+    /// Returns the backend ID of a server.
     pub fn backend_id(&self, server: usize) -> BackendId {
         BackendId(format!("server-{server}"))
     }
 
-    /// The shared state's record of a server.
+    /// Returns the record of a server as the agents receive it.
     pub fn record(&self, server: usize, state: BackendState) -> Arc<BackendRecord> {
         Arc::new(BackendRecord {
             id: self.backend_id(server),
@@ -109,7 +110,7 @@
         })
     }
 
-    /// The snapshot with every shard on its servers.
+    /// Returns the index snapshot that assigns every shard to its servers.
     pub fn snapshot(&self) -> IndexSnapshot {
         let shards = (0..self.shards).map(|shard| ShardAssignment {
             shard: ShardId(shard as u32),
@@ -128,49 +129,49 @@
     }
 }
 
-/// How a server works.
+/// Parameters of the simulated servers.
 #[derive(Clone, Debug)]
 pub struct ServerModel {
-    /// Requests run at the same time.
+    /// Number of requests that run concurrently.
     pub slots: usize,
-    /// Requests that may wait; more are shed.
+    /// Maximum number of queued requests; further ones are shed.
     pub queue: usize,
-    /// Mean time to run one request, stragglers aside.
+    /// Mean service time of a request that is not a straggler.
     pub mean_service: Duration,
-    /// Standard deviation of the logarithm of that time.
+    /// Standard deviation of the logarithm of the service time.
     pub service_sigma: f64,
     /// Share of replies that are stragglers.
     pub straggler_share: f64,
-    /// How much slower a straggler is.
+    /// Factor by which a straggler is slower.
     pub straggler_factor: f64,
-    /// Age up to which a load report is repeated.
+    /// Age up to which a load report is sent again instead of a new one.
     pub report_lag: Duration,
-    /// Share of servers that report no load at all, as if fresh, whatever they have.
+    /// Share of servers that always report zero load with an age of zero.
     pub misleading_share: f64,
 }
 
 impl ServerModel {
-    /// Requests per second that one server can run.
+    /// Returns the requests per second that one server can run.
     pub fn capacity(&self) -> f64 {
-        let stretch = 1.0 + self.straggler_share * (self.straggler_factor - 1.0);
-        self.slots as f64 / (self.mean_service.as_secs_f64() * stretch)
+        let slowdown = 1.0 + self.straggler_share * (self.straggler_factor - 1.0);
+        self.slots as f64 / (self.mean_service.as_secs_f64() * slowdown)
     }
 }
 
-/// What a server does from some moment on.
+/// How a server handles requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// It works.
+    /// Runs requests normally.
     Healthy,
-    /// It accepts requests and never replies.
+    /// Accepts requests and never replies.
     Stuck,
-    /// It sheds each request with this probability.
+    /// Sheds each request with this probability.
     Shedding(f64),
-    /// It is this many times slower, until warmed up by this many requests.
+    /// Starts slower and speeds up linearly until it has run the given number of requests.
     Cold {
-        /// How much slower it is.
+        /// Initial slowdown factor.
         factor: f64,
-        /// Requests until it is warm.
+        /// Number of requests after which it is warm.
         requests: u32,
     },
 }
@@ -178,60 +179,61 @@
 /// One change during a run.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// Servers behave in another way.
-    Behave(Vec<usize>, Behaviour),
-    /// Servers are live or not, and every agent learns it.
-    Publish(Vec<usize>, BackendState),
-    /// Queries per second of each region from now on.
-    Load(Vec<f64>),
+    /// Sets the behaviour of servers.
+    SetBehaviour(Vec<usize>, Behaviour),
+    /// Sets the state of servers and publishes it to every agent.
+    SetState(Vec<usize>, BackendState),
+    /// Sets the queries per second of each region.
+    SetLoad(Vec<f64>),
 }
 
-/// One run.
+/// The parameters of one run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The places.
+    /// Regions, zones, shards and agents.
     pub topology: Topology,
-    /// The servers.
+    /// Parameters of the servers.
     pub servers: ServerModel,
-    /// Time that a query may take.
+    /// Maximum duration of a query.
     pub deadline: Duration,
-    /// Time after which queries are measured.
+    /// Time at which the measurement starts.
     pub warm_up: Duration,
     /// End of the run.
     pub end: Duration,
-    /// Changes, by time.
+    /// Changes during the run, with their times.
     pub changes: Vec<(Duration, Change)>,
-    /// Servers that no agent knows at the start.
+    /// Servers that are unknown to all agents at the start.
     pub absent: Vec<usize>,
     /// The routing settings.
     pub settings: RoutingSettings,
-    /// Callers that are refused come back when they are told to, at most so many times.
-    pub come_backs: u32,
+    /// Maximum number of times that a refused caller retries after the delay that it was given.
+    pub caller_retries: u32,
 }
 
 impl Scenario {
-    /// Sub-requests per second that all servers can run.
+    /// Returns the sub-requests per second that all servers together can run.
     pub fn capacity(&self) -> f64 {
         self.servers.capacity() * self.topology.servers() as f64
     }
 
-    /// Queries per second that use the given part of all servers.
+    /// Returns the queries per second that result in the given utilisation of all servers.
     pub fn queries_for(&self, utilisation: f64) -> f64 {
         self.capacity() * utilisation / self.topology.shards as f64
     }
 
-    /// The same load in every region, of the given part of all servers.
+    /// Returns the change that sets the same load in every region, for the given utilisation of all
+    /// servers.
     pub fn even_load(&self, utilisation: f64) -> Change {
         let regions = self.topology.regions;
-        Change::Load(vec![
+        Change::SetLoad(vec![
             self.queries_for(utilisation) / regions as f64;
             regions
         ])
     }
 }
 
-/// The usual sizes; experiments change what they are about.
-pub fn base(topology: Topology) -> Scenario {
+/// Returns the default scenario; each experiment overrides the parameters that it studies.
+pub fn base_scenario(topology: Topology) -> Scenario {
     let settings = RoutingSettings {
         slots_per_server: 4,
         connections_per_server: 75,
@@ -255,6 +257,6 @@
         changes: Vec::new(),
         absent: Vec::new(),
         settings,
-        come_backs: 0,
+        caller_retries: 0,
     }
 }
--- a/crates/sablehaven-routing/examples/routing_model/scheduler.rs
+++ b/crates/sablehaven-routing/examples/routing_model/scheduler.rs
@@ -1,4 +1,4 @@
-//! The queue of future events, in order of time and, at the same time, of scheduling.
+//! The event queue, ordered by time; events at the same time keep the order of scheduling.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -11,14 +11,14 @@
 }
 
 impl<Event> Scheduled<Event> {
-    fn order(&self) -> (Duration, u64) {
+    fn sort_key(&self) -> (Duration, u64) {
         (self.at, self.sequence)
     }
 }
 
 impl<Event> PartialEq for Scheduled<Event> {
     fn eq(&self, other: &Self) -> bool {
-        self.order() == other.order()
+        self.sort_key() == other.sort_key()
     }
 }
 
@@ -31,13 +31,13 @@
 }
 
 impl<Event> Ord for Scheduled<Event> {
-    /// Reversed, because the heap gives its greatest element first.
+    /// Reversed, because `BinaryHeap` is a max-heap and the earliest event comes first.
     fn cmp(&self, other: &Self) -> Ordering {
-        other.order().cmp(&self.order())
+        other.sort_key().cmp(&self.sort_key())
     }
 }
 
-/// The queue of future events and the time of the latest one taken.
+/// The event queue and the simulated time.
 pub struct Scheduler<Event> {
     heap: BinaryHeap<Scheduled<Event>>,
     now: Duration,
@@ -55,12 +55,12 @@
 }
 
 impl<Event> Scheduler<Event> {
-    /// The time of the latest event taken.
+    /// Returns the simulated time, which is the time of the last event taken.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Schedules an event.
+    /// Schedules an event at a time, or now if that time has passed.
     pub fn at(&mut self, at: Duration, event: Event) {
         self.sequence += 1;
         self.heap.push(Scheduled {
@@ -75,7 +75,7 @@
         self.at(self.now + delay, event);
     }
 
-    /// Takes the next event before `end`.
+    /// Advances to the next event before `end` and returns it.
     pub fn next_before(&mut self, end: Duration) -> Option<Event> {
         if self.heap.peek()?.at >= end {
             return None;
--- a/crates/sablehaven-routing/examples/routing_model/server.rs
+++ b/crates/sablehaven-routing/examples/routing_model/server.rs
@@ -1,4 +1,4 @@
-//! One server: slots, a bounded queue, sheds, faults and load reports that lag.
+//! A simulated server with slots, a bounded queue, load shedding, faults and delayed load reports.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,122 +10,134 @@
 use crate::arena::Key;
 use crate::scenario::{Behaviour, ServerModel};
 
-/// A request at a server.
+/// A request that arrives at a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct Request {
     /// The attempt.
     pub attempt: Key,
-    /// When its caller gives up.
+    /// The time at which the caller gives up.
     pub deadline: Duration,
 }
 
-/// What a server does with a request that arrives.
+/// How a server handles an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrival {
-    /// It runs; it takes so long.
-    Runs(Duration),
-    /// It waits, for ever if the server is stuck.
-    Waits,
-    /// It is shed.
+    /// The request runs for this service time.
+    Started(Duration),
+    /// The request is queued, or never answered if the server is stuck.
+    Queued,
+    /// The request is shed.
     Shed,
 }
 
-/// What happens when a slot gets free.
+/// How a server uses a free slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Next {
-    /// The attempt runs; it takes so long.
-    Runs(Key, Duration),
-    /// The attempt's deadline has passed; it is refused.
-    Late(Key),
-    /// Nothing waits.
+pub enum NextRequest {
+    /// The attempt runs for this service time.
+    Started(Key, Duration),
+    /// The attempt is refused because its deadline has passed.
+    Expired(Key),
+    /// The queue is empty.
     Idle,
 }
 
-/// One server.
+/// A simulated server.
 #[derive(Debug)]
 pub struct Server {
     behaviour: Behaviour,
     misleading: bool,
     running: Vec<Key>,
-    waiting: VecDeque<Work>,
-    warmed_up_by: u32,
+    queued: VecDeque<Request>,
+    requests_while_cold: u32,
     report: u32,
-    report_taken: Duration,
+    report_taken_at: Duration,
 }
 
 impl Server {
-    /// An idle server; a misleading one always reports that it has nothing to do.
+    /// Creates an idle server. A misleading one always reports that it has no load.
     pub fn new(misleading: bool) -> Self {
         Self {
             behaviour: Behaviour::Healthy,
             misleading,
             running: Vec::new(),
-            waiting: VecDeque::new(),
-            warmed_up_by: 0,
+            queued: VecDeque::new(),
+            requests_while_cold: 0,
             report: 0,
-            report_taken: Duration::ZERO,
+            report_taken_at: Duration::ZERO,
         }
     }
 
-    /// Changes the behaviour for requests that arrive from now on.
-    pub fn behave(&mut self, behaviour: Behaviour) {
+    /// Sets the behaviour for requests that arrive from now on.
+    pub fn set_behaviour(&mut self, behaviour: Behaviour) {
         self.behaviour = behaviour;
-        self.warmed_up_by = 0;
+        self.requests_while_cold = 0;
     }
 
-    /// Takes in a request.
-    pub fn arrive(&mut self, model: &ServerModel, work: Work, random: &mut Pcg64Mcg) -> Arrival {
+    /// Runs, queues or sheds an arriving request.
+    pub fn arrive(
+        &mut self,
+        model: &ServerModel,
+        request: Request,
+        random: &mut Pcg64Mcg,
+    ) -> Arrival {
         match self.behaviour {
-            Behaviour::Stuck => return Arrival::Waits,
+            Behaviour::Stuck => return Arrival::Queued,
             Behaviour::Shedding(share) if random.random::<f64>() < share => return Arrival::Shed,
             _ => {}
         }
         if self.running.len() < model.slots {
-            return Arrival::Runs(self.start(model, work.attempt, random));
+            return Arrival::Started(self.start(model, request.attempt, random));
         }
-        if self.waiting.len() >= model.queue {
+        if self.queued.len() >= model.queue {
             return Arrival::Shed;
         }
-        self.waiting.push_back(work);
-        Arrival::Waits
+        self.queued.push_back(request);
+        Arrival::Queued
     }
 
-    /// Frees the slot of an attempt; whether it was running.
-    pub fn leave(&mut self, attempt: Key) -> bool {
+    /// Removes an attempt and returns whether it was running, so that its slot is free now.
+    pub fn remove(&mut self, attempt: Key) -> bool {
         if let Some(index) = self.running.iter().position(|&running| running == attempt) {
             self.running.swap_remove(index);
             return true;
         }
-        self.waiting.retain(|work| work.attempt != attempt);
+        self.queued.retain(|request| request.attempt != attempt);
         false
     }
 
-    /// Starts the next request that waits; to be called until it gives something else than `Late`.
-    pub fn next(&mut self, now: Duration, model: &ServerModel, random: &mut Pcg64Mcg) -> Next {
-        let Some(work) = self.waiting.pop_front() else {
-            return Next::Idle;
+    /// Starts the next queued request. The caller repeats the call while it returns `Expired`.
+    pub fn start_next(
+        &mut self,
+        now: Duration,
+        model: &ServerModel,
+        random: &mut Pcg64Mcg,
+    ) -> NextRequest {
+        let Some(request) = self.queued.pop_front() else {
+            return NextRequest::Idle;
         };
-        if work.deadline <= now {
-            return Next::Late(work.attempt);
+        if request.deadline <= now {
+            return NextRequest::Expired(request.attempt);
         }
-        Next::Runs(work.attempt, self.start(model, work.attempt, random))
+        NextRequest::Started(request.attempt, self.start(model, request.attempt, random))
     }
 
     fn start(&mut self, model: &ServerModel, attempt: Key, random: &mut Pcg64Mcg) -> Duration {
         self.running.push(attempt);
-        let mut stretch = log_normal(model.service_sigma, random);
+        let mut slowdown = log_normal(model.service_sigma, random);
         if random.random::<f64>() < model.straggler_share {
-            stretch *= model.straggler_factor;
+            slowdown *= model.straggler_factor;
         }
         if let Behaviour::Cold { factor, requests } = self.behaviour {
-            self.warmed_up_by += 1;
-            let cold = 1.0 - f64::from(self.warmed_up_by.min(requests)) / f64::from(requests);
-            stretch *= 1.0 + (factor - 1.0) * cold;
+            self.requests_while_cold += 1;
+            let cold =
+                1.0 - f64::from(self.requests_while_cold.min(requests)) / f64::from(requests);
+            slowdown *= 1.0 + (factor - 1.0) * cold;
         }
-        model.mean_service.mul_f64(stretch)
+        model.mean_service.mul_f64(slowdown)
     }
 
-    /// The load report that a reply carries: it is repeated until it is older than the lag.
+    /// Returns the load report for a reply. The same report is repeated until its age reaches
+    /// `report_lag`.
     pub fn report(&mut self, now: Duration, model: &ServerModel) -> LoadReport {
         if self.misleading {
             return LoadReport {
@@ -133,18 +145,18 @@
                 age: Duration::ZERO,
             };
         }
-        if now.saturating_sub(self.report_taken) >= model.report_lag {
-            self.report = (self.running.len() + self.waiting.len()) as u32;
-            self.report_taken = now;
+        if now.saturating_sub(self.report_taken_at) >= model.report_lag {
+            self.report = (self.running.len() + self.queued.len()) as u32;
+            self.report_taken_at = now;
         }
         LoadReport {
             running_and_queued: self.report,
-            age: now.saturating_sub(self.report_taken),
+            age: now.saturating_sub(self.report_taken_at),
         }
     }
 }
 
-/// A log-normal number with mean 1 (Box and Muller's method for the normal one).
+/// Draws a log-normal number with mean 1, from a normal one by the Box-Muller transform.
 fn log_normal(sigma: f64, random: &mut Pcg64Mcg) -> f64 {
     let uniform: f64 = 1.0 - random.random::<f64>();
     let angle = std::f64::consts::TAU * random.random::<f64>();
--- a/crates/sablehaven-routing/examples/routing_model/server_events.rs
+++ b/crates/sablehaven-routing/examples/routing_model/server_events.rs
@@ -1,4 +1,5 @@
-//! The servers' side of the simulation: requests arrive, run, end and are cancelled.
+//! The servers' part of the simulation: arrival, execution, completion and cancellation of
+//! requests.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 
 use super::{Event, Reply, Simulation};
 use crate::arena::Key;
-use crate::server::{Arrival, Next, Work};
+use crate::server::{Arrival, NextRequest, Request};
 
 impl Simulation<'_> {
     pub(super) fn attempt_arrives(&mut self, key: Key) {
@@ -16,25 +17,25 @@
         let Some(deadline) = self.queries.get(attempt.query).map(|query| query.deadline) else {
             return;
         };
-        let work = Work {
+        let request = Request {
             attempt: key,
             deadline,
         };
         let model = &self.scenario.servers;
-        match self.servers[attempt.server].arrive(model, work, &mut self.random) {
-            Arrival::Runs(time) => self.run_at(attempt.server, key, time),
-            Arrival::Waits => {}
+        match self.servers[attempt.server].arrive(model, request, &mut self.random) {
+            Arrival::Started(time) => self.schedule_completion(attempt.server, key, time),
+            Arrival::Queued => {}
             Arrival::Shed => self.reply(key, AttemptOutcome::Shed),
         }
     }
 
-    pub(super) fn run_at(&mut self, server: usize, attempt: Key, time: Duration) {
+    pub(super) fn schedule_completion(&mut self, server: usize, attempt: Key, time: Duration) {
         self.scheduler
             .after(time, Event::ServiceEnds { server, attempt });
     }
 
     pub(super) fn service_ends(&mut self, server: usize, attempt: Key) {
-        if !self.servers[server].leave(attempt) {
+        if !self.servers[server].remove(attempt) {
             return;
         }
         let topology = &self.scenario.topology;
@@ -42,26 +43,28 @@
         let (now, regions) = (self.now(), topology.regions);
         self.measurements.second(now, regions).served[region] += 1;
         self.reply(attempt, AttemptOutcome::Replied);
-        self.start_waiting(server);
+        self.start_next_request(server);
     }
 
     pub(super) fn cancel_arrives(&mut self, server: usize, attempt: Key) {
-        if self.servers[server].leave(attempt) {
-            self.start_waiting(server);
+        if self.servers[server].remove(attempt) {
+            self.start_next_request(server);
         }
     }
 
-    pub(super) fn start_waiting(&mut self, server: usize) {
+    pub(super) fn start_next_request(&mut self, server: usize) {
         let now = self.now();
         let model = &self.scenario.servers;
         loop {
-            match self.servers[server].next(now, model, &mut self.random) {
-                Next::Runs(attempt, time) => {
-                    self.run_at(server, attempt, time);
+            match self.servers[server].start_next(now, model, &mut self.random) {
+                NextRequest::Started(attempt, time) => {
+                    self.schedule_completion(server, attempt, time);
                     return;
                 }
-                Next::Late(attempt) => self.reply(attempt, AttemptOutcome::DeadlineRefused),
-                Next::Idle => return,
+                NextRequest::Expired(attempt) => {
+                    self.reply(attempt, AttemptOutcome::DeadlineRefused)
+                }
+                NextRequest::Idle => return,
             }
         }
     }
--- a/crates/sablehaven-routing/examples/routing_model/simulation.rs
+++ b/crates/sablehaven-routing/examples/routing_model/simulation.rs
@@ -14,18 +14,18 @@
 
 use crate::arena::{Arena, Key};
 use crate::metrics::Measurements;
-use crate::policy::{Policy, PolicyKind, arrival_gap, make};
+use crate::policy::{Policy, PolicyKind, new_policy, time_to_next_arrival};
 use crate::scenario::{Change, Scenario};
 use crate::scheduler::Scheduler;
 use crate::server::Server;
 use crate::shared_bucket::SharedBucket;
 
-/// Most attempts of one sub-request.
+/// Maximum number of attempts per sub-request.
 const MAX_ATTEMPTS: usize = 3;
-/// Time that an agent takes to learn of a published change, at most.
-const PUBLISH_SPREAD: Duration = Duration::from_millis(500);
+/// Maximum delay until an agent receives a published change.
+const MAX_PUBLISH_DELAY: Duration = Duration::from_millis(500);
 
-/// One attempt on its way or at a server.
+/// An attempt in transit or at a server.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     query: Key,
@@ -35,7 +35,7 @@
     measured: bool,
 }
 
-/// One shard's part of a query.
+/// The part of a query for one shard.
 #[derive(Clone, Debug, Default)]
 struct SubRequest {
     done: bool,
@@ -44,7 +44,7 @@
     outstanding: Vec<Key>,
 }
 
-/// One query.
+/// A query that has not ended.
 #[derive(Debug)]
 struct Query {
     agent: usize,
@@ -55,16 +55,17 @@
     missing: usize,
 }
 
-/// How a server refused or answered.
+/// The reply of a server, which may be a refusal.
 #[derive(Clone, Copy, Debug)]
 struct Reply {
     outcome: AttemptOutcome,
     load: LoadReport,
 }
 
+/// An event of the simulation.
 enum Event {
     QueryArrives { agent: usize, epoch: u32 },
-    CallerReturns { agent: usize, returns_left: u32 },
+    CallerRetries { agent: usize, retries_left: u32 },
     AttemptArrives(Key),
     CancelArrives { server: usize, attempt: Key },
     ServiceEnds { server: usize, attempt: Key },
@@ -72,10 +73,10 @@
     HedgeDue { query: Key, shard: usize },
     DeadlinePasses(Key),
     Change(usize),
-    Learn(usize),
+    ReceiveStates(usize),
 }
 
-/// One run.
+/// The state of one run.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
     scheduler: Scheduler<Event>,
@@ -83,16 +84,16 @@
     servers: Vec<Server>,
     policies: Vec<Box<dyn Policy>>,
     states: Vec<Option<BackendState>>,
-    rates: Vec<f64>,
+    query_rates: Vec<f64>,
     load_epoch: u32,
     queries: Arena<Query>,
     attempts: Arena<Attempt>,
-    used: Vec<Vec<bool>>,
+    used_by_agent: Vec<Vec<bool>>,
     measurements: Measurements,
-    shared: SharedBucket,
+    shared_bucket: SharedBucket,
 }
 
-/// Runs a scenario.
+/// Runs a scenario and returns its measurements.
 pub fn run(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Measurements {
     let mut simulation = Simulation::new(scenario, kind, seed);
     simulation.run();
@@ -102,14 +103,14 @@
 impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario, kind: PolicyKind, seed: u64) -> Self {
         let topology = &scenario.topology;
-        let share = f64::from(scenario.settings.extra_load_per_mille) / 1000.0;
-        let shared = SharedBucket::new(share);
+        let extra_load_share = f64::from(scenario.settings.extra_load_per_mille) / 1000.0;
+        let shared_bucket = SharedBucket::new(extra_load_share);
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let servers = (0..topology.servers())
             .map(|_| Server::new(random.random::<f64>() < scenario.servers.misleading_share))
             .collect();
         let policies = (0..topology.agents())
-            .map(|agent| make(kind, scenario, agent, seed, &shared))
+            .map(|agent| new_policy(kind, scenario, agent, seed, &shared_bucket))
             .collect();
         let mut states = vec![Some(BackendState::Live); topology.servers()];
         for &server in &scenario.absent {
@@ -122,13 +123,13 @@
             servers,
             policies,
             states,
-            rates: vec![0.0; topology.regions],
+            query_rates: vec![0.0; topology.regions],
             load_epoch: 0,
             queries: Arena::default(),
             attempts: Arena::default(),
-            used: vec![vec![false; topology.agents()]; topology.servers()],
+            used_by_agent: vec![vec![false; topology.agents()]; topology.servers()],
             measurements: Measurements::new(),
-            shared,
+            shared_bucket,
         }
     }
 
@@ -145,9 +146,9 @@
     }
 
     fn into_measurements(mut self) -> Measurements {
-        self.measurements.messages = self.shared.messages();
+        self.measurements.messages = self.shared_bucket.messages();
         self.measurements.max_agents_per_server = self
-            .used
+            .used_by_agent
             .iter()
             .map(|agents| agents.iter().filter(|&&used| used).count())
             .max()
@@ -159,46 +160,46 @@
         self.scheduler.now()
     }
 
-    fn measured(&self) -> bool {
+    fn is_measured(&self) -> bool {
         self.now() >= self.scenario.warm_up
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::QueryArrives { agent, epoch } => self.query_arrives(agent, epoch),
-            Event::CallerReturns {
+            Event::CallerRetries {
                 agent,
-                returns_left,
-            } => self.start_query(agent, returns_left),
+                retries_left,
+            } => self.start_query(agent, retries_left),
             Event::AttemptArrives(attempt) => self.attempt_arrives(attempt),
             Event::CancelArrives { server, attempt } => self.cancel_arrives(server, attempt),
             Event::ServiceEnds { server, attempt } => self.service_ends(server, attempt),
             Event::ReplyArrives { attempt, reply } => self.reply_arrives(attempt, reply),
             Event::HedgeDue { query, shard } => self.hedge_due(query, shard),
             Event::DeadlinePasses(query) => self.deadline_passes(query),
-            Event::Change(index) => self.change(index),
-            Event::Learn(agent) => {
+            Event::Change(index) => self.apply_change(index),
+            Event::ReceiveStates(agent) => {
                 let now = self.now();
                 self.policies[agent].publish(now, self.scenario, &self.states);
             }
         }
     }
 
-    fn change(&mut self, index: usize) {
+    fn apply_change(&mut self, index: usize) {
         match &self.scenario.changes[index].1 {
-            Change::Behave(servers, behaviour) => {
+            Change::SetBehaviour(servers, behaviour) => {
                 for &server in servers {
-                    self.servers[server].behave(*behaviour);
+                    self.servers[server].set_behaviour(*behaviour);
                 }
             }
-            Change::Publish(servers, state) => {
+            Change::SetState(servers, state) => {
                 for &server in servers {
                     self.states[server] = Some(*state);
                 }
-                self.spread_publication();
+                self.schedule_state_updates();
             }
-            Change::Load(rates) => {
-                self.rates.clone_from(rates);
+            Change::SetLoad(rates) => {
+                self.query_rates.clone_from(rates);
                 self.load_epoch += 1;
                 for agent in 0..self.policies.len() {
                     self.schedule_arrival(agent);
@@ -207,10 +208,10 @@
         }
     }
 
-    fn spread_publication(&mut self) {
+    fn schedule_state_updates(&mut self) {
         for agent in 0..self.policies.len() {
-            let delay = PUBLISH_SPREAD.mul_f64(self.random.random());
-            self.scheduler.after(delay, Event::Learn(agent));
+            let delay = MAX_PUBLISH_DELAY.mul_f64(self.random.random());
+            self.scheduler.after(delay, Event::ReceiveStates(agent));
         }
     }
 
@@ -222,8 +223,8 @@
     fn schedule_arrival(&mut self, agent: usize) {
         let topology = &self.scenario.topology;
         let agents_per_region = topology.agents() / topology.regions;
-        let rate = self.rates[self.region_of_agent(agent)] / agents_per_region as f64;
-        if let Some(gap) = arrival_gap(&mut self.random, rate) {
+        let rate = self.query_rates[self.region_of_agent(agent)] / agents_per_region as f64;
+        if let Some(gap) = time_to_next_arrival(&mut self.random, rate) {
             let epoch = self.load_epoch;
             self.scheduler
                 .after(gap, Event::QueryArrives { agent, epoch });
@@ -238,7 +239,7 @@
         let region = self.region_of_agent(agent);
         let (now, regions) = (self.now(), self.scenario.topology.regions);
         self.measurements.second(now, regions).queries[region] += 1;
-        self.start_query(agent, self.scenario.come_backs);
+        self.start_query(agent, self.scenario.caller_retries);
     }
 
     fn latency(&self, agent: usize, server: usize) -> Duration {
--- a/crates/sablehaven-routing/examples/routing_model/table.rs
+++ b/crates/sablehaven-routing/examples/routing_model/table.rs
@@ -1,39 +1,39 @@
-//! Tables of medians and spreads over seeds.
+//! Tables of medians and ranges over seeds.
 
-/// The median and the range of one figure over the seeds.
+/// The median and the range of a metric over the seeds.
 #[derive(Clone, Copy, Debug)]
-pub struct Spread {
-    /// The least.
-    pub least: f64,
+pub struct Summary {
+    /// The minimum.
+    pub min: f64,
     /// The median.
     pub median: f64,
-    /// The greatest.
-    pub greatest: f64,
+    /// The maximum.
+    pub max: f64,
 }
 
-impl Spread {
-    /// The spread of some figures, at least one.
-    pub fn of(figures: impl IntoIterator<Item = f64>) -> Self {
-        let mut sorted: Vec<f64> = figures.into_iter().collect();
+impl Summary {
+    /// Summarizes the values, of which there is at least one.
+    pub fn of(values: impl IntoIterator<Item = f64>) -> Self {
+        let mut sorted: Vec<f64> = values.into_iter().collect();
         sorted.sort_by(f64::total_cmp);
         Self {
-            least: sorted[0],
+            min: sorted[0],
             median: sorted[sorted.len() / 2],
-            greatest: sorted[sorted.len() - 1],
+            max: sorted[sorted.len() - 1],
         }
     }
 }
 
-/// A table that is printed with aligned columns.
+/// A table with aligned columns.
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these column heads.
-    pub fn new(heads: &[&str]) -> Self {
+    /// Creates a table with these column headings.
+    pub fn new(headings: &[&str]) -> Self {
         Self {
-            rows: vec![heads.iter().map(|&head| head.to_owned()).collect()],
+            rows: vec![headings.iter().map(|&heading| heading.to_owned()).collect()],
         }
     }
 
@@ -58,38 +58,35 @@
             let cells: Vec<String> = row
                 .iter()
                 .zip(&widths)
-                .map(|(cell, &width)| format!("{cell:>width$}"))
+                .map(|(text, &width)| format!("{text:>width$}"))
                 .collect();
             println!("| {} |", cells.join(" | "));
             if index == 0 {
-                let rules: Vec<String> = widths.iter().map(|&width| "-".repeat(width)).collect();
-                println!("| {} |", rules.join(" | "));
+                let separators: Vec<String> =
+                    widths.iter().map(|&width| "-".repeat(width)).collect();
+                println!("| {} |", separators.join(" | "));
             }
         }
     }
 }
 
-/// A cell with the median and the range.
-pub fn cell(spread: Spread, decimals: usize) -> String {
-    let Spread {
-        least,
-        median,
-        greatest,
-    } = spread;
-    format!("{median:.decimals$} ({least:.decimals$} to {greatest:.decimals$})")
+/// Formats the median and the range.
+pub fn format_summary(summary: Summary, decimals: usize) -> String {
+    let Summary { min, median, max } = summary;
+    format!("{median:.decimals$} ({min:.decimals$} to {max:.decimals$})")
 }
 
-/// A cell of shares, in per cent.
-pub fn per_cent(spread: Spread, decimals: usize) -> String {
-    let scaled = Spread {
-        least: spread.least * 100.0,
-        median: spread.median * 100.0,
-        greatest: spread.greatest * 100.0,
+/// Formats the median and the range of shares as percentages.
+pub fn format_percentage(summary: Summary, decimals: usize) -> String {
+    let scaled = Summary {
+        min: summary.min * 100.0,
+        median: summary.median * 100.0,
+        max: summary.max * 100.0,
     };
-    cell(scaled, decimals)
+    format_summary(scaled, decimals)
 }
 
-/// Whether every seed held a bound.
-pub fn verdict(holds: bool) -> String {
+/// Formats whether all targets were met.
+pub fn format_verdict(holds: bool) -> String {
     if holds { "holds" } else { "MISSED" }.to_owned()
 }
--- a/crates/sablehaven-routing/tests/model.rs
+++ b/crates/sablehaven-routing/tests/model.rs
@@ -25,7 +25,7 @@
 }
 
 use policy::PolicyKind;
-use scenario::{Behaviour, Change, Scenario, Topology, base};
+use scenario::{Behaviour, Change, Scenario, Topology, base_scenario};
 use simulation::run;
 
 const SEED: u64 = 5;
@@ -36,7 +36,7 @@
 
 /// One region with 10 shards of 4 replicas in two zones.
 fn one_region(utilisation: f64) -> Scenario {
-    let mut scenario = base(Topology {
+    let mut scenario = base_scenario(Topology {
         regions: 1,
         zones_per_region: 2,
         shards: 10,
@@ -69,7 +69,7 @@
 fn a_stuck_replica_of_each_shard_costs_few_complete_replies() {
     let mut scenario = one_region(0.4);
     let stuck = (0..10).map(|shard| 4 * shard + shard % 4).collect();
-    let change = Change::Behave(stuck, Behaviour::Stuck);
+    let change = Change::SetBehaviour(stuck, Behaviour::Stuck);
     scenario.changes.push((seconds(2), change));
     let router = run(&scenario, PolicyKind::Router, SEED);
     assert!(router.complete_share() > 0.995);
@@ -81,7 +81,7 @@
 #[test]
 fn the_budget_holds_while_half_of_the_replicas_shed() {
     let mut scenario = one_region(0.3);
-    let change = Change::Behave(every_second_server(&scenario), Behaviour::Shedding(0.7));
+    let change = Change::SetBehaviour(every_second_server(&scenario), Behaviour::Shedding(0.7));
     scenario.changes.push((seconds(5), change));
     let router = run(&scenario, PolicyKind::Router, SEED);
     assert!(router.extra_load() <= 0.05);
@@ -106,7 +106,7 @@
 
 #[test]
 fn an_overloaded_region_spills_to_the_others_without_oscillation() {
-    let mut scenario = base(Topology {
+    let mut scenario = base_scenario(Topology {
         regions: 2,
         zones_per_region: 1,
         shards: 5,
@@ -116,7 +116,7 @@
     let region_load = scenario.queries_for(1.0) / 2.0;
     scenario.warm_up = seconds(10);
     scenario.end = seconds(30);
-    let load = Change::Load(vec![1.4 * region_load, 0.2 * region_load]);
+    let load = Change::SetLoad(vec![1.4 * region_load, 0.2 * region_load]);
     scenario.changes = vec![(Duration::ZERO, load)];
     let measured = run(&scenario, PolicyKind::Router, SEED);
     assert!(measured.complete_share() > 0.95);
