--- a/crates/sablehaven-relay/examples/distribution_bench/control_side.rs
+++ b/crates/sablehaven-relay/examples/distribution_bench/control_side.rs
@@ -1,4 +1,4 @@
-//! The control side of a run: a scripted double, or three real replicas.
+//! The control service of a run: a scripted test double or three real replicas.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -24,32 +24,34 @@
 use crate::{
     control_double::{ControlDouble, DEPLOYMENT},
     fleet::{REGION_LATENCY, SERVICES, placement, service_name, snapshot_change, state},
-    latency::delayed,
+    latency::start_delaying_forwarder,
 };
 
-/// Replicas of real control, each in a region of its own.
+/// Number of real control replicas, each in its own region.
 const REPLICAS: usize = 3;
 
-/// Pause before a command is sent again while there is no leader.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a command is sent again while there is no leader.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A committed change.
+/// A committed configuration change.
 pub struct Commit {
-    /// The version of the configuration that it made.
+    /// The configuration version that the change created.
     pub version: u64,
-    /// When it was accepted: committed by the double, or answered by the leader.
-    pub accepted: Instant,
+    /// When the change was accepted: for the double, just before it commits; for real replicas,
+    /// when the reply of the leader arrives.
+    pub accepted_at: Instant,
 }
 
-/// The control side.
-pub enum ControlSide {
-    /// A scripted double: commits at once.
+/// The control service of a run.
+pub enum ControlService {
+    /// A scripted test double, which commits at once.
     Double(ControlDouble),
-    /// Real replicas.
+    /// Three real replicas.
     Real(RealControl),
 }
 
-/// Real replicas on disks of one folder, with the latency between regions on every link.
+/// Real replicas that store their data in one temporary folder, with the latency between regions on
+/// every connection to a replica's internal address.
 pub struct RealControl {
     internal: Vec<SocketAddr>,
     http: Vec<SocketAddr>,
@@ -59,8 +61,8 @@
     _folder: TempDir,
 }
 
-impl ControlSide {
-    /// The addresses that relays connect to.
+impl ControlService {
+    /// Returns the addresses that relays connect to.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         match self {
             Self::Double(double) => vec![double.address],
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The newest version of the configuration.
+    /// Returns the newest configuration version.
     pub fn version(&self) -> u64 {
         match self {
             Self::Double(double) => double.script().state.configuration_version,
@@ -76,15 +78,15 @@
         }
     }
 
-    /// Commits one change: a new snapshot of one service.
+    /// Commits a new snapshot of one service.
     pub async fn commit(&self, number: usize) -> Commit {
         match self {
             Self::Double(double) => {
-                let accepted = Instant::now();
+                let accepted_at = Instant::now();
                 double.commit(snapshot_change(number));
                 Commit {
                     version: self.version(),
-                    accepted,
+                    accepted_at,
                 }
             }
             Self::Real(real) => real.publish(number).await,
@@ -93,9 +95,9 @@
 }
 
 impl RealControl {
-    /// Starts the replicas and applies the first configuration.
+    /// Starts the replicas and applies the initial configuration.
     pub async fn start() -> Self {
-        let folder = TempDir::new().expect("temporary folder");
+        let folder = TempDir::new().expect("create a temporary folder");
         let mut listeners = Vec::new();
         let mut internal = Vec::new();
         let mut http = Vec::new();
@@ -104,26 +106,26 @@
                 internal: listen().await,
                 http: listen().await,
             };
-            let address = replica.internal.local_addr().expect("address");
-            internal.push(delayed(address, REGION_LATENCY).await);
-            http.push(replica.http.local_addr().expect("address"));
+            let address = replica.internal.local_addr().expect("local address");
+            internal.push(start_delaying_forwarder(address, REGION_LATENCY).await);
+            http.push(replica.http.local_addr().expect("local address"));
             listeners.push(replica);
         }
         let mut handles = Vec::new();
-        for (number, replica) in listeners.into_iter().enumerate() {
-            let others = internal
+        for (index, replica) in listeners.into_iter().enumerate() {
+            let peers = internal
                 .iter()
-                .filter(|address| **address != internal[number]);
+                .filter(|address| **address != internal[index]);
             let config = sablehaven_control::Config {
                 deployment: DEPLOYMENT.to_owned(),
-                internal_listen: replica.internal.local_addr().expect("address"),
-                http_listen: http[number],
-                internal_advertise: Some(internal[number]),
+                internal_listen: replica.internal.local_addr().expect("local address"),
+                http_listen: http[index],
+                internal_advertise: Some(internal[index]),
                 placement: placement(),
-                data_folder: folder.path().join(format!("replica-{number}")),
-                peers: others.copied().collect(),
+                data_folder: folder.path().join(format!("replica-{index}")),
+                peers: peers.copied().collect(),
                 bootstrap: true,
-                election_seed: number as u64,
+                election_seed: index as u64,
                 ..Default::default()
             };
             let environment = Environment {
@@ -132,17 +134,20 @@
                 servers: None,
             };
             let started = start_in(config, Telemetry::new("control"), environment);
-            handles.push(started.await.expect("start control"));
+            handles.push(started.await.expect("start control replica"));
         }
         let real = Self {
             internal,
             http,
-            client: Client::builder().no_proxy().build().expect("client"),
+            client: Client::builder()
+                .no_proxy()
+                .build()
+                .expect("build the HTTP client"),
             version: AtomicU64::new(0),
             _handles: handles,
             _folder: folder,
         };
-        let configuration = first_configuration();
+        let configuration = initial_configuration();
         real.apply(ConfigurationChange::ReplaceAll { configuration })
             .await;
         real
@@ -151,13 +156,16 @@
     async fn publish(&self, number: usize) -> Commit {
         let service = service_name(number % SERVICES);
         let update = snapshot_change(number);
-        let configured = update.services.into_values().flatten().next();
-        let snapshot = configured.expect("one service").snapshot;
+        let configuration = update.services.into_values().flatten().next();
+        let snapshot = configuration
+            .expect("the change contains one service")
+            .snapshot;
         self.apply(ConfigurationChange::PublishSnapshot { service, snapshot })
             .await
     }
 
-    /// Applies a change against the newest version; goes where it is sent.
+    /// Applies a change to the newest version. Sends it to the leader named in the error reply, if
+    /// any, and retries until a replica accepts it.
     async fn apply(&self, change: ConfigurationChange) -> Commit {
         let expected_version = self.version.load(Ordering::Relaxed);
         let command = ApplyCommand {
@@ -171,38 +179,42 @@
         loop {
             let url = format!("http://{address}{}", paths::APPLY);
             let response = self.client.post(url).json(&command).send().await;
-            let response = response.expect("an answer");
+            let response = response.expect("receive a response");
             if response.status() == StatusCode::OK {
-                let accepted = Instant::now();
-                let outcome: ApplyOutcome = response.json().await.expect("an outcome");
-                return self.note(outcome, accepted);
+                let accepted_at = Instant::now();
+                let outcome: ApplyOutcome =
+                    response.json().await.expect("decode the apply outcome");
+                return self.record_outcome(outcome, accepted_at);
             }
-            let error: OperatorError = response.json().await.expect("an error");
+            let error: OperatorError = response.json().await.expect("decode the operator error");
             address = error.leader.unwrap_or(address);
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    fn note(&self, outcome: ApplyOutcome, accepted: Instant) -> Commit {
+    fn record_outcome(&self, outcome: ApplyOutcome, accepted_at: Instant) -> Commit {
         match outcome {
             ApplyOutcome::Accepted { version } => {
                 self.version.store(version, Ordering::Relaxed);
-                Commit { version, accepted }
+                Commit {
+                    version,
+                    accepted_at,
+                }
             }
-            other => panic!("not accepted: {other:?}"),
+            other => panic!("change was not accepted: {other:?}"),
         }
     }
 }
 
 async fn listen() -> TcpListener {
     let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    TcpListener::bind(any_port).await.expect("listen")
+    TcpListener::bind(any_port).await.expect("bind a listener")
 }
 
-/// The double's first state, with a schema that real control accepts.
-fn first_configuration() -> Configuration {
-    let whole = state(SERVICES, crate::fleet::BACKENDS);
-    let services = whole.services.into_iter();
+/// Returns the initial state of the double, with a schema that the real control service accepts.
+fn initial_configuration() -> Configuration {
+    let full_state = state(SERVICES, crate::fleet::BACKENDS);
+    let services = full_state.services.into_iter();
     let services = services.filter_map(|(name, service)| Some((name, service?)));
     Configuration {
         version: 0,
--- a/crates/sablehaven-relay/examples/distribution_bench/fleet.rs
+++ b/crates/sablehaven-relay/examples/distribution_bench/fleet.rs
@@ -1,4 +1,4 @@
-//! A control double, relays and hollow agents, each kind on threads of its own.
+//! A control service, relays, and agents that only subscribe, each kind on its own threads.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,64 +14,65 @@
 
 use crate::{
     control_double::{ControlDouble, DEPLOYMENT},
-    control_side::{Commit, ControlSide, RealControl},
-    latency::delayed,
+    control_side::{Commit, ControlService, RealControl},
+    latency::start_delaying_forwarder,
 };
 
-/// One-way latency between zones, from the brief.
+/// One-way latency between zones, from the requirements.
 pub const ZONE_LATENCY: Duration = Duration::from_millis(1);
 
-/// One-way latency between regions, from the brief.
+/// One-way latency between regions, from the requirements.
 pub const REGION_LATENCY: Duration = Duration::from_millis(10);
 
-/// Regions of a deployment, from the brief.
+/// Number of regions in a deployment, from the requirements.
 const REGIONS: usize = 3;
 
-/// Services of the state, as of the food bank today.
+/// Number of services, as in the current deployment of the food bank.
 pub const SERVICES: usize = 4;
 
-/// Back ends of the state, as of the food bank today (16 + 24 + 30 + 15).
+/// Number of back ends, as in the current deployment of the food bank (16 + 24 + 30 + 15).
 pub const BACKENDS: usize = 85;
 
-/// Shards that a query touches, from the target.
+/// Number of shards that a query touches, from the performance target.
 const SHARDS: u32 = 55;
 
-/// Replicas of a shard, at least; more when a service has more servers than shards.
-const LEAST_REPLICAS: usize = 3;
+/// Minimum number of replicas per shard. A service with at least four back ends per shard has more.
+const MIN_REPLICAS: usize = 3;
 
-/// Bytes of the schema's text.
+/// Size of the schema text in bytes.
 const SCHEMA_BYTES: usize = 4_000;
 
-/// Which latencies are added.
+/// The latencies added to the connections.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Latencies {
-    /// The brief's: regions between control and two of three relays, zones elsewhere.
-    Brief,
-    /// None: for processor time, which the forwarding would add to.
+    /// The required ones: the latency between regions from control to two of three relays, and the
+    /// latency between zones elsewhere.
+    Required,
+    /// None, for measurements of CPU time, because the forwarders would add to it.
     None,
 }
 
-/// Which control side is used.
+/// The kind of control service.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ControlKind {
-    /// The scripted double.
+    /// The scripted test double.
     Double,
     /// Three real replicas.
     Real,
 }
 
-/// A relay on its own threads.
-pub struct RelayProcess {
+/// A relay that runs on its own threads.
+pub struct RunningRelay {
     pub runtime: Runtime,
     pub handle: Handle,
     pub address: SocketAddr,
 }
 
-/// The whole.
+/// All components of a run.
 pub struct Fleet {
-    pub control: ControlSide,
+    pub control: ControlService,
     pub control_runtime: Runtime,
-    pub relays: Vec<RelayProcess>,
+    pub relays: Vec<RunningRelay>,
     pub agents: Vec<Subscription>,
     pub agent_runtime: Runtime,
     latency_runtime: Runtime,
@@ -84,20 +85,20 @@
         .thread_name(name)
         .enable_all()
         .build()
-        .expect("runtime")
+        .expect("build a runtime")
 }
 
 impl Fleet {
-    /// Starts control and relays, without agents.
+    /// Starts the control service and the relays, without agents.
     pub fn start(kind: ControlKind, relays: usize, latencies: Latencies) -> Self {
         let control_runtime = runtime("control", 2);
         let control = control_runtime.block_on(async {
             match kind {
                 ControlKind::Double => {
                     let state = state(SERVICES, BACKENDS);
-                    ControlSide::Double(ControlDouble::start(state).await)
+                    ControlService::Double(ControlDouble::start(state).await)
                 }
-                ControlKind::Real => ControlSide::Real(RealControl::start().await),
+                ControlKind::Real => ControlService::Real(RealControl::start().await),
             }
         });
         let mut fleet = Self {
@@ -123,57 +124,62 @@
         let config = Config {
             deployment: DEPLOYMENT.to_owned(),
             placement: placement(),
-            control: self.control_links(latency),
+            control: self.control_addresses(latency),
             ..Config::default()
         };
         let runtime = runtime("relay", 2);
         let started = sablehaven_relay::start(config, Telemetry::new("relay"));
-        let handle = runtime.block_on(started).expect("start");
-        let address = handle.addresses().internal.expect("listening");
-        self.relays.push(RelayProcess {
+        let handle = runtime.block_on(started).expect("start relay");
+        let address = handle.addresses().internal.expect("internal address");
+        self.relays.push(RunningRelay {
             runtime,
             handle,
-            address: self.link(address, ZONE_LATENCY),
+            address: self.delayed_address(address, ZONE_LATENCY),
         });
     }
 
-    /// Real replicas have their latency on their own links.
-    fn control_links(&self, latency: Duration) -> Vec<SocketAddr> {
+    /// Returns the addresses through which a relay reaches control. Real replicas already advertise
+    /// addresses with added latency.
+    fn control_addresses(&self, latency: Duration) -> Vec<SocketAddr> {
         let addresses = self.control.addresses();
         match &self.control {
-            ControlSide::Double(_) => {
-                let links = addresses.into_iter();
-                links.map(|address| self.link(address, latency)).collect()
+            ControlService::Double(_) => {
+                let targets = addresses.into_iter();
+                targets
+                    .map(|address| self.delayed_address(address, latency))
+                    .collect()
             }
-            ControlSide::Real(_) => addresses,
+            ControlService::Real(_) => addresses,
         }
     }
 
-    fn link(&self, target: SocketAddr, latency: Duration) -> SocketAddr {
+    fn delayed_address(&self, target: SocketAddr, latency: Duration) -> SocketAddr {
         match self.latencies {
-            Latencies::Brief => self.latency_runtime.block_on(delayed(target, latency)),
+            Latencies::Required => self
+                .latency_runtime
+                .block_on(start_delaying_forwarder(target, latency)),
             Latencies::None => target,
         }
     }
 
-    /// Starts agents until there are `count`; each prefers one of the relays in turn.
+    /// Starts agents until there are `count`. Preferred relays are assigned round-robin.
     pub fn grow_agents(&mut self, count: usize) {
         let relays: Vec<_> = self.relays.iter().map(|relay| relay.address).collect();
         for number in self.agents.len()..count {
-            let mut in_turn = relays.clone();
-            in_turn.rotate_left(number % relays.len());
-            self.start_agent(number, in_turn);
+            let mut by_preference = relays.clone();
+            by_preference.rotate_left(number % relays.len());
+            self.start_agent(number, by_preference);
         }
     }
 
-    /// Starts agents until there are `count`; each prefers the first of the given relays.
+    /// Starts agents until there are `count`. All of them prefer the first of the given relays.
     pub fn grow_agents_at(&mut self, count: usize, relays: &[SocketAddr]) {
         for number in self.agents.len()..count {
             self.start_agent(number, relays.to_vec());
         }
     }
 
-    /// Starts an agent that is interested in one service.
+    /// Starts an agent that subscribes to one service.
     fn start_agent(&mut self, number: usize, relays: Vec<SocketAddr>) {
         let _entered = self.agent_runtime.enter();
         let config = sablehaven_subscription::Config {
@@ -189,24 +195,24 @@
         self.agents.push(Subscription::start(config, identity));
     }
 
-    /// Waits until every agent has the newest version and a lease.
-    pub fn settle(&self) {
+    /// Waits until every agent has the newest configuration version and a current lease.
+    pub fn wait_until_up_to_date(&self) {
         let version = self.control.version();
-        let is_settled = |agent: &Subscription| {
+        let is_up_to_date = |agent: &Subscription| {
             agent.view().configuration_version == version && agent.lease().current
         };
-        while !self.agents.iter().all(is_settled) {
+        while !self.agents.iter().all(is_up_to_date) {
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Commits one change: a new snapshot of one service.
+    /// Commits a new snapshot of one service.
     pub fn commit(&self, number: usize) -> Commit {
         self.control_runtime.block_on(self.control.commit(number))
     }
 
-    /// Ends everything.
-    pub fn end(self) {
+    /// Stops all components.
+    pub fn stop(self) {
         drop(self.agents);
         self.agent_runtime.shutdown_background();
         for relay in self.relays {
@@ -232,12 +238,13 @@
     format!("depot-server-{number}")
 }
 
-/// Publishes a new generation of one service at today's sizes, with every shard's replicas.
+/// Returns a change that publishes a new snapshot generation of one service, with the replicas of
+/// every shard, in a state of the size of the current deployment.
 pub fn snapshot_change(number: usize) -> StateUpdate {
     snapshot_change_at(number, SERVICES, BACKENDS)
 }
 
-/// The same in a state of the given size.
+/// Like `snapshot_change`, in a state of the given size.
 pub fn snapshot_change_at(number: usize, services: usize, backends: usize) -> StateUpdate {
     let service = service_name(number % services);
     let configuration = service_configuration(number as u64 + 2, services, backends);
@@ -252,10 +259,11 @@
     services: usize,
     backends: usize,
 ) -> ServiceConfiguration {
-    let of_a_shard = (backends / services / SHARDS as usize).max(LEAST_REPLICAS);
+    let replicas_per_shard = (backends / services / SHARDS as usize).max(MIN_REPLICAS);
     let shards = (0..SHARDS).map(|shard| {
-        let first = shard as usize * of_a_shard;
-        let replicas = (first..first + of_a_shard).map(|number| backend_name(number % backends));
+        let first = shard as usize * replicas_per_shard;
+        let replicas =
+            (first..first + replicas_per_shard).map(|number| backend_name(number % backends));
         ShardAssignment {
             shard: ShardId(shard),
             replicas: replicas.map(Into::into).collect(),
@@ -273,7 +281,7 @@
     }
 }
 
-/// A whole state of the given size.
+/// Returns a full state of the given size.
 pub fn state(services: usize, backends: usize) -> StateUpdate {
     let records = (0..backends).map(|number| {
         let record = BackendRecord {
--- a/crates/sablehaven-relay/examples/distribution_bench/main.rs
+++ b/crates/sablehaven-relay/examples/distribution_bench/main.rs
@@ -1,5 +1,6 @@
-//! Measures distribution: from a control double over real relays to real subscriptions, all in one
-//! process over loopback, with the brief's one-way latencies added on the links.
+//! Measures the distribution of state from a control service (a test double or real replicas) over
+//! real relays to real subscriptions. All run in one process and connect over loopback, with the
+//! required one-way latencies added to the connections.
 //!
 //! `cargo run --release -p sablehaven-relay --example distribution_bench -- --help`
 
@@ -19,7 +20,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-/// What a run measures.
+/// The options of a run.
 struct Options {
     agents: Vec<usize>,
     relays: usize,
@@ -32,20 +33,20 @@
 fn main() {
     let matches = command().get_matches();
     let options = Options {
-        agents: numbers(&matches, "agents"),
+        agents: number_list_argument(&matches, "agents"),
         relays: *matches.get_one("relays").expect("has a default"),
         changes: *matches.get_one("changes").expect("has a default"),
         seconds: *matches.get_one("seconds").expect("has a default"),
         latencies: match matches.get_flag("no-latencies") {
             true => fleet::Latencies::None,
-            false => fleet::Latencies::Brief,
+            false => fleet::Latencies::Required,
         },
         control: match matches.get_flag("real-control") {
             true => fleet::ControlKind::Real,
             false => fleet::ControlKind::Double,
         },
     };
-    let parts = numbers_of(&matches, "parts");
+    let parts = list_argument(&matches, "parts");
     println!("load average before: {}", processor_time::load_average());
     for part in parts {
         match part.as_str() {
@@ -66,7 +67,7 @@
             Arg::new("agents")
                 .long("agents")
                 .default_value("10,100,300,1000")
-                .help("Numbers of hollow agents, separated by commas"),
+                .help("Numbers of agents, separated by commas; the agents only subscribe"),
         )
         .arg(
             Arg::new("relays")
@@ -80,42 +81,42 @@
                 .long("changes")
                 .default_value("40")
                 .value_parser(value_parser!(usize))
-                .help("Changes committed for each propagation point"),
+                .help("Number of changes committed for each number of agents"),
         )
         .arg(
             Arg::new("seconds")
                 .long("seconds")
                 .default_value("27")
                 .value_parser(value_parser!(u64))
-                .help("Length of each phase at rest and under change, in seconds"),
+                .help("Duration of each idle phase and each phase with changes, in seconds"),
         )
         .arg(
             Arg::new("no-latencies")
                 .long("no-latencies")
                 .action(ArgAction::SetTrue)
-                .help("Propagation without added latencies and forwarders"),
+                .help("Measure propagation without added latencies and forwarders"),
         )
         .arg(
             Arg::new("real-control")
                 .long("real-control")
                 .action(ArgAction::SetTrue)
-                .help("Propagation from three real control replicas instead of the double"),
+                .help("Measure propagation from three real control replicas, not the test double"),
         )
         .arg(
             Arg::new("parts")
                 .long("parts")
                 .default_value("propagation,rest,snapshot,return")
-                .help("What to measure, separated by commas"),
+                .help("Measurements to run, separated by commas"),
         )
 }
 
-fn numbers(matches: &ArgMatches, name: &str) -> Vec<usize> {
-    let parts = numbers_of(matches, name);
+fn number_list_argument(matches: &ArgMatches, name: &str) -> Vec<usize> {
+    let parts = list_argument(matches, name);
     let parsed = parts.iter().filter_map(|part| part.parse().ok());
     parsed.collect()
 }
 
-fn numbers_of(matches: &ArgMatches, name: &str) -> Vec<String> {
+fn list_argument(matches: &ArgMatches, name: &str) -> Vec<String> {
     let text: &String = matches.get_one(name).expect("has a default");
     text.split(',').map(|part| part.trim().to_owned()).collect()
 }
--- a/crates/sablehaven-relay/examples/distribution_bench/processor_time.rs
+++ b/crates/sablehaven-relay/examples/distribution_bench/processor_time.rs
@@ -1,12 +1,12 @@
-//! Processor time of groups of threads, and memory of the process, from `/proc`.
+//! Reads the CPU time of groups of threads and the memory of the process from `/proc`.
 
 use std::{collections::HashMap, fs, time::Duration};
 
-/// Processor time that each thread of a group had used at one moment, by thread.
+/// The CPU time that each thread of a group has used, by thread, when the sample was taken.
 pub struct Sample(HashMap<String, Duration>);
 
 impl Sample {
-    /// Processor time used since an earlier sample, by the threads that still run.
+    /// Returns the CPU time used since an earlier sample by the threads that still run.
     pub fn since(&self, earlier: &Sample) -> Duration {
         let threads = self.0.iter();
         let used = threads.map(|(thread, now)| {
@@ -18,7 +18,7 @@
 }
 
 /// Samples the threads whose name starts with `name`.
-pub fn of_threads(name: &str) -> Sample {
+pub fn sample_threads(name: &str) -> Sample {
     let threads = fs::read_dir("/proc/self/task").into_iter().flatten();
     let mut sample = HashMap::new();
     for thread in threads.flatten() {
@@ -38,7 +38,7 @@
     Sample(sample)
 }
 
-/// Resident memory of the process, in MiB.
+/// Returns the resident memory of the process in MiB.
 pub fn resident_mib() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -47,7 +47,7 @@
     kib / 1024.0
 }
 
-/// The machine's load average, to judge a run by.
+/// Returns the load average of the machine, which shows whether other work disturbed the run.
 pub fn load_average() -> String {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split(' ').take(3).collect::<Vec<_>>().join(" ")
--- a/crates/sablehaven-relay/examples/distribution_bench/propagation.rs
+++ b/crates/sablehaven-relay/examples/distribution_bench/propagation.rs
@@ -1,4 +1,4 @@
-//! Time from acceptance to in force at every agent.
+//! Measures the time from the acceptance of a change until it is in force at every agent.
 
 use std::{
     sync::{Arc, Mutex},
@@ -16,16 +16,16 @@
     fleet::{ControlKind, Fleet, Latencies},
 };
 
-/// Time between two changes, long enough for one to arrive everywhere before the next.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two changes, long enough for one to reach every agent before the next.
+const CHANGE_DELAY: Duration = Duration::from_millis(200);
 
-/// When each agent had each version: (version, moment).
+/// The configuration version and the time of each update that an agent received.
 type Arrivals = Arc<Mutex<Vec<(u64, Instant)>>>;
 
 pub fn measure(options: &Options) {
     println!("\n## From acceptance to in force at every agent");
     println!(
-        "{}, {} relays, {} changes a point, {}; milliseconds",
+        "{}, {} relays, {} changes per row, {}; milliseconds",
         match options.control {
             ControlKind::Double => "control double",
             ControlKind::Real => "three real control replicas in three regions",
@@ -33,7 +33,7 @@
         options.relays,
         options.changes,
         match options.latencies {
-            Latencies::Brief => "latencies of the brief",
+            Latencies::Required => "required latencies",
             Latencies::None => "no added latencies",
         }
     );
@@ -50,51 +50,53 @@
 fn measure_point(options: &Options, count: usize) -> f64 {
     let mut fleet = Fleet::start(options.control, options.relays, options.latencies);
     fleet.grow_agents(count);
-    fleet.settle();
+    fleet.wait_until_up_to_date();
     let arrivals: Arrivals = Arc::default();
     for agent in &fleet.agents {
-        let watching = watch(agent.clone(), arrivals.clone());
-        fleet.agent_runtime.spawn(watching);
+        let task = record_arrivals(agent.clone(), arrivals.clone());
+        fleet.agent_runtime.spawn(task);
     }
-    let mut last_of_change = Vec::new();
+    let mut last_arrivals = Vec::new();
     let mut all = Vec::new();
     for number in 0..options.changes {
-        std::thread::sleep(PAUSE);
-        arrivals.lock().expect("arrivals").clear();
+        std::thread::sleep(CHANGE_DELAY);
+        arrivals.lock().expect("arrivals lock").clear();
         let commit = fleet.commit(number);
         let times = wait_for_all(&arrivals, &commit, count);
-        last_of_change.push(times.iter().copied().fold(0.0, f64::max));
+        last_arrivals.push(times.iter().copied().fold(0.0, f64::max));
         all.extend(times);
     }
-    fleet.end();
+    fleet.stop();
     all.sort_by(f64::total_cmp);
-    last_of_change.sort_by(f64::total_cmp);
-    let last = quantile(&last_of_change, 0.5);
+    last_arrivals.sort_by(f64::total_cmp);
+    let last = quantile(&last_arrivals, 0.5);
     println!(
         "| {count} | {:.2} | {:.2} | {last:.2} | {:.2} |",
         quantile(&all, 0.5),
         quantile(&all, 0.99),
-        quantile(&last_of_change, 1.0),
+        quantile(&last_arrivals, 1.0),
     );
     last
 }
 
-async fn watch(agent: Subscription, arrivals: Arrivals) {
+async fn record_arrivals(agent: Subscription, arrivals: Arrivals) {
     let mut changed = agent.changed();
     while changed.changed().await.is_ok() {
         let arrived = (agent.view().configuration_version, Instant::now());
-        arrivals.lock().expect("arrivals").push(arrived);
+        arrivals.lock().expect("arrivals lock").push(arrived);
     }
 }
 
-/// Milliseconds from acceptance to each agent's arrival; 0 for an agent that had the change before
-/// the operator had the answer.
+/// Waits until all agents have the change and returns the milliseconds from its acceptance to each
+/// arrival. The value is 0 for an agent that had the change before the operator had the reply.
 fn wait_for_all(arrivals: &Arrivals, commit: &Commit, count: usize) -> Vec<f64> {
     loop {
         std::thread::sleep(Duration::from_millis(1));
-        let arrivals = arrivals.lock().expect("arrivals");
-        let arrived = arrivals.iter().filter(|(at, _)| *at == commit.version);
-        let since = |moment: &Instant| moment.saturating_duration_since(commit.accepted);
+        let arrivals = arrivals.lock().expect("arrivals lock");
+        let arrived = arrivals
+            .iter()
+            .filter(|(version, _)| *version == commit.version);
+        let since = |moment: &Instant| moment.saturating_duration_since(commit.accepted_at);
         let times: Vec<f64> = arrived
             .map(|(_, moment)| since(moment).as_secs_f64() * 1_000.0)
             .collect();
@@ -104,7 +106,7 @@
     }
 }
 
-/// The quantile of ascending values; not a number of nothing.
+/// Returns a quantile of ascending values, or NaN if there are none.
 fn quantile(ascending: &[f64], share: f64) -> f64 {
     statistics::quantile(ascending, share).unwrap_or(f64::NAN)
 }
--- a/crates/sablehaven-relay/examples/distribution_bench/rest.rs
+++ b/crates/sablehaven-relay/examples/distribution_bench/rest.rs
@@ -1,4 +1,4 @@
-//! Bytes and processor time of each agent, at rest and under change.
+//! Measures the bytes and CPU time per agent, idle and during configuration changes.
 
 use std::time::{Duration, Instant};
 
@@ -8,64 +8,64 @@
     processor_time,
 };
 
-/// Time between two changes at 32,000 a day.
+/// Time between two changes at 32,000 changes per day.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(2_700);
 
-/// Time after the agents' start before a phase begins.
+/// Delay between the start of the agents and the first phase.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// Names of the groups of threads.
-const GROUPS: [&str; 3] = ["control", "relay", "agent"];
+/// Name prefixes of the thread groups.
+const THREAD_GROUPS: [&str; 3] = ["control", "relay", "agent"];
 
-/// Counters at one moment.
+/// Counters at one point in time.
 struct Sample {
-    moment: Instant,
-    processor: [processor_time::Sample; 3],
+    taken_at: Instant,
+    cpu_time: [processor_time::Sample; 3],
     agent_received: u64,
     agent_sent: u64,
     control_bytes: u64,
 }
 
 pub fn measure(options: &Options) {
-    println!("\n## Each agent at rest and at one change every 2.7 s");
+    println!("\n## Each agent idle and with one change every 2.7 s");
     println!(
-        "{} relays, {} s a phase, no added latencies. Bytes are those of the frames; processor \
-         time in percent of a core. 'Relay' is of all relays together.",
+        "{} relays, {} s per phase, no added latencies. Bytes are those of the frames; CPU time \
+         in percent of a core. 'Relay' is the sum over all relays.",
         options.relays, options.seconds
     );
     println!(
-        "| agents | phase | received B/s | sent B/s | agent % | relay % | relay % an agent | control link B/s | control % |"
+        "| agents | phase | received B/s | sent B/s | agent % | relay % | relay % per agent | control link B/s | control % |"
     );
     println!("|---|---|---|---|---|---|---|---|---|");
-    let mut at_rest = Vec::new();
-    let mut changing = Vec::new();
+    let mut idle = Vec::new();
+    let mut with_changes = Vec::new();
     let mut control_link = Vec::new();
     for &count in &options.agents {
         let mut fleet = Fleet::start(ControlKind::Double, options.relays, Latencies::None);
         fleet.grow_agents(count);
-        fleet.settle();
+        fleet.wait_until_up_to_date();
         std::thread::sleep(WARM_UP);
-        let length = Duration::from_secs(options.seconds);
+        let duration = Duration::from_secs(options.seconds);
         let before = sample(&fleet);
-        std::thread::sleep(length);
-        let rested = sample(&fleet);
-        let row = print(count, "rest", &before, &rested);
-        at_rest.push((count as f64, row.relay_percent));
+        std::thread::sleep(duration);
+        let after_idle = sample(&fleet);
+        let row = print(count, "rest", &before, &after_idle);
+        idle.push((count as f64, row.relay_percent));
         let before = sample(&fleet);
-        change_for(&fleet, length);
-        let changed = sample(&fleet);
-        let row = print(count, "change", &before, &changed);
-        changing.push((count as f64, row.relay_percent));
+        commit_changes_for(&fleet, duration);
+        let after_changes = sample(&fleet);
+        let row = print(count, "change", &before, &after_changes);
+        with_changes.push((count as f64, row.relay_percent));
         control_link.push((count as f64, row.control_link));
-        fleet.end();
+        fleet.stop();
     }
-    fit::print("relay at rest", "% of a core", &at_rest);
-    fit::print("relay under change", "% of a core", &changing);
-    fit::print("control link under change", "B/s", &control_link);
+    fit::print("idle relay", "% of a core", &idle);
+    fit::print("relay with changes", "% of a core", &with_changes);
+    fit::print("control link with changes", "B/s", &control_link);
 }
 
-fn change_for(fleet: &Fleet, length: Duration) {
-    let end = Instant::now() + length;
+fn commit_changes_for(fleet: &Fleet, duration: Duration) {
+    let end = Instant::now() + duration;
     let mut number = 0;
     while Instant::now() + CHANGE_INTERVAL <= end {
         fleet.commit(number);
@@ -87,8 +87,8 @@
         .map(|metrics| metrics.control_sent_bytes.get() + metrics.control_received_bytes.get())
         .sum();
     Sample {
-        moment: Instant::now(),
-        processor: GROUPS.map(processor_time::of_threads),
+        taken_at: Instant::now(),
+        cpu_time: THREAD_GROUPS.map(processor_time::sample_threads),
         agent_received: received,
         agent_sent: sent,
         control_bytes,
@@ -101,11 +101,11 @@
 }
 
 fn print(count: usize, phase: &str, before: &Sample, after: &Sample) -> Row {
-    let seconds = (after.moment - before.moment).as_secs_f64();
+    let seconds = (after.taken_at - before.taken_at).as_secs_f64();
     let agents = count as f64;
     let rate = |before: u64, after: u64| (after - before) as f64 / seconds;
     let percent = |group: usize| {
-        let used = after.processor[group].since(&before.processor[group]);
+        let used = after.cpu_time[group].since(&before.cpu_time[group]);
         100.0 * used.as_secs_f64() / seconds
     };
     let received = rate(before.agent_received, after.agent_received) / agents;
