--- a/crates/sablehaven-routing/examples/routing_model/experiments/overload.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/overload.rs
@@ -56,12 +56,12 @@
     scenario.servers.queue = queue;
     scenario.warm_up = Duration::from_secs(OVERLOAD_START_SECOND as u64);
     scenario.end = Duration::from_secs(RUN_END_SECOND as u64);
-    let region = scenario.queries_for(1.0) / 3.0;
-    let load = |first: f64| {
+    let region_capacity = scenario.queries_for(1.0) / 3.0;
+    let load = |region_0_load: f64| {
         Change::SetLoad(vec![
-            region * first,
-            region * other_regions_load,
-            region * other_regions_load,
+            region_capacity * region_0_load,
+            region_capacity * other_regions_load,
+            region_capacity * other_regions_load,
         ])
     };
     scenario.changes = vec![
--- a/crates/sablehaven-routing/examples/routing_model/policy.rs
+++ b/crates/sablehaven-routing/examples/routing_model/policy.rs
@@ -118,7 +118,7 @@
 impl Policy for RouterPolicy {
     fn admit(&mut self, now: Duration, sub_requests: u32) -> Result<(), Duration> {
         if self.kind == PolicyKind::RouterWithSharedBudget {
-            self.local_bucket.needed(now, sub_requests);
+            self.local_bucket.record_needed(now, sub_requests);
         }
         match self.router.admit(now, sub_requests) {
             Admission::Admitted => Ok(()),
--- a/crates/sablehaven-routing/examples/routing_model/query_flow.rs
+++ b/crates/sablehaven-routing/examples/routing_model/query_flow.rs
@@ -24,8 +24,8 @@
             started_at: now,
             deadline: now + self.scenario.deadline,
             sub_requests: vec![SubRequest::default(); shards],
-            open: shards,
-            missing: 0,
+            open_sub_requests: shards,
+            missing_shards: 0,
         });
         self.scheduler
             .after(self.scenario.deadline, Event::DeadlinePasses(query));
@@ -176,10 +176,10 @@
             return;
         }
         sub_request.done = true;
-        query.open -= 1;
-        query.missing += usize::from(!answered);
+        query.open_sub_requests -= 1;
+        query.missing_shards += usize::from(!answered);
         let outstanding = std::mem::take(&mut sub_request.outstanding);
-        let ended = query.open == 0;
+        let ended = query.open_sub_requests == 0;
         if answered && self.is_measured() {
             self.measurements.counts.answered += 1;
         }
@@ -222,7 +222,7 @@
             if sub_request.done {
                 continue;
             }
-            query.missing += 1;
+            query.missing_shards += 1;
             for attempt in std::mem::take(&mut sub_request.outstanding) {
                 self.cancel(query.agent, attempt, AttemptOutcome::Failed);
             }
@@ -232,7 +232,7 @@
 
     pub(super) fn end_query(&mut self, query: &Query) {
         let now = self.now();
-        let complete = query.missing == 0;
+        let complete = query.missing_shards == 0;
         let region = self.region_of_agent(query.agent);
         let regions = self.scenario.topology.regions;
         self.measurements.second(now, regions).complete[region] += u64::from(complete);
--- a/crates/sablehaven-routing/examples/routing_model/shared_bucket.rs
+++ b/crates/sablehaven-routing/examples/routing_model/shared_bucket.rs
@@ -22,7 +22,7 @@
 /// Minimum time between two requests of one agent, whether granted or not.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The central bucket.
+/// The bucket that grants tokens to all agents.
 #[derive(Debug)]
 struct CentralBucket {
     extra_load_share: f64,
@@ -152,7 +152,7 @@
     }
 
     /// Records needed sub-requests, and requests tokens if they run low.
-    pub fn needed(&mut self, now: Duration, sub_requests: u32) {
+    pub fn record_needed(&mut self, now: Duration, sub_requests: u32) {
         self.needed += f64::from(sub_requests);
         self.advance(now);
         self.request_if_low(now);
--- a/crates/sablehaven-routing/examples/routing_model/simulation.rs
+++ b/crates/sablehaven-routing/examples/routing_model/simulation.rs
@@ -51,8 +51,8 @@
     started_at: Duration,
     deadline: Duration,
     sub_requests: Vec<SubRequest>,
-    open: usize,
-    missing: usize,
+    open_sub_requests: usize,
+    missing_shards: usize,
 }
 
 /// The reply of a server, which may be a refusal.
