--- a/crates/sablehaven-routing/examples/routing_model/experiments/budget.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/budget.rs
@@ -38,7 +38,7 @@
     scenario.changes = vec![(Duration::ZERO, scenario.even_load(0.5))];
     let servers = half_of_one_region(&scenario.topology);
     let mut set_behaviour = |second: u64, behaviour: Behaviour| {
-        let change = Change::SetBehaviour(servers.clone(), behaviour);
+        let change = Change::Behaviour(servers.clone(), behaviour);
         scenario.changes.push((Duration::from_secs(second), change));
     };
     match need {
--- a/crates/sablehaven-routing/examples/routing_model/experiments/cold_start.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/cold_start.rs
@@ -41,11 +41,11 @@
         (Duration::ZERO, scenario.even_load(0.4)),
         (
             Duration::from_secs(14),
-            Change::SetBehaviour(joining.clone(), cold),
+            Change::Behaviour(joining.clone(), cold),
         ),
         (
             Duration::from_secs(15),
-            Change::SetState(joining, BackendState::Live),
+            Change::PublishedState(joining, BackendState::Live),
         ),
     ];
     scenario
--- a/crates/sablehaven-routing/examples/routing_model/experiments/overload.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/overload.rs
@@ -58,7 +58,7 @@
     scenario.end = Duration::from_secs(RUN_END_SECOND as u64);
     let region_capacity = scenario.queries_for(1.0) / 3.0;
     let load = |region_0_load: f64| {
-        Change::SetLoad(vec![
+        Change::Load(vec![
             region_capacity * region_0_load,
             region_capacity * other_regions_load,
             region_capacity * other_regions_load,
--- a/crates/sablehaven-routing/examples/routing_model/experiments/shedding.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/shedding.rs
@@ -37,11 +37,11 @@
         (Duration::ZERO, load),
         (
             SHEDDING_START,
-            Change::SetBehaviour(servers.clone(), Behaviour::Shedding(shed_share)),
+            Change::Behaviour(servers.clone(), Behaviour::Shedding(shed_share)),
         ),
         (
             Duration::from_secs(35),
-            Change::SetBehaviour(servers, Behaviour::Healthy),
+            Change::Behaviour(servers, Behaviour::Healthy),
         ),
     ];
     scenario
--- a/crates/sablehaven-routing/examples/routing_model/experiments/tail.rs
+++ b/crates/sablehaven-routing/examples/routing_model/experiments/tail.rs
@@ -31,7 +31,7 @@
     scenario.changes.push((Duration::ZERO, load));
     if stuck {
         let servers = one_of_each_shard(&scenario.topology);
-        let change = Change::SetBehaviour(servers, Behaviour::Stuck);
+        let change = Change::Behaviour(servers, Behaviour::Stuck);
         scenario.changes.push((Duration::from_secs(5), change));
     }
     scenario
--- a/crates/sablehaven-routing/examples/routing_model/scenario.rs
+++ b/crates/sablehaven-routing/examples/routing_model/scenario.rs
@@ -179,12 +179,12 @@
 /// One change during a run.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// Sets the behaviour of servers.
-    SetBehaviour(Vec<usize>, Behaviour),
-    /// Sets the state of servers and publishes it to every agent.
-    SetState(Vec<usize>, BackendState),
-    /// Sets the queries per second of each region.
-    SetLoad(Vec<f64>),
+    /// The new behaviour of servers.
+    Behaviour(Vec<usize>, Behaviour),
+    /// The new state of servers, which is published to every agent.
+    PublishedState(Vec<usize>, BackendState),
+    /// The new number of queries per second in each region.
+    Load(Vec<f64>),
 }
 
 /// The parameters of one run.
@@ -225,7 +225,7 @@
     /// servers.
     pub fn even_load(&self, utilisation: f64) -> Change {
         let regions = self.topology.regions;
-        Change::SetLoad(vec![
+        Change::Load(vec![
             self.queries_for(utilisation) / regions as f64;
             regions
         ])
--- a/crates/sablehaven-routing/examples/routing_model/simulation.rs
+++ b/crates/sablehaven-routing/examples/routing_model/simulation.rs
@@ -187,18 +187,18 @@
 
     fn apply_change(&mut self, index: usize) {
         match &self.scenario.changes[index].1 {
-            Change::SetBehaviour(servers, behaviour) => {
+            Change::Behaviour(servers, behaviour) => {
                 for &server in servers {
                     self.servers[server].set_behaviour(*behaviour);
                 }
             }
-            Change::SetState(servers, state) => {
+            Change::PublishedState(servers, state) => {
                 for &server in servers {
                     self.states[server] = Some(*state);
                 }
                 self.schedule_state_updates();
             }
-            Change::SetLoad(rates) => {
+            Change::Load(rates) => {
                 self.query_rates.clone_from(rates);
                 self.load_epoch += 1;
                 for agent in 0..self.policies.len() {
--- a/crates/sablehaven-routing/tests/model.rs
+++ b/crates/sablehaven-routing/tests/model.rs
@@ -69,7 +69,7 @@
 fn a_stuck_replica_of_each_shard_costs_few_complete_replies() {
     let mut scenario = one_region(0.4);
     let stuck = (0..10).map(|shard| 4 * shard + shard % 4).collect();
-    let change = Change::SetBehaviour(stuck, Behaviour::Stuck);
+    let change = Change::Behaviour(stuck, Behaviour::Stuck);
     scenario.changes.push((seconds(2), change));
     let router = run(&scenario, PolicyKind::Router, SEED);
     assert!(router.complete_share() > 0.995);
@@ -81,7 +81,7 @@
 #[test]
 fn the_budget_holds_while_half_of_the_replicas_shed() {
     let mut scenario = one_region(0.3);
-    let change = Change::SetBehaviour(every_second_server(&scenario), Behaviour::Shedding(0.7));
+    let change = Change::Behaviour(every_second_server(&scenario), Behaviour::Shedding(0.7));
     scenario.changes.push((seconds(5), change));
     let router = run(&scenario, PolicyKind::Router, SEED);
     assert!(router.extra_load() <= 0.05);
@@ -116,7 +116,7 @@
     let region_load = scenario.queries_for(1.0) / 2.0;
     scenario.warm_up = seconds(10);
     scenario.end = seconds(30);
-    let load = Change::SetLoad(vec![1.4 * region_load, 0.2 * region_load]);
+    let load = Change::Load(vec![1.4 * region_load, 0.2 * region_load]);
     scenario.changes = vec![(Duration::ZERO, load)];
     let measured = run(&scenario, PolicyKind::Router, SEED);
     assert!(measured.complete_share() > 0.95);
