--- a/crates/sablehaven-control/examples/control_bench/cluster.rs
+++ b/crates/sablehaven-control/examples/control_bench/cluster.rs
@@ -12,7 +12,7 @@
 use sablehaven_telemetry::Telemetry;
 use tokio::net::TcpListener;
 
-use crate::{client::Relay, cut::Forwarder};
+use crate::{client::Relay, forwarder::Forwarder};
 
 pub struct Replica {
     pub config: Config,
--- a/crates/sablehaven-control/examples/control_bench/main.rs
+++ b/crates/sablehaven-control/examples/control_bench/main.rs
@@ -4,9 +4,9 @@
 
 mod client;
 mod cluster;
-#[path = "../../tests/support/cut.rs"]
-mod cut;
 mod failover;
+#[path = "../../tests/support/forwarder.rs"]
+mod forwarder;
 mod raw_disk;
 mod recovery;
 mod throughput;
--- a/crates/sablehaven-control/tests/relays.rs
+++ b/crates/sablehaven-control/tests/relays.rs
@@ -10,7 +10,7 @@
     LedgerReply, LedgerRequest, Observation, ObservationKind, Placement, RecordedOutcome,
 };
 use sablehaven_wire::{AgentStatus, ControlToRelay, RelayToControl, StateUpdate};
-use support::{Cluster, SERVICE, command, cut::Forwarder, relay::Relay, wait_for};
+use support::{Cluster, SERVICE, command, forwarder::Forwarder, relay::Relay, wait_for};
 
 fn update(message: ControlToRelay) -> Option<StateUpdate> {
     match message {
--- a/crates/sablehaven-control/tests/support/mod.rs
+++ b/crates/sablehaven-control/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! A cluster of control replicas in one process, and clients of its interfaces.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-pub mod cut;
+pub mod forwarder;
 pub mod gateway;
 pub mod operator;
 pub mod platform;
