--- a/crates/sablehaven-control/examples/control_bench/failover.rs
+++ b/crates/sablehaven-control/examples/control_bench/failover.rs
@@ -26,7 +26,7 @@
 }
 
 /// Nothing passes between the leader and the others any more; connections stay open.
-pub async fn silent_cuts(folder: &Path, rounds: usize) {
+pub async fn silent_partitions(folder: &Path, rounds: usize) {
     let mut cluster = Cluster::prepare(folder, "cut", 3, true).await;
     cluster.start().await;
     let mut times = Vec::new();
@@ -35,12 +35,12 @@
         let started = Instant::now();
         for (from, to, forwarder) in &cluster.forwarders {
             if *from == leader || *to == leader {
-                forwarder.cut();
+                forwarder.block();
             }
         }
         times.push(cluster.time_without_leader(leader, started).await);
         for (_, _, forwarder) in &cluster.forwarders {
-            forwarder.heal();
+            forwarder.unblock();
         }
     }
     print("leader silently cut off", &mut times);
--- a/crates/sablehaven-control/examples/control_bench/main.rs
+++ b/crates/sablehaven-control/examples/control_bench/main.rs
@@ -65,7 +65,7 @@
     }
     if is_wanted("failover") {
         failover::kills(folder.path(), rounds).await;
-        failover::silent_cuts(folder.path(), rounds).await;
+        failover::silent_partitions(folder.path(), rounds).await;
         failover::planned_stops(folder.path(), rounds).await;
     }
     if is_wanted("recovery") {
--- a/crates/sablehaven-control/tests/cluster.rs
+++ b/crates/sablehaven-control/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Agreement of real replicas: forming, leader changes, racing operators, restarts.
+//! Consensus among running replicas: bootstrap, leader changes, concurrent operators and restarts.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use support::{Cluster, command, wait_for};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn three_replicas_form_a_deployment_and_apply_the_same() {
+async fn three_replicas_bootstrap_and_apply_the_same_commands() {
     let cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     let outcome = operator.apply(&command("first", 0)).await;
     assert_eq!(outcome, ApplyOutcome::Accepted { version: 1 });
     let mut members = None;
     for machine in &cluster.machines {
-        let status = wait_for("version 1 everywhere", || async {
+        let status = wait_for("version 1 on every replica", || async {
             let status = operator.try_status(machine.http()).await?;
             (status.configuration_version == 1).then_some(status)
         })
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_killed_leader_is_followed_by_another_and_nothing_accepted_is_lost() {
+async fn a_killed_leader_is_replaced_and_no_accepted_command_is_lost() {
     let mut cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     for version in 0..5 {
@@ -42,9 +42,9 @@
     assert_ne!(next, leader);
     let configuration: Configuration = operator.get(paths::CONFIGURATION).await;
     assert_eq!(configuration.version, 5);
-    // A resend through the new leader gets the first outcome.
-    let again = operator.apply(&command("c2", 2)).await;
-    assert_eq!(again, ApplyOutcome::Accepted { version: 3 });
+    // A command resent through the new leader gets its original outcome.
+    let resent = operator.apply(&command("c2", 2)).await;
+    assert_eq!(resent, ApplyOutcome::Accepted { version: 3 });
     let outcome = operator.apply(&command("c5", 5)).await;
     assert_eq!(outcome, ApplyOutcome::Accepted { version: 6 });
     cluster.machines[leader].start().await;
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn racing_operators_have_one_winner_for_each_version() {
+async fn concurrent_operators_have_one_winner_per_version() {
     let cluster = Cluster::start(3).await;
     for round in 0..5 {
         let racers = (0..4).map(|racer| {
@@ -74,22 +74,22 @@
                     assert!(winner.replace(command.command_id).is_none());
                 }
                 (ApplyOutcome::Conflict { winner, .. }, _) => losers.push(winner),
-                (invalid, _) => panic!("{invalid:?}"),
+                (unexpected, _) => panic!("{unexpected:?}"),
             }
         }
         let winner = winner.expect("a winner");
         assert_eq!(losers.len(), 3);
-        for named in losers {
-            assert_eq!(named.expect("a named winner").command_id, winner);
+        for reported in losers {
+            assert_eq!(reported.expect("a reported winner").command_id, winner);
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_restart_of_all_after_hundreds_of_changes_keeps_everything() {
+async fn a_restart_of_all_replicas_keeps_hundreds_of_changes() {
     let mut cluster = Cluster::prepare(3).await;
     for machine in &mut cluster.machines {
-        // Several snapshots on the way.
+        // Low enough that several snapshots are taken during the test.
         machine.config.snapshot_entries = 64;
     }
     cluster.start_all().await;
@@ -111,12 +111,12 @@
     assert_eq!(configuration.version, 300);
     let history: Vec<CommandRecord> = operator.get(paths::HISTORY).await;
     assert_eq!(history.last().expect("history").command_id.as_str(), "c299");
-    let again = operator.apply(&command("c100", 100)).await;
-    assert_eq!(again, ApplyOutcome::Accepted { version: 101 });
+    let resent = operator.apply(&command("c100", 100)).await;
+    assert_eq!(resent, ApplyOutcome::Accepted { version: 101 });
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_invalid_configuration_is_refused_with_every_reason() {
+async fn an_invalid_configuration_is_rejected_with_every_reason() {
     let cluster = Cluster::start(1).await;
     let operator = cluster.operator();
     let mut invalid = command("invalid", 0);
@@ -134,11 +134,11 @@
             .insert(support::SERVICE.into(), service);
     }
     let ApplyOutcome::Invalid { reasons } = operator.apply(&invalid).await else {
-        panic!("accepted");
+        panic!("the invalid configuration was accepted");
     };
-    let named = |word: &str| reasons.iter().any(|reason| reason.contains(word));
+    let mentions = |word: &str| reasons.iter().any(|reason| reason.contains(word));
     assert!(
-        named("operator") && named("stock.Nobody") && named("no shards"),
+        mentions("operator") && mentions("stock.Nobody") && mentions("no shards"),
         "{reasons:?}"
     );
     let configuration: Configuration = operator.get(paths::CONFIGURATION).await;
@@ -146,22 +146,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_second_process_on_one_folder_is_refused() {
+async fn a_second_process_on_the_same_data_folder_is_rejected() {
     let cluster = Cluster::start(1).await;
     let mut second = support::Machine::new(cluster.machines[0].config.data_folder.clone()).await;
-    let refused = second.try_start().await.expect_err("refused");
-    assert!(refused.to_string().contains("another process"), "{refused}");
+    let error = second.try_start().await.expect_err("start must fail");
+    assert!(error.to_string().contains("another process"), "{error}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_planned_stop_hands_over_and_loses_no_command_in_flight() {
+async fn a_planned_stop_transfers_leadership_and_loses_no_command_in_flight() {
     let mut cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
     let operator = cluster.operator();
     let (stopped, mut is_stopped) = tokio::sync::watch::channel(false);
     let applying = tokio::spawn(async move {
         let mut version = 0;
-        // Goes on until commands have been applied before, during and after the stop.
+        // Continues until commands have been applied before, during and after the stop.
         let mut after_stop = 0;
         while after_stop < 5 {
             let outcome = operator
@@ -182,21 +182,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn the_metrics_show_who_leads_and_the_revision() {
+async fn the_metrics_report_leadership_and_revision() {
     let cluster = Cluster::start(3).await;
     let outcome = cluster.operator().apply(&command("first", 0)).await;
     assert_eq!(outcome, ApplyOutcome::Accepted { version: 1 });
     let leader = cluster.leader().await;
     let url = format!("http://{}/metrics", cluster.machines[leader].http());
-    wait_for("the gauges of the leader", || async {
+    wait_for("the leader's gauges", || async {
         let page = reqwest::get(&url).await.ok()?.text().await.ok()?;
         let gauge = |name: &str| -> Option<u64> {
             let line = page.lines().find(|line| line.starts_with(name))?;
             line.rsplit(' ').next()?.parse().ok()
         };
-        let leads = gauge("sablehaven_control_leading ")? == 1;
+        let is_leading = gauge("sablehaven_control_leading ")? == 1;
         let has_revision = gauge("sablehaven_control_revision ")? > 0;
-        (leads && has_revision).then_some(())
+        (is_leading && has_revision).then_some(())
     })
     .await;
 }
--- a/crates/sablehaven-control/tests/configuration.rs
+++ b/crates/sablehaven-control/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: compare-and-set, resends, conflicts, validity.
+//! The replicated configuration: compare-and-set, resends, conflicts and validation.
 
 use std::collections::BTreeMap;
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn equal_versions_have_one_winner_and_the_conflict_names_it() {
+fn commands_with_equal_expected_versions_have_one_winner_named_in_the_conflict() {
     let mut state = ConfigurationState::default();
     let first = apply(&mut state, command("first", 0, 1));
     let second = apply(&mut state, command("second", 0, 2));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_outcome() {
+fn a_resent_command_gets_its_original_outcome() {
     let mut state = ConfigurationState::default();
     let accepted = apply(&mut state, command("first", 0, 1));
     let conflict = apply(&mut state, command("second", 0, 2));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_winner_whose_outcome_is_forgotten_is_not_told_that_it_lost() {
+fn a_resent_winner_is_accepted_after_its_outcome_was_evicted() {
     let mut state = ConfigurationState::default();
     apply(&mut state, command("first", 0, 1));
     for loser in 0..2_000 {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn one_snapshot_id_names_one_partition_map() {
+fn a_snapshot_id_cannot_be_reused_for_another_partition_map() {
     let mut state = ConfigurationState::default();
     apply(&mut state, command("first", 0, 1));
     let mut changed = service_configuration(1);
@@ -106,39 +106,39 @@
 }
 
 #[test]
-fn an_unknown_service_is_invalid_with_its_name() {
+fn an_unknown_service_is_rejected_by_name() {
     let mut state = ConfigurationState::default();
     let mut unknown = command("unknown", 0, 1);
     unknown.change = ConfigurationChange::RemoveService {
         service: ServiceName::from("stock.Search"),
     };
     let ApplyOutcome::Invalid { reasons } = apply(&mut state, unknown) else {
-        panic!("accepted");
+        panic!("the unknown service was accepted");
     };
     assert!(reasons[0].contains("stock.Search"), "{reasons:?}");
 }
 
 #[test]
-fn updates_bring_any_known_revision_to_the_current_state() {
+fn an_update_brings_any_known_revision_to_the_current_state() {
     let mut state = SharedState::default();
-    let mut wholes = vec![state.full_update()];
+    let mut full_updates = vec![state.full_update()];
     for version in 0..40 {
         let shared = SharedCommand::Configuration {
             command: command(&format!("c{version}"), version, version),
             proposed_at_ms: version,
         };
         state.apply(version * 3 + 1, shared);
-        wholes.push(state.full_update());
+        full_updates.push(state.full_update());
     }
     let current = state.full_update();
-    for past in &wholes[1..] {
-        let Some(update) = state.update_since(past.revision) else {
-            assert_eq!(past.revision, current.revision);
+    for earlier in &full_updates[1..] {
+        let Some(update) = state.update_since(earlier.revision) else {
+            assert_eq!(earlier.revision, current.revision);
             continue;
         };
         assert!(!update.full);
-        assert_eq!(update.from_revision, past.revision);
-        let mut services: BTreeMap<_, _> = past.services.clone();
+        assert_eq!(update.from_revision, earlier.revision);
+        let mut services: BTreeMap<_, _> = earlier.services.clone();
         services.extend(update.services);
         assert_eq!(services, current.services);
         assert_eq!(update.revision, current.revision);
@@ -146,13 +146,13 @@
     assert!(state.update_since(0).expect("an update").full);
     assert!(
         state.update_since(2).expect("an update").full,
-        "not a revision of this log"
+        "revision 2 is not a revision of this log"
     );
     assert_eq!(state.update_since(current.revision + 5), None);
 }
 
 #[test]
-fn a_snapshot_restores_the_same_state() {
+fn a_restored_snapshot_has_the_same_state() {
     let mut state = SharedState::default();
     for version in 0..5 {
         let shared = SharedCommand::Configuration {
@@ -168,8 +168,8 @@
     assert_eq!(restored.full_update(), state.full_update());
     let mut other_version = data;
     other_version[0] = 9;
-    let refused = SharedState::restore(&other_version).expect_err("another version");
-    assert!(refused.to_string().contains("version"), "{refused}");
+    let error = SharedState::restore(&other_version).expect_err("another version");
+    assert!(error.to_string().contains("version"), "{error}");
 }
 
 proptest! {
@@ -180,14 +180,14 @@
         ..ProptestConfig::default()
     })]
 
-    /// Racing operators with resends: versions grow by one, each is won once, and a command's
-    /// outcome is the same each time it is asked.
+    /// With concurrent operators and resends, versions grow by one, each version has one winner, and
+    /// a command gets the same outcome every time it is sent.
     #[test]
-    fn each_version_is_won_once(sends in prop::collection::vec((0_u64..12, 0_u64..10), 1..80)) {
+    fn each_version_has_one_winner(submissions in prop::collection::vec((0_u64..12, 0_u64..10), 1..80)) {
         let mut state = ConfigurationState::default();
         let mut first_outcomes = BTreeMap::new();
         let mut winners = BTreeMap::new();
-        for (id, expected) in sends {
+        for (id, expected) in submissions {
             let name = format!("command-{id}");
             let before = state.current().version;
             let outcome = apply(&mut state, command(&name, expected, id));
--- a/crates/sablehaven-control/tests/evacuation.rs
+++ b/crates/sablehaven-control/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Orders about zones: one after the other, and kept in snapshots.
+//! Zone evacuation commands: applied in log order and kept in snapshots.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 };
 use sablehaven_types::ZoneName;
 
-fn order(state: &mut SharedState, index: u64, zone: &str, is_evacuated: bool) {
+fn set_evacuated(state: &mut SharedState, index: u64, zone: &str, is_evacuated: bool) {
     let zone = zone.into();
-    let order = EvacuationCommand { zone, is_evacuated };
-    state.apply(index, SharedCommand::Evacuation(order));
+    let command = EvacuationCommand { zone, is_evacuated };
+    state.apply(index, SharedCommand::Evacuation(command));
 }
 
 fn zones(names: &[&str]) -> BTreeSet<ZoneName> {
@@ -19,38 +19,38 @@
 }
 
 #[test]
-fn orders_take_effect_one_after_the_other() {
+fn commands_apply_in_log_order() {
     let mut state = SharedState::default();
-    order(&mut state, 3, "a", true);
-    order(&mut state, 4, "b", true);
-    order(&mut state, 5, "a", false);
+    set_evacuated(&mut state, 3, "a", true);
+    set_evacuated(&mut state, 4, "b", true);
+    set_evacuated(&mut state, 5, "a", false);
     assert_eq!(state.evacuation().zones().zones, zones(&["b"]));
     assert_eq!(state.evacuation().zones().revision, 5);
 }
 
 #[test]
-fn a_repeated_order_changes_nothing() {
+fn a_command_without_effect_keeps_the_revision() {
     let mut state = SharedState::default();
-    order(&mut state, 3, "a", true);
-    order(&mut state, 4, "a", true);
+    set_evacuated(&mut state, 3, "a", true);
+    set_evacuated(&mut state, 4, "a", true);
     assert_eq!(state.evacuation().zones().revision, 3);
-    order(&mut state, 5, "b", false);
+    set_evacuated(&mut state, 5, "b", false);
     assert_eq!(state.evacuation().zones().revision, 3);
 }
 
 #[test]
-fn a_snapshot_keeps_what_is_evacuated() {
+fn a_snapshot_keeps_the_evacuated_zones() {
     let mut state = SharedState::default();
-    order(&mut state, 3, "a", true);
+    set_evacuated(&mut state, 3, "a", true);
     let snapshot = state.snapshot().expect("a snapshot");
     let restored = SharedState::restore(&snapshot).expect("the state");
     assert_eq!(restored.evacuation().zones(), state.evacuation().zones());
 }
 
 #[test]
-fn relays_are_not_told_of_orders_about_zones() {
+fn an_evacuation_does_not_change_the_revision_sent_to_relays() {
     let mut state = SharedState::default();
     let before = state.revision();
-    order(&mut state, 3, "a", true);
+    set_evacuated(&mut state, 3, "a", true);
     assert_eq!(state.revision(), before);
 }
--- a/crates/sablehaven-control/tests/relays.rs
+++ b/crates/sablehaven-control/tests/relays.rs
@@ -65,11 +65,11 @@
     let follower = cluster.follower().await;
     let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
     relay.watch(0).await;
-    let whole = relay.receive_some(update).await;
+    let whole = relay.receive_matching(update).await;
     assert!(whole.full && whole.schema.is_some());
     assert_eq!(whole.configuration_version, 1);
     operator.apply(&command("c1", 1)).await;
-    let delta = relay.receive_some(update).await;
+    let delta = relay.receive_matching(update).await;
     assert!(!delta.full && delta.schema.is_none(), "{delta:?}");
     assert_eq!(delta.from_revision, whole.revision);
     assert_eq!(delta.configuration_version, 2);
@@ -93,7 +93,7 @@
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
-    let grant = relay.lease(41).await.expect("a lease");
+    let grant = relay.request_lease(41).await.expect("a lease");
     assert_eq!((grant.nonce, grant.configuration_version), (41, 1));
     assert!(grant.revision > 0 && grant.duration_ms == 1_500);
     let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
@@ -128,13 +128,13 @@
     operator.apply(&command("c0", 0)).await;
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
-    relay.lease(1).await.expect("a lease");
+    relay.request_lease(1).await.expect("a lease");
     let around = |(from, to): &(usize, usize)| *from == leader || *to == leader;
     for (_, forwarder) in forwarders.iter().filter(|(pair, _)| around(pair)) {
-        forwarder.cut();
+        forwarder.block();
     }
     // Asked after the cut, so no quorum can confirm it: the answer is never a lease.
-    assert_eq!(relay.lease(2).await, None);
+    assert_eq!(relay.request_lease(2).await, None);
     let old = operator
         .try_status(cluster.machines[leader].http())
         .await
@@ -159,7 +159,7 @@
         .expect("a status");
     assert_eq!(stale.configuration_version, old.configuration_version);
     for forwarder in forwarders.values() {
-        forwarder.heal();
+        forwarder.unblock();
     }
     wait_for("the cut-off replica to catch up", || async {
         let status = operator.try_status(cluster.machines[leader].http()).await?;
@@ -175,7 +175,7 @@
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
     let keys: Vec<LedgerKey> = (0..20).map(|number| key(&format!("r{number}"))).collect();
     for (number, key) in keys.iter().enumerate() {
-        let reply = relay.ledger(claim(key, number as u64)).await;
+        let reply = relay.call_ledger(claim(key, number as u64)).await;
         assert_eq!(reply, LedgerReply::Claim(ClaimAnswer::Granted));
     }
     let settled = LedgerRequest::Settle {
@@ -183,12 +183,12 @@
         claim: ClaimId(0),
         outcome: RecordedOutcome::Done { body: vec![9] },
     };
-    assert_eq!(relay.ledger(settled).await, LedgerReply::Recorded);
+    assert_eq!(relay.call_ledger(settled).await, LedgerReply::Recorded);
     cluster.machines[leader].kill().await;
     let next = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[next].internal()).await;
     for (number, key) in keys.iter().enumerate() {
-        let other = relay.ledger(claim(key, 100 + number as u64)).await;
+        let other = relay.call_ledger(claim(key, 100 + number as u64)).await;
         let expected = match number {
             0 => ClaimAnswer::Settled(RecordedOutcome::Done { body: vec![9] }),
             _ => ClaimAnswer::Held,
@@ -207,7 +207,7 @@
     let cluster = Cluster::start(3).await;
     let follower = cluster.follower().await;
     let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
-    let reply = relay.ledger(claim(&key("r"), 1)).await;
+    let reply = relay.call_ledger(claim(&key("r"), 1)).await;
     assert!(
         matches!(reply, LedgerReply::Unavailable { .. }),
         "{reply:?}"
@@ -220,7 +220,7 @@
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
     relay.watch(0).await;
-    relay.lease(1).await.expect("a lease");
+    relay.request_lease(1).await.expect("a lease");
     let mut calls = Vec::new();
     for number in 0..50 {
         calls.push((number, claim(&key(&format!("r{number}")), number)));
@@ -359,7 +359,7 @@
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
     relay.watch(0).await;
     relay.send(report(&[("a", Some(agent_status(0, 0)))])).await;
-    let listed = relay.receive_some(update).await;
+    let listed = relay.receive_matching(update).await;
     assert_eq!(listed.backends.len(), 4);
     let drains = Observation {
         backend: "server-2".into(),
@@ -370,21 +370,21 @@
     let observations = vec![(AgentId::from("a"), drains)];
     relay.send(RelayToControl::Observe { observations }).await;
     let changed = |message| update(message).filter(|update| !update.backends.is_empty());
-    let drained = relay.receive_some(changed).await;
+    let drained = relay.receive_matching(changed).await;
     let record = drained.backends[&"server-2".into()]
         .as_ref()
         .expect("a record");
     assert_eq!(record.state, BackendState::Leaving);
-    platform.list(vec![
+    platform.set_machines(vec![
         machine(1, BackendState::Leaving),
         machine(2, BackendState::Live),
     ]);
-    let left = relay.receive_some(changed).await;
+    let left = relay.receive_matching(changed).await;
     let record = left.backends[&"server-1".into()]
         .as_ref()
         .expect("a record");
     assert_eq!(record.state, BackendState::Leaving);
-    let removed = relay.receive_some(changed).await;
+    let removed = relay.receive_matching(changed).await;
     assert_eq!(removed.backends[&"server-4".into()], None);
     let known: Vec<BackendRecord> = cluster.operator().get(paths::BACKENDS).await;
     assert_eq!(known.len(), 2);
--- a/crates/sablehaven-control/tests/replacement.rs
+++ b/crates/sablehaven-control/tests/replacement.rs
@@ -209,7 +209,7 @@
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
     assert_eq!(
-        relay.ledger(claim(1)).await,
+        relay.call_ledger(claim(1)).await,
         LedgerReply::Claim(ClaimAnswer::Granted)
     );
     for number in 0..3 {
@@ -232,7 +232,7 @@
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
     assert_eq!(
-        relay.ledger(claim(2)).await,
+        relay.call_ledger(claim(2)).await,
         LedgerReply::Claim(ClaimAnswer::Held)
     );
 }
@@ -257,7 +257,7 @@
         claim: ClaimId(1),
         fingerprint: 1,
     };
-    let reply = relay.ledger(claim).await;
+    let reply = relay.call_ledger(claim).await;
     let is_refused = matches!(reply, LedgerReply::Claim(ClaimAnswer::BelowHorizon { .. }));
     assert!(is_refused, "{reply:?}");
 }
--- a/crates/sablehaven-control/tests/support/gateway.rs
+++ b/crates/sablehaven-control/tests/support/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway's end of a connection to a control replica.
+//! A test client that speaks to a control replica as a gateway.
 
 use std::net::SocketAddr;
 
@@ -9,15 +9,15 @@
 };
 use tokio::time::timeout;
 
-use super::LIMIT;
+use super::WAIT_TIMEOUT;
 
 pub struct Gateway {
     connection: Connection<ControlToGateway, GatewayToControl>,
-    last_number: u64,
+    last_request_number: u64,
 }
 
 impl Gateway {
-    /// Connects and says where it stands, as its first message.
+    /// Connects and sends the status that a gateway sends first.
     pub async fn connect(address: SocketAddr) -> Self {
         let hello = Hello {
             protocol_version: PROTOCOL_VERSION,
@@ -28,7 +28,7 @@
         let connection = connect(address, &hello, Role::Control).await;
         let mut gateway = Self {
             connection: connection.expect("connect to control"),
-            last_number: 0,
+            last_request_number: 0,
         };
         let status = GatewayStatus {
             address: ([127, 0, 0, 1], 1).into(),
@@ -49,33 +49,34 @@
         self.connection.writer.send(&message).await.expect("send");
     }
 
-    /// The next message that `pick` wants; others are passed over.
-    async fn receive_some<Wanted>(
+    /// Receives messages until `select` accepts one; skips the others.
+    async fn receive_matching<Selected>(
         &mut self,
-        pick: impl Fn(ControlToGateway) -> Option<Wanted>,
-    ) -> Wanted {
+        select: impl Fn(ControlToGateway) -> Option<Selected>,
+    ) -> Selected {
         loop {
-            let received = timeout(LIMIT, self.connection.reader.receive()).await;
+            let received = timeout(WAIT_TIMEOUT, self.connection.reader.receive()).await;
             let message = received.expect("a message in time");
-            if let Some(wanted) = pick(message.expect("an open connection")) {
-                return wanted;
+            if let Some(selected) = select(message.expect("an open connection")) {
+                return selected;
             }
         }
     }
 
-    /// What the replica has, once it has a reading of the list that is newer than `held`.
+    /// Waits until the replica announces a version of the server list newer than `held`, and returns its
+    /// versions.
     pub async fn offered_listing(&mut self, held: ListingNumber) -> StateVersions {
-        self.receive_some(|message| match message {
+        self.receive_matching(|message| match message {
             ControlToGateway::Versions(versions) if versions.listing > held => Some(versions),
             _ => None,
         })
         .await
     }
 
-    /// Fetches what leads from the reading `held` to the replica's.
+    /// Fetches the update from the version `held` of the server list to the replica's.
     pub async fn fetch_listing(&mut self, held: ListingNumber) -> ListingUpdate {
         self.send(GatewayToControl::FetchListing(held)).await;
-        self.receive_some(|message| match message {
+        self.receive_matching(|message| match message {
             ControlToGateway::Listing(listing) => Some(ListingUpdate::Whole(listing)),
             ControlToGateway::ListingChange(change) => Some(ListingUpdate::Change(change)),
             _ => None,
@@ -83,10 +84,10 @@
         .await
     }
 
-    /// The replica's verdict on one request for a token.
+    /// Requests one token and returns the replica's verdict.
     pub async fn take_token(&mut self, tenant: &str) -> TokenVerdict {
-        self.last_number += 1;
-        let number = self.last_number;
+        self.last_request_number += 1;
+        let number = self.last_request_number;
         let request = TokenRequest {
             number,
             tenant: tenant.into(),
@@ -96,7 +97,7 @@
             is_resend: false,
         };
         self.send(GatewayToControl::TakeTokens(vec![request])).await;
-        self.receive_some(|message| match message {
+        self.receive_matching(|message| match message {
             ControlToGateway::Tokens(replies) => {
                 let own = replies.iter().find(|reply| reply.number == number);
                 own.map(|reply| reply.verdict)
--- a/crates/sablehaven-control/tests/support/mod.rs
+++ b/crates/sablehaven-control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster of control replicas in one process, and clients of its interfaces.
+//! A cluster of control replicas in one process, and test clients for its interfaces.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod forwarder;
@@ -28,11 +28,11 @@
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 
-/// Longest time that a condition may take; generous, since the machine may be busy.
-pub const LIMIT: Duration = Duration::from_secs(60);
+/// Longest time to wait for a condition. Generous, since the machine may be busy.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at a condition.
-pub const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Pause between two checks of a condition.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub const SERVICE: &str = "stock.Search";
 
@@ -51,21 +51,21 @@
 message GetReply { string depot = 1; }
 "#;
 
-/// Shows the replicas' errors of a failing test on standard error.
+/// Installs a logger, so that a failing test shows the replicas' errors on standard error.
 pub fn install_logger() {
     static INSTALLED: OnceLock<()> = OnceLock::new();
     INSTALLED.get_or_init(|| {
-        // Another logger in this process is as good.
+        // Fails when this process already has a logger, which serves as well.
         let _ = Telemetry::new("control test").install_logger();
     });
 }
 
-/// One machine of the cluster: its addresses and its disk stay when the replica on it stops.
+/// One machine of the cluster. It keeps its addresses and disk when its replica stops.
 pub struct Machine {
     pub config: Config,
     pub handle: Option<Handle>,
     pub disk: Arc<dyn Disk>,
-    /// Lists the servers that gateways send to.
+    /// Lists the servers that gateways send requests to.
     pub servers: Option<Arc<dyn ServerSource>>,
     listeners: Option<Listeners>,
 }
@@ -84,7 +84,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Settings with short times, for tests.
+/// Settings for tests, with a short lease.
 pub fn test_config(folder: &Path) -> Config {
     Config {
         deployment: "test".to_owned(),
@@ -96,7 +96,7 @@
 }
 
 impl Machine {
-    /// A machine with reserved addresses, where nothing runs yet.
+    /// Binds the addresses of a machine without starting its replica.
     pub async fn new(folder: PathBuf) -> Self {
         let listeners = Listeners {
             internal: listen(any_port()).await,
@@ -142,7 +142,7 @@
         self.handle.take().expect("a running replica").stop().await;
     }
 
-    /// Loses everything on the disk.
+    /// Removes the data folder, as if the disk were lost.
     pub fn lose_disk(&self) {
         std::fs::remove_dir_all(&self.config.data_folder).expect("remove data folder");
     }
@@ -161,7 +161,7 @@
 }
 
 impl Cluster {
-    /// Machines that know each other, where nothing runs yet.
+    /// Creates machines configured as peers of each other, without starting their replicas.
     pub async fn prepare(size: usize) -> Self {
         install_logger();
         let folder = TempDir::new().expect("temporary folder");
@@ -179,7 +179,7 @@
         Self { machines, folder }
     }
 
-    /// A cluster that has elected a leader.
+    /// Starts a cluster and waits until it has a leader.
     pub async fn start(size: usize) -> Self {
         let mut cluster = Self::prepare(size).await;
         cluster.start_all().await;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// One more machine, with a new disk, that knows the others.
+    /// Adds a machine with an empty disk and the others as its peers, without starting its replica.
     pub async fn add_machine(&mut self) -> usize {
         let number = self.machines.len();
         let folder = self.folder.path().join(format!("machine-{number}"));
@@ -209,7 +209,7 @@
         operator::Operator::new(self.machines.iter().map(Machine::http).collect())
     }
 
-    /// The machine whose replica leads and has recorded the members.
+    /// Waits for a machine whose replica leads every group and has recorded the members.
     pub async fn leader(&self) -> usize {
         let operator = self.operator();
         wait_for("a leader", || async {
@@ -220,11 +220,11 @@
                 let Some(status) = operator.try_status(machine.http()).await else {
                     continue;
                 };
-                let leads_all = status
+                let leads_every_group = status
                     .groups
                     .iter()
                     .all(|group| group.leader == Some(handle.replica()) && group.applied > 0);
-                if leads_all && !status.replicas.is_empty() {
+                if leads_every_group && !status.replicas.is_empty() {
                     return Some(number);
                 }
             }
@@ -233,28 +233,31 @@
         .await
     }
 
-    /// A machine whose replica runs and does not lead.
+    /// A machine whose replica is running and is not the leader.
     pub async fn follower(&self) -> usize {
         let leader = self.leader().await;
-        let running = |number: &usize| self.machines[*number].handle.is_some();
+        let is_running = |number: &usize| self.machines[*number].handle.is_some();
         let others = (0..self.machines.len()).filter(|number| *number != leader);
-        others.into_iter().find(running).expect("a follower")
+        others.into_iter().find(is_running).expect("a follower")
     }
 }
 
-/// Looks until there is something to see.
-pub async fn wait_for<Output, Look, Looking>(what: &str, mut look: Look) -> Output
+/// Polls until `poll` returns a value; panics after [`WAIT_TIMEOUT`].
+pub async fn wait_for<Output, Poll, PollFuture>(what: &str, mut poll: Poll) -> Output
 where
-    Look: FnMut() -> Looking,
-    Looking: Future<Output = Option<Output>>,
+    Poll: FnMut() -> PollFuture,
+    PollFuture: Future<Output = Option<Output>>,
 {
     let started = std::time::Instant::now();
     loop {
-        if let Some(output) = look().await {
+        if let Some(output) = poll().await {
             return output;
         }
-        assert!(started.elapsed() < LIMIT, "{what}: not within {LIMIT:?}");
-        tokio::time::sleep(LOOK_PAUSE).await;
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "{what}: not within {WAIT_TIMEOUT:?}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -274,7 +277,7 @@
     }
 }
 
-/// A valid command that makes the version after `expected_version`.
+/// A valid command that creates the version after `expected_version`.
 pub fn command(id: &str, expected_version: u64) -> ApplyCommand {
     let configuration = Configuration {
         version: 0,
--- a/crates/sablehaven-control/tests/support/operator.rs
+++ b/crates/sablehaven-control/tests/support/operator.rs
@@ -1,4 +1,4 @@
-//! A client of the operators' interface that goes where it is sent and comes back when asked to.
+//! A client of the operator API that follows redirects to the leader and retries while there is none.
 
 use std::{
     net::SocketAddr,
@@ -13,7 +13,7 @@
 use sablehaven_types::{ApplyCommand, ApplyOutcome};
 use serde::{Serialize, de::DeserializeOwned};
 
-use super::{LIMIT, LOOK_PAUSE};
+use super::{POLL_INTERVAL, WAIT_TIMEOUT};
 
 #[derive(Clone)]
 pub struct Operator {
@@ -31,14 +31,14 @@
         Self { client, addresses }
     }
 
-    /// One call to one replica: its answer, or what it says instead; `None` without an answer.
-    pub async fn call_once<Answer: DeserializeOwned>(
+    /// Calls one replica once: its reply, or its error; `None` if there is no readable response.
+    pub async fn call_once<Reply: DeserializeOwned>(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
         body: Option<&(impl Serialize + ?Sized)>,
-    ) -> Option<Result<Answer, (StatusCode, OperatorError)>> {
+    ) -> Option<Result<Reply, (StatusCode, OperatorError)>> {
         let url = format!("http://{address}{path}");
         let mut request = self.client.request(method, url);
         if let Some(body) = body {
@@ -46,27 +46,29 @@
         }
         let response = request.send().await.ok()?;
         let status = response.status();
-        let text = response.bytes().await.ok()?;
+        let body_bytes = response.bytes().await.ok()?;
         if status == StatusCode::OK {
-            return Some(Ok(serde_json::from_slice(&text).expect("an answer")));
+            return Some(Ok(
+                serde_json::from_slice(&body_bytes).expect("a reply in JSON")
+            ));
         }
-        Some(Err((status, serde_json::from_slice(&text).ok()?)))
+        Some(Err((status, serde_json::from_slice(&body_bytes).ok()?)))
     }
 
-    /// Calls until a leader answers; the call must be safe to send again.
-    pub async fn call<Answer: DeserializeOwned>(
+    /// Retries until a leader replies; the call must be safe to resend.
+    pub async fn call<Reply: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Option<&(impl Serialize + ?Sized)>,
-    ) -> Answer {
+    ) -> Reply {
         let started = Instant::now();
         let mut address = self.addresses[0];
-        let mut turn = 0;
+        let mut next_address = 0;
         loop {
-            let answer = self.call_once(method.clone(), address, path, body).await;
-            match answer {
-                Some(Ok(answer)) => return answer,
+            let reply = self.call_once(method.clone(), address, path, body).await;
+            match reply {
+                Some(Ok(reply)) => return reply,
                 Some(Err((StatusCode::MISDIRECTED_REQUEST, error))) => {
                     address = error.leader.expect("a leader's address");
                 }
@@ -74,12 +76,15 @@
                     panic!("{path}: {status}: {}", error.error);
                 }
                 _ => {
-                    turn += 1;
-                    address = self.addresses[turn % self.addresses.len()];
+                    next_address += 1;
+                    address = self.addresses[next_address % self.addresses.len()];
                 }
             }
-            assert!(started.elapsed() < LIMIT, "{path}: no leader in time");
-            tokio::time::sleep(LOOK_PAUSE).await;
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "{path}: no leader in time"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -87,7 +92,7 @@
         self.call(Method::POST, paths::APPLY, Some(command)).await
     }
 
-    pub async fn get<Answer: DeserializeOwned>(&self, path: &str) -> Answer {
+    pub async fn get<Reply: DeserializeOwned>(&self, path: &str) -> Reply {
         self.call(Method::GET, path, None::<&()>).await
     }
 
@@ -96,7 +101,7 @@
     }
 
     pub async fn try_status(&self, address: SocketAddr) -> Option<ControlStatus> {
-        let answer = self.call_once(Method::GET, address, paths::STATUS, None::<&()>);
-        answer.await?.ok()
+        let reply = self.call_once(Method::GET, address, paths::STATUS, None::<&()>);
+        reply.await?.ok()
     }
 }
--- a/crates/sablehaven-control/tests/support/platform.rs
+++ b/crates/sablehaven-control/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of machines.
+//! A fake platform that serves a list of machines over HTTP.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -54,8 +54,8 @@
         }
     }
 
-    /// What the list holds from now on.
-    pub fn list(&self, machines: Vec<BackendRecord>) {
+    /// Replaces the list of machines.
+    pub fn set_machines(&self, machines: Vec<BackendRecord>) {
         *self.machines.lock().expect("lock") = machines;
     }
 }
--- a/crates/sablehaven-control/tests/support/relay.rs
+++ b/crates/sablehaven-control/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! A relay's end of a connection to a control replica.
+//! A test client that speaks to a control replica as a relay.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,7 +8,7 @@
 };
 use tokio::time::timeout;
 
-use super::LIMIT;
+use super::WAIT_TIMEOUT;
 
 pub struct Relay {
     connection: Connection<ControlToRelay, RelayToControl>,
@@ -37,36 +37,36 @@
         self.send(RelayToControl::Watch { relay, revision }).await;
     }
 
-    /// The next message, or `None` when the connection has ended.
+    /// Receives the next message, or `None` when the connection has ended.
     pub async fn receive(&mut self) -> Option<ControlToRelay> {
-        let received = timeout(LIMIT, self.connection.reader.receive()).await;
+        let received = timeout(WAIT_TIMEOUT, self.connection.reader.receive()).await;
         received.expect("a message in time").ok()
     }
 
-    /// Whether nothing comes for a while.
+    /// Whether no message arrives within `duration`.
     pub async fn is_silent_for(&mut self, duration: Duration) -> bool {
         timeout(duration, self.connection.reader.receive())
             .await
             .is_err()
     }
 
-    /// The next message that `pick` wants; others are passed over.
-    pub async fn receive_some<Wanted>(
+    /// Receives messages until `select` accepts one; skips the others.
+    pub async fn receive_matching<Selected>(
         &mut self,
-        pick: impl Fn(ControlToRelay) -> Option<Wanted>,
-    ) -> Wanted {
+        select: impl Fn(ControlToRelay) -> Option<Selected>,
+    ) -> Selected {
         loop {
             let message = self.receive().await.expect("an open connection");
-            if let Some(wanted) = pick(message) {
-                return wanted;
+            if let Some(selected) = select(message) {
+                return selected;
             }
         }
     }
 
-    /// Asks for a lease once; `None` when the replica does not lead.
-    pub async fn lease(&mut self, nonce: u64) -> Option<LeaseGrant> {
+    /// Requests a lease once; `None` when the replica is not the leader.
+    pub async fn request_lease(&mut self, nonce: u64) -> Option<LeaseGrant> {
         self.send(RelayToControl::RequestLease { nonce }).await;
-        self.receive_some(|message| match message {
+        self.receive_matching(|message| match message {
             ControlToRelay::Lease(grant) => Some(Some(grant)),
             ControlToRelay::NotLeader { .. } => Some(None),
             _ => None,
@@ -74,10 +74,10 @@
         .await
     }
 
-    /// One ledger call.
-    pub async fn ledger(&mut self, request: LedgerRequest) -> LedgerReply {
+    /// Makes one ledger call and returns its reply.
+    pub async fn call_ledger(&mut self, request: LedgerRequest) -> LedgerReply {
         self.send(RelayToControl::Ledger(vec![(7, request)])).await;
-        self.receive_some(|message| match message {
+        self.receive_matching(|message| match message {
             ControlToRelay::Ledger(mut replies) => replies.pop().map(|(_, reply)| reply),
             _ => None,
         })
--- a/crates/sablehaven-control/tests/support/slow_disk.rs
+++ b/crates/sablehaven-control/tests/support/slow_disk.rs
@@ -1,12 +1,12 @@
-//! A disk whose syncs take a while, so that there is always something unsynced when it fails.
+//! A disk with slow syncs, so that a crash always finds unsynced writes.
 
 use std::{io, path::Path, time::Duration};
 
 use sablehaven_faults::disk::FaultyDisk;
 use sablehaven_storage::{Disk, DiskFile, DiskLock};
 
-/// About what a sync takes on a disk with a queue.
-const SYNC_TIME: Duration = Duration::from_millis(3);
+/// About the time of a sync on a disk with queued requests.
+const SYNC_DURATION: Duration = Duration::from_millis(3);
 
 #[derive(Debug)]
 pub struct SlowDisk(pub FaultyDisk);
@@ -62,7 +62,7 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        std::thread::sleep(SYNC_TIME);
+        std::thread::sleep(SYNC_DURATION);
         self.0.sync()
     }
 }
