--- a/crates/sablehaven-control/tests/listing.rs
+++ b/crates/sablehaven-control/tests/listing.rs
@@ -1,4 +1,5 @@
-//! The platform's list of servers: every replica has the leader's readings, and the next leader goes on from them.
+//! The platform's list of servers: every replica has the versions that the leader read, and a new leader continues
+//! from them.
 
 mod support;
 
@@ -8,13 +9,13 @@
 use sablehaven_types::{ListedServer, ListingNumber, ListingUpdate};
 use support::{Cluster, gateway::Gateway};
 
-/// A list that the test changes.
+/// A server list that the test can extend.
 #[derive(Default)]
-struct ChangingList {
+struct ChangeableServerList {
     servers: Mutex<Vec<ListedServer>>,
 }
 
-impl ChangingList {
+impl ChangeableServerList {
     fn add(&self, number: u16) {
         let server = ListedServer {
             id: format!("i-{number}").as_str().into(),
@@ -30,16 +31,16 @@
     }
 }
 
-impl ServerSource for ChangingList {
+impl ServerSource for ChangeableServerList {
     fn read(&self) -> ServerListFuture<'_> {
         let servers = self.servers.lock().expect("the list").clone();
         Box::pin(std::future::ready(Ok(servers)))
     }
 }
 
-/// Three replicas over a list of 200 servers.
-async fn cluster() -> (Cluster, Arc<ChangingList>) {
-    let list = Arc::new(ChangingList::default());
+/// Starts three replicas with a list of 200 servers.
+async fn cluster() -> (Cluster, Arc<ChangeableServerList>) {
+    let list = Arc::new(ChangeableServerList::default());
     for number in 1..=200 {
         list.add(number);
     }
@@ -53,11 +54,11 @@
 }
 
 #[tokio::test]
-async fn a_gateway_has_the_list_from_a_replica_that_does_not_lead() {
+async fn a_gateway_gets_the_list_from_a_follower() {
     let (cluster, list) = cluster().await;
     let follower = cluster.follower().await;
     let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
-    let first = gateway.offered_listing(ListingNumber::default()).await;
+    let first = gateway.wait_for_listing(ListingNumber::default()).await;
     let update = gateway.fetch_listing(ListingNumber::default()).await;
     let ListingUpdate::Whole(whole) = update else {
         panic!("{update:?}");
@@ -66,29 +67,31 @@
     assert_eq!(whole.number, first.listing);
 
     list.add(201);
-    gateway.offered_listing(whole.number).await;
+    gateway.wait_for_listing(whole.number).await;
     let update = gateway.fetch_listing(whole.number).await;
     let ListingUpdate::Change(change) = update else {
         panic!("{update:?}");
     };
     assert_eq!((change.changed.len(), change.gone.len()), (1, 0));
-    let next = change.apply(&whole).expect("a change of what it has");
+    let next = change
+        .apply(&whole)
+        .expect("a change based on the held list");
     assert_eq!(next.servers.len(), 201);
 }
 
-/// With the list in the leader's memory alone, each election sent all of it to every gateway.
+/// Guards against a list kept only in the leader's memory: each election then sent the whole list to every gateway.
 #[tokio::test]
-async fn a_new_leader_sends_what_has_changed_and_not_the_whole_list() {
+async fn a_new_leader_sends_only_the_changes_of_the_list() {
     let (mut cluster, list) = cluster().await;
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
     let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
-    let held = gateway.offered_listing(ListingNumber::default()).await;
-    let held = held.listing;
+    let versions = gateway.wait_for_listing(ListingNumber::default()).await;
+    let held = versions.listing;
     cluster.machines[leader].kill().await;
     list.add(201);
-    let later = loop {
-        let offered = gateway.offered_listing(held).await.listing;
+    let number = loop {
+        let offered = gateway.wait_for_listing(held).await.listing;
         if offered.term > held.term {
             break offered;
         }
@@ -97,19 +100,19 @@
     let ListingUpdate::Change(change) = update else {
         panic!("{update:?}");
     };
-    assert_eq!((change.base, change.number), (held, later));
+    assert_eq!((change.base, change.number), (held, number));
     assert_eq!(change.changed.len(), 1);
 }
 
 #[tokio::test]
-async fn a_replica_that_was_away_has_the_list_again() {
+async fn a_restarted_replica_has_the_list_again() {
     let (mut cluster, list) = cluster().await;
     let follower = cluster.follower().await;
     cluster.machines[follower].kill().await;
     list.add(201);
     cluster.machines[follower].start().await;
     let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
-    gateway.offered_listing(ListingNumber::default()).await;
+    gateway.wait_for_listing(ListingNumber::default()).await;
     let update = gateway.fetch_listing(ListingNumber::default()).await;
     let ListingUpdate::Whole(whole) = update else {
         panic!("{update:?}");
--- a/crates/sablehaven-control/tests/membership.rs
+++ b/crates/sablehaven-control/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership: the three signals, the quorum of agents and the floor.
+//! Back-end membership: the platform's list, draining reports and agents' suspicions, how many agents must agree on a
+//! suspicion, and the limits on removal by suspicion.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -36,7 +37,7 @@
     }
 }
 
-fn listed(servers: usize) -> MembershipState {
+fn state_with_live_servers(servers: usize) -> MembershipState {
     let mut state = MembershipState::default();
     state.apply_platform(PlatformUpdate {
         machines: (0..servers)
@@ -48,7 +49,7 @@
     state
 }
 
-fn saw(
+fn observation(
     agent: usize,
     zone: &str,
     server: usize,
@@ -67,11 +68,15 @@
     }
 }
 
-fn unreachable(agent: usize, server: usize) -> AgentObservation {
-    saw(agent, "palermo-a", server, 1, ObservationKind::Unreachable)
+fn unreachable_observation(agent: usize, server: usize) -> AgentObservation {
+    observation(agent, "palermo-a", server, 1, ObservationKind::Unreachable)
 }
 
-fn observe(state: &mut MembershipState, now_ms: u64, observations: Vec<AgentObservation>) {
+fn apply_observations(
+    state: &mut MembershipState,
+    now_ms: u64,
+    observations: Vec<AgentObservation>,
+) {
     state.apply_observations(ObservationBatch {
         proposed_at_ms: now_ms,
         observations,
@@ -83,79 +88,87 @@
     state.records()[&backend_id(server)].state
 }
 
-fn watch(state: &mut MembershipState, agents: u32, zones: u32) {
+fn set_watchers(state: &mut MembershipState, agents: u32, zones: u32) {
     let watchers = ServiceWatchers { agents, zones };
     state.apply_watchers(BTreeMap::from([(ServiceName::from(SERVICE), watchers)]));
 }
 
 #[test]
-fn one_agent_removes_nobody_and_two_do() {
-    let mut state = listed(10);
-    observe(
+fn one_agent_cannot_suspect_a_server_and_two_can() {
+    let mut state = state_with_live_servers(10);
+    apply_observations(
         &mut state,
         1_000,
-        vec![unreachable(1, 0), unreachable(1, 0)],
+        vec![unreachable_observation(1, 0), unreachable_observation(1, 0)],
     );
     assert_eq!(state_of(&state, 0), BackendState::Live);
-    observe(&mut state, 1_001, vec![unreachable(2, 0)]);
+    apply_observations(&mut state, 1_001, vec![unreachable_observation(2, 0)]);
     assert_eq!(state_of(&state, 0), BackendState::Suspected);
 }
 
 #[test]
-fn a_larger_fleet_needs_more_agents_and_two_zones() {
-    let mut state = listed(10);
-    watch(&mut state, 16, 2);
-    let from_one_zone = (0..8).map(|agent| unreachable(agent, 0)).collect();
-    observe(&mut state, 1_000, from_one_zone);
+fn a_service_with_more_watchers_needs_more_agents_from_two_zones() {
+    let mut state = state_with_live_servers(10);
+    set_watchers(&mut state, 16, 2);
+    let from_one_zone = (0..8)
+        .map(|agent| unreachable_observation(agent, 0))
+        .collect();
+    apply_observations(&mut state, 1_000, from_one_zone);
     assert_eq!(state_of(&state, 0), BackendState::Live, "one zone alone");
-    let other_zone = saw(9, "palermo-b", 0, 1, ObservationKind::Unreachable);
-    observe(&mut state, 1_001, vec![other_zone]);
+    let other_zone = observation(9, "palermo-b", 0, 1, ObservationKind::Unreachable);
+    apply_observations(&mut state, 1_001, vec![other_zone]);
     assert_eq!(state_of(&state, 0), BackendState::Suspected);
-    let three = (0..2).map(|agent| unreachable(agent, 1));
-    let mixed = three.chain([saw(9, "palermo-b", 1, 1, ObservationKind::Unreachable)]);
-    observe(&mut state, 1_002, mixed.collect());
+    let two_agents = (0..2).map(|agent| unreachable_observation(agent, 1));
+    let three_agents = two_agents.chain([observation(
+        9,
+        "palermo-b",
+        1,
+        1,
+        ObservationKind::Unreachable,
+    )]);
+    apply_observations(&mut state, 1_002, three_agents.collect());
     assert_eq!(state_of(&state, 1), BackendState::Live, "three of sixteen");
 }
 
 #[test]
-fn an_answer_heals_and_suspicions_expire() {
-    let mut state = listed(10);
-    observe(
+fn an_answer_clears_suspicions_and_suspicions_expire() {
+    let mut state = state_with_live_servers(10);
+    apply_observations(
         &mut state,
         1_000,
-        vec![unreachable(1, 0), unreachable(2, 0)],
+        vec![unreachable_observation(1, 0), unreachable_observation(2, 0)],
     );
-    let answered = saw(3, "palermo-a", 0, 1, ObservationKind::Reachable);
-    observe(&mut state, 1_001, vec![answered]);
+    let answered = observation(3, "palermo-a", 0, 1, ObservationKind::Reachable);
+    apply_observations(&mut state, 1_001, vec![answered]);
     assert_eq!(state_of(&state, 0), BackendState::Live);
-    observe(
+    apply_observations(
         &mut state,
         2_000,
-        vec![unreachable(1, 0), unreachable(2, 0)],
+        vec![unreachable_observation(1, 0), unreachable_observation(2, 0)],
     );
     assert!(!state.has_expired_suspicion(2_000 + SUSPICION_LIFETIME_MS));
     assert!(state.has_expired_suspicion(2_001 + SUSPICION_LIFETIME_MS));
-    observe(&mut state, 2_001 + SUSPICION_LIFETIME_MS, vec![]);
+    apply_observations(&mut state, 2_001 + SUSPICION_LIFETIME_MS, vec![]);
     assert_eq!(state_of(&state, 0), BackendState::Live);
 }
 
 #[test]
-fn the_servers_own_word_is_enough_and_ends_with_its_next_start() {
-    let mut state = listed(3);
-    let drains = saw(1, "palermo-a", 0, 1, ObservationKind::Draining);
-    observe(&mut state, 1_000, vec![drains.clone()]);
+fn a_servers_own_draining_report_suffices_until_its_next_start() {
+    let mut state = state_with_live_servers(3);
+    let draining = observation(1, "palermo-a", 0, 1, ObservationKind::Draining);
+    apply_observations(&mut state, 1_000, vec![draining.clone()]);
     assert_eq!(state_of(&state, 0), BackendState::Leaving);
-    let restarted = saw(2, "palermo-a", 0, 2, ObservationKind::Reachable);
-    observe(&mut state, 1_001, vec![restarted]);
+    let restarted = observation(2, "palermo-a", 0, 2, ObservationKind::Reachable);
+    apply_observations(&mut state, 1_001, vec![restarted]);
     assert_eq!(state_of(&state, 0), BackendState::Live);
-    observe(&mut state, 1_002, vec![drains]);
+    apply_observations(&mut state, 1_002, vec![draining]);
     assert_eq!(state_of(&state, 0), BackendState::Live, "an earlier start");
     assert_eq!(state.records()[&backend_id(0)].incarnation, 2);
 }
 
 #[test]
-fn the_platform_list_takes_out_at_once_and_forgets_only_after_several_lists() {
-    let mut state = listed(2);
+fn the_platform_list_marks_servers_leaving_at_once_and_removes_absent_ones_after_several_lists() {
+    let mut state = state_with_live_servers(2);
     let mut absences = PlatformAbsences::default();
     let list = PlatformList {
         machines: vec![machine(0, BackendState::Leaving, 1)],
@@ -175,18 +188,19 @@
 }
 
 #[test]
-fn a_suspected_failure_of_everything_is_held_back() {
-    let mut state = listed(20);
-    let everything = (0..20).flat_map(|server| (0..9).map(move |agent| unreachable(agent, server)));
-    observe(&mut state, 1_000, everything.collect());
+fn suspicions_of_all_servers_are_limited_to_a_share() {
+    let mut state = state_with_live_servers(20);
+    let all_servers =
+        (0..20).flat_map(|server| (0..9).map(move |agent| unreachable_observation(agent, server)));
+    apply_observations(&mut state, 1_000, all_servers.collect());
     let suspected = (0..20).filter(|server| state_of(&state, *server) == BackendState::Suspected);
     assert_eq!(suspected.count(), 6, "three tenths of twenty");
     assert_eq!(state.held_back().len(), 14);
 }
 
 #[test]
-fn suspicion_never_takes_the_last_replica_of_a_shard() {
-    let mut state = listed(10);
+fn suspicion_never_removes_the_last_replica_of_a_shard() {
+    let mut state = state_with_live_servers(10);
     let shard = |shard: u32, replicas: [usize; 2]| ShardAssignment {
         shard: ShardId(shard),
         replicas: replicas.map(backend_id).to_vec(),
@@ -203,9 +217,12 @@
         services: BTreeMap::from([(ServiceName::from(SERVICE), service)]),
         ..Configuration::default()
     };
-    let both = [0, 1]
-        .into_iter()
-        .flat_map(|server| [unreachable(1, server), unreachable(2, server)]);
+    let both = [0, 1].into_iter().flat_map(|server| {
+        [
+            unreachable_observation(1, server),
+            unreachable_observation(2, server),
+        ]
+    });
     state.apply_observations(ObservationBatch {
         proposed_at_ms: 1_000,
         observations: both.collect(),
@@ -216,7 +233,7 @@
 }
 
 #[test]
-fn a_zone_that_goes_at_once_is_one_update() {
+fn an_observation_batch_about_a_whole_zone_is_one_update() {
     let mut state = SharedState::default();
     let machines = (0..30).map(|number| machine(number, BackendState::Live, 1));
     let update = PlatformUpdate {
@@ -240,7 +257,12 @@
             proposed_at_ms: 1,
         },
     );
-    let zone = (0..9).flat_map(|server| [unreachable(1, server), unreachable(2, server)]);
+    let zone = (0..9).flat_map(|server| {
+        [
+            unreachable_observation(1, server),
+            unreachable_observation(2, server),
+        ]
+    });
     let batch = ObservationBatch {
         proposed_at_ms: 1_000,
         observations: zone.collect(),
@@ -259,21 +281,22 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever agents say, suspicion removes at most its share, and never on one agent's word.
+    /// For any reports of agents, suspicion removes at most its share of the servers, and none on the report of a single
+    /// agent.
     #[test]
-    fn suspicion_stays_within_its_share(
+    fn suspicion_removes_at_most_its_share(
         reports in prop::collection::vec((0_usize..5, 0_usize..12, 0_u8..4), 0..150),
     ) {
-        let mut state = listed(12);
+        let mut state = state_with_live_servers(12);
         let mut agents_of: BTreeMap<usize, std::collections::BTreeSet<usize>> = BTreeMap::new();
-        for (now, (agent, server, kind)) in reports.into_iter().enumerate() {
+        for (elapsed_ms, (agent, server, kind)) in reports.into_iter().enumerate() {
             let kind = if kind == 0 { ObservationKind::Reachable } else { ObservationKind::Unreachable };
             let agents = agents_of.entry(server).or_default();
             match kind {
                 ObservationKind::Reachable => agents.clear(),
                 _ => { agents.insert(agent); }
             }
-            observe(&mut state, 1_000 + now as u64, vec![saw(agent, "palermo-a", server, 1, kind)]);
+            apply_observations(&mut state, 1_000 + elapsed_ms as u64, vec![observation(agent, "palermo-a", server, 1, kind)]);
             let suspected: Vec<usize> = (0..12)
                 .filter(|server| state_of(&state, *server) == BackendState::Suspected)
                 .collect();
--- a/crates/sablehaven-control/tests/quotas.rs
+++ b/crates/sablehaven-control/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Tenants' quotas: what replicas grant to gateways.
+//! Tenants' quotas: the tokens that replicas grant to gateways from their parts of each quota.
 
 mod support;
 
@@ -15,10 +15,10 @@
 use tokio::time::sleep;
 
 const TENANT: &str = "desk";
-/// Times are told in whole milliseconds.
-const ROUNDING: Duration = Duration::from_millis(1);
+/// Retry times are whole milliseconds.
+const RETRY_ROUNDING: Duration = Duration::from_millis(1);
 
-/// Replicas that may keep tokens for a while.
+/// Starts replicas whose slack lets their parts accumulate tokens.
 async fn cluster(size: usize) -> Cluster {
     let mut cluster = Cluster::prepare(size).await;
     for machine in &mut cluster.machines {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Puts a version in force, through the leader.
-async fn put(cluster: &Cluster, version: u64, per_second: f64) {
+/// Applies a new version of the routes, with a quota, through the leader.
+async fn put_routes(cluster: &Cluster, version: u64, per_second: f64) {
     let leader = cluster.leader().await;
     let handle = cluster.machines[leader].handle.as_ref();
     let routes = handle.expect("a running replica").routes();
@@ -64,16 +64,16 @@
     routes.put(document, source).await.expect("put routes");
 }
 
-/// Asks until the verdict is as wanted.
-async fn until_verdict(
+/// Requests tokens until a verdict satisfies `is_expected`.
+async fn wait_for_verdict(
     what: &str,
     gateway: &mut Gateway,
-    is_wanted: impl Fn(TokenVerdict) -> bool,
+    is_expected: impl Fn(TokenVerdict) -> bool,
 ) -> TokenVerdict {
     let gateway = tokio::sync::Mutex::new(gateway);
     wait_for(what, || async {
         let verdict = gateway.lock().await.take_token(TENANT).await;
-        is_wanted(verdict).then_some(verdict)
+        is_expected(verdict).then_some(verdict)
     })
     .await
 }
@@ -87,55 +87,55 @@
 }
 
 #[tokio::test]
-async fn every_replica_grants_of_its_part_whoever_leads() {
+async fn every_replica_grants_from_its_part_as_leader_or_follower() {
     let cluster = cluster(3).await;
-    put(&cluster, 1, 100.0).await;
+    put_routes(&cluster, 1, 100.0).await;
     for machine in &cluster.machines {
         let mut gateway = Gateway::connect(machine.internal()).await;
-        until_verdict("a token", &mut gateway, is_granted).await;
+        wait_for_verdict("a token", &mut gateway, is_granted).await;
     }
 }
 
 #[tokio::test]
-async fn a_part_that_is_used_up_refuses_with_the_time_until_a_token_is_there() {
+async fn an_empty_part_refuses_with_the_time_until_the_next_token() {
     let cluster = cluster(1).await;
-    put(&cluster, 1, 4.0).await;
+    put_routes(&cluster, 1, 4.0).await;
     let leader = cluster.machines[0].internal();
     let mut gateway = Gateway::connect(leader).await;
-    let verdict = until_verdict("a part that is used up", &mut gateway, is_over_quota).await;
+    let verdict = wait_for_verdict("an empty part", &mut gateway, is_over_quota).await;
     let TokenVerdict::OverQuota { retry_after_ms } = verdict else {
-        unreachable!("nothing else was waited for");
+        unreachable!("wait_for_verdict accepts only OverQuota");
     };
-    // One of two parts: two tokens a second.
+    // The part is one of two and gains two of the four tokens per second.
     assert!(retry_after_ms <= 500, "{retry_after_ms}");
-    sleep(Duration::from_millis(retry_after_ms.into()) + ROUNDING).await;
+    sleep(Duration::from_millis(retry_after_ms.into()) + RETRY_ROUNDING).await;
     assert!(is_granted(gateway.take_token(TENANT).await));
 }
 
 #[tokio::test]
 async fn a_replica_without_a_quorum_has_no_part() {
     let mut cluster = cluster(3).await;
-    put(&cluster, 1, 100.0).await;
+    put_routes(&cluster, 1, 100.0).await;
     let leader = cluster.leader().await;
     let mut gateway = Gateway::connect(cluster.machines[leader].internal()).await;
-    until_verdict("a token", &mut gateway, is_granted).await;
+    wait_for_verdict("a token", &mut gateway, is_granted).await;
     for machine in 0..3 {
         if machine != leader {
             cluster.machines[machine].kill().await;
         }
     }
-    let is_without = |verdict| verdict == TokenVerdict::NoPart;
-    until_verdict("no part", &mut gateway, is_without).await;
+    let has_no_part = |verdict| verdict == TokenVerdict::NoPart;
+    wait_for_verdict("no part", &mut gateway, has_no_part).await;
 }
 
 #[tokio::test]
-async fn a_lower_limit_binds_with_its_version() {
+async fn a_lower_quota_takes_effect_with_its_version() {
     let cluster = cluster(1).await;
-    put(&cluster, 1, 10_000.0).await;
+    put_routes(&cluster, 1, 10_000.0).await;
     let mut gateway = Gateway::connect(cluster.machines[0].internal()).await;
-    until_verdict("a token", &mut gateway, is_granted).await;
-    put(&cluster, 2, 0.01).await;
-    // What the part held before may still be granted: its depth is half of the slack.
+    wait_for_verdict("a token", &mut gateway, is_granted).await;
+    put_routes(&cluster, 2, 0.01).await;
+    // Tokens that the part already held may still be granted. Its capacity is half of the slack.
     let mut granted = 0;
     while is_granted(gateway.take_token(TENANT).await) {
         granted += 1;
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test]
-async fn a_tenant_that_is_not_known_has_no_part() {
+async fn an_unknown_tenant_has_no_part() {
     let cluster = cluster(1).await;
     let mut gateway = Gateway::connect(cluster.machines[0].internal()).await;
     assert_eq!(gateway.take_token(TENANT).await, TokenVerdict::NoPart);
@@ -154,44 +154,44 @@
 #[tokio::test]
 async fn half_of_the_replicas_keep_their_parts_without_a_leader() {
     let mut cluster = cluster(4).await;
-    put(&cluster, 1, 100.0).await;
-    let patience = Duration::from_millis(cluster.machines[0].config.repair_patience_ms);
+    put_routes(&cluster, 1, 100.0).await;
+    let repair_patience = Duration::from_millis(cluster.machines[0].config.repair_patience_ms);
     let leader = cluster.leader().await;
-    let others = [(leader + 2) % 4, (leader + 3) % 4];
-    for machine in others {
+    let survivors = [(leader + 2) % 4, (leader + 3) % 4];
+    for machine in survivors {
         let mut gateway = Gateway::connect(cluster.machines[machine].internal()).await;
-        until_verdict("a token", &mut gateway, is_granted).await;
+        wait_for_verdict("a token", &mut gateway, is_granted).await;
     }
     for machine in [leader, (leader + 1) % 4] {
         cluster.machines[machine].kill().await;
     }
     let killed_at = Instant::now();
-    sleep(2 * patience).await;
-    for machine in others {
+    sleep(2 * repair_patience).await;
+    for machine in survivors {
         let mut gateway = Gateway::connect(cluster.machines[machine].internal()).await;
-        until_verdict("a token", &mut gateway, is_granted).await;
+        wait_for_verdict("a token", &mut gateway, is_granted).await;
     }
-    assert!(killed_at.elapsed() >= 2 * patience);
-    cluster.machines[others[0]].kill().await;
-    let mut gateway = Gateway::connect(cluster.machines[others[1]].internal()).await;
-    let is_without = |verdict| verdict == TokenVerdict::NoPart;
-    until_verdict("no part", &mut gateway, is_without).await;
+    assert!(killed_at.elapsed() >= 2 * repair_patience);
+    cluster.machines[survivors[0]].kill().await;
+    let mut gateway = Gateway::connect(cluster.machines[survivors[1]].internal()).await;
+    let has_no_part = |verdict| verdict == TokenVerdict::NoPart;
+    wait_for_verdict("no part", &mut gateway, has_no_part).await;
 }
 
 #[tokio::test]
-async fn a_replica_keeps_its_part_for_a_while_after_its_leader() {
+async fn a_replica_keeps_its_part_for_a_while_after_losing_its_leader() {
     let mut cluster = cluster(3).await;
-    put(&cluster, 1, 100.0).await;
+    put_routes(&cluster, 1, 100.0).await;
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
     let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
-    until_verdict("a token", &mut gateway, is_granted).await;
+    wait_for_verdict("a token", &mut gateway, is_granted).await;
     for machine in 0..3 {
         if machine != follower {
             cluster.machines[machine].kill().await;
         }
     }
-    // Longer than an election timeout, after which it knows no leader, and shorter than the repair patience.
+    // Longer than an election timeout, after which it knows no leader, and shorter than the repair repair_patience.
     let config = &cluster.machines[leader].config;
     sleep(2 * Duration::from_millis(config.election_timeout_ms)).await;
     let verdict = gateway.take_token(TENANT).await;
--- a/crates/sablehaven-control/tests/relays.rs
+++ b/crates/sablehaven-control/tests/relays.rs
@@ -1,4 +1,5 @@
-//! The relays' link: updates, leases, ledger calls, reports, observations, the platform's list.
+//! Relays' connections to control replicas: updates, leases, ledger calls, agent reports, observations and the
+//! platform's list.
 
 mod support;
 
@@ -12,7 +13,7 @@
 use sablehaven_wire::{AgentStatus, ControlToRelay, RelayToControl, StateUpdate};
 use support::{Cluster, SERVICE, command, forwarder::Forwarder, relay::Relay, wait_for};
 
-fn update(message: ControlToRelay) -> Option<StateUpdate> {
+fn as_update(message: ControlToRelay) -> Option<StateUpdate> {
     match message {
         ControlToRelay::Update(update) => Some(update),
         _ => None,
@@ -21,7 +22,9 @@
 
 fn key(request: &str) -> LedgerKey {
     let now = std::time::SystemTime::now();
-    let now = now.duration_since(std::time::UNIX_EPOCH).expect("a clock");
+    let now = now
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("a clock after the Unix epoch");
     LedgerKey {
         caller: "pantry".into(),
         request: request.into(),
@@ -57,7 +60,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_relay_gets_the_whole_state_then_deltas_and_is_not_taken_back() {
+async fn a_relay_gets_the_full_state_then_deltas_and_never_an_earlier_revision() {
     let cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
@@ -65,28 +68,28 @@
     let follower = cluster.follower().await;
     let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
     relay.watch(0).await;
-    let whole = relay.receive_matching(update).await;
-    assert!(whole.full && whole.schema.is_some());
-    assert_eq!(whole.configuration_version, 1);
+    let full = relay.receive_matching(as_update).await;
+    assert!(full.full && full.schema.is_some());
+    assert_eq!(full.configuration_version, 1);
     operator.apply(&command("c1", 1)).await;
-    let delta = relay.receive_matching(update).await;
+    let delta = relay.receive_matching(as_update).await;
     assert!(!delta.full && delta.schema.is_none(), "{delta:?}");
-    assert_eq!(delta.from_revision, whole.revision);
+    assert_eq!(delta.from_revision, full.revision);
     assert_eq!(delta.configuration_version, 2);
     assert!(delta.services.contains_key(&SERVICE.into()));
-    // A relay that is there already, or ahead of this replica, gets nothing.
+    // A relay that is up to date with this replica, or ahead of it, gets no update.
     let mut ahead = Relay::connect(cluster.machines[follower].internal()).await;
     ahead.watch(delta.revision + 10).await;
-    let told = ahead.receive().await;
+    let reply = ahead.receive().await;
     assert!(
-        matches!(told, Some(ControlToRelay::NotLeader { .. })),
-        "{told:?}"
+        matches!(reply, Some(ControlToRelay::NotLeader { .. })),
+        "{reply:?}"
     );
     assert!(ahead.is_silent_for(Duration::from_millis(300)).await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn only_the_leader_proves_and_others_name_it() {
+async fn only_the_leader_grants_leases_and_followers_name_it() {
     let cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
@@ -98,13 +101,18 @@
     assert!(grant.revision > 0 && grant.duration_ms == 1_500);
     let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
     relay.send(RelayToControl::RequestLease { nonce: 42 }).await;
-    let told = relay.receive().await;
-    let named = Some(cluster.machines[leader].internal());
-    assert_eq!(told, Some(ControlToRelay::NotLeader { leader: named }));
+    let reply = relay.receive().await;
+    let leader_address = Some(cluster.machines[leader].internal());
+    assert_eq!(
+        reply,
+        Some(ControlToRelay::NotLeader {
+            leader: leader_address
+        })
+    );
 }
 
-/// Three replicas whose connections to each other pass through forwarders, one for each direction.
-async fn cluster_behind_forwarders() -> (Cluster, BTreeMap<(usize, usize), Forwarder>) {
+/// Starts three replicas connected to each other through forwarders, one per direction.
+async fn start_cluster_behind_forwarders() -> (Cluster, BTreeMap<(usize, usize), Forwarder>) {
     let mut cluster = Cluster::prepare(3).await;
     let mut forwarders = BTreeMap::new();
     for from in 0..3 {
@@ -122,20 +130,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_silently_cut_off_leader_proves_nothing_and_takes_no_command() {
-    let (cluster, forwarders) = cluster_behind_forwarders().await;
+async fn a_silently_partitioned_leader_grants_no_lease_and_applies_no_command() {
+    let (cluster, forwarders) = start_cluster_behind_forwarders().await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
     relay.request_lease(1).await.expect("a lease");
-    let around = |(from, to): &(usize, usize)| *from == leader || *to == leader;
-    for (_, forwarder) in forwarders.iter().filter(|(pair, _)| around(pair)) {
+    let touches_leader = |(from, to): &(usize, usize)| *from == leader || *to == leader;
+    for (_, forwarder) in forwarders.iter().filter(|(pair, _)| touches_leader(pair)) {
         forwarder.block();
     }
-    // Asked after the cut, so no quorum can confirm it: the answer is never a lease.
+    // Requested after the partition began, so no quorum can confirm the leader and it must not grant a
+    // lease.
     assert_eq!(relay.request_lease(2).await, None);
-    let old = operator
+    let status_before = operator
         .try_status(cluster.machines[leader].http())
         .await
         .expect("a status");
@@ -150,18 +159,21 @@
         None
     })
     .await;
-    let rest = support::operator::Operator::new(vec![cluster.machines[next].http()]);
-    let outcome = rest.apply(&command("c1", 1)).await;
+    let majority = support::operator::Operator::new(vec![cluster.machines[next].http()]);
+    let outcome = majority.apply(&command("c1", 1)).await;
     assert_eq!(outcome, ApplyOutcome::Accepted { version: 2 });
-    let stale = operator
+    let status_after = operator
         .try_status(cluster.machines[leader].http())
         .await
         .expect("a status");
-    assert_eq!(stale.configuration_version, old.configuration_version);
+    assert_eq!(
+        status_after.configuration_version,
+        status_before.configuration_version
+    );
     for forwarder in forwarders.values() {
         forwarder.unblock();
     }
-    wait_for("the cut-off replica to catch up", || async {
+    wait_for("the partitioned replica to catch up", || async {
         let status = operator.try_status(cluster.machines[leader].http()).await?;
         (status.configuration_version == 2).then_some(())
     })
@@ -169,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_claim_is_granted_once_through_a_leader_change() {
+async fn a_claim_is_granted_only_once_across_a_leader_change() {
     let mut cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
@@ -203,7 +215,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_replica_that_does_not_lead_says_at_once_when_to_come_back() {
+async fn a_follower_answers_ledger_calls_at_once_with_a_retry_time() {
     let cluster = Cluster::start(3).await;
     let follower = cluster.follower().await;
     let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
@@ -215,7 +227,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_planned_stop_sends_relays_away_and_answers_what_they_asked() {
+async fn a_planned_stop_answers_pending_ledger_calls_and_sends_go_away() {
     let mut cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
@@ -238,7 +250,8 @@
         }
     }
     stopping.await.expect("stop");
-    // Leadership went first: the relay finds the next leader without waiting for an election.
+    // Leadership was transferred before `GoAway`, so the relay finds the next leader without waiting for
+    // an election.
     assert_eq!(leaders_at_go_away, Some(1));
     assert_eq!(answered, 50);
 }
@@ -248,16 +261,16 @@
     let mut leaders = 0;
     for machine in &cluster.machines {
         let status = operator.try_status(machine.http()).await;
-        let leads = status.is_some_and(|status| status.leader == Some(status.replica));
-        leaders += usize::from(leads);
+        let is_leader = status.is_some_and(|status| status.leader == Some(status.replica));
+        leaders += usize::from(is_leader);
     }
     leaders
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_new_leader_does_not_vouch_for_agents_that_it_may_not_know_yet() {
+async fn a_new_leader_reports_settling_while_agents_may_hold_older_leases() {
     let mut cluster = Cluster::prepare(1).await;
-    // Its predecessor's leases would last longer than the test.
+    // Leases that a previous leader granted would outlast the test.
     cluster.machines[0].config.lease_duration_ms = 3_600_000;
     cluster.start_all().await;
     let operator = cluster.operator();
@@ -268,7 +281,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn waiting_names_the_agents_that_are_behind() {
+async fn waiting_for_a_version_names_the_agents_that_are_behind() {
     let cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
@@ -294,7 +307,7 @@
     let behind: Vec<&str> = reply
         .behind
         .iter()
-        .map(|each| each.agent.as_str())
+        .map(|agent| agent.agent.as_str())
         .collect();
     assert_eq!(behind, ["late"]);
     relay
@@ -302,14 +315,14 @@
         .await;
     let reply: WaitReply = operator.get(&path).await;
     assert!(reply.in_force, "{reply:?}");
-    // Not made yet, so not in force, whoever watches.
+    // Version 2 does not exist yet, so it is not in force, whatever agents report.
     let path = format!("{}?version=2&timeout_ms=10", paths::WAIT);
     let reply: WaitReply = operator.get(&path).await;
     assert!(!reply.in_force);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn agents_of_a_lost_relay_count_until_their_leases_must_have_run_out() {
+async fn agents_of_a_lost_relay_count_as_behind_until_their_leases_have_expired() {
     let cluster = Cluster::start(1).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
@@ -359,17 +372,17 @@
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
     relay.watch(0).await;
     relay.send(report(&[("a", Some(agent_status(0, 0)))])).await;
-    let listed = relay.receive_matching(update).await;
+    let listed = relay.receive_matching(as_update).await;
     assert_eq!(listed.backends.len(), 4);
-    let drains = Observation {
+    let draining = Observation {
         backend: "server-2".into(),
         service: SERVICE.into(),
         incarnation: 1,
         kind: ObservationKind::Draining,
     };
-    let observations = vec![(AgentId::from("a"), drains)];
+    let observations = vec![(AgentId::from("a"), draining)];
     relay.send(RelayToControl::Observe { observations }).await;
-    let changed = |message| update(message).filter(|update| !update.backends.is_empty());
+    let changed = |message| as_update(message).filter(|update| !update.backends.is_empty());
     let drained = relay.receive_matching(changed).await;
     let record = drained.backends[&"server-2".into()]
         .as_ref()
@@ -386,6 +399,6 @@
     assert_eq!(record.state, BackendState::Leaving);
     let removed = relay.receive_matching(changed).await;
     assert_eq!(removed.backends[&"server-4".into()], None);
-    let known: Vec<BackendRecord> = cluster.operator().get(paths::BACKENDS).await;
-    assert_eq!(known.len(), 2);
+    let remaining: Vec<BackendRecord> = cluster.operator().get(paths::BACKENDS).await;
+    assert_eq!(remaining.len(), 2);
 }
--- a/crates/sablehaven-control/tests/replacement.rs
+++ b/crates/sablehaven-control/tests/replacement.rs
@@ -1,4 +1,4 @@
-//! Lost disks, replacement of machines, and failures close to a repair.
+//! Lost disks, replacement of replicas, and failures during or right after a replacement.
 
 mod support;
 
@@ -12,7 +12,7 @@
 };
 use support::{Cluster, command, relay::Relay, wait_for};
 
-async fn apply_some(cluster: &Cluster, from: u64, count: u64) {
+async fn apply_commands(cluster: &Cluster, from: u64, count: u64) {
     let operator = cluster.operator();
     for version in from..from + count {
         let outcome = operator
@@ -23,52 +23,56 @@
     }
 }
 
-/// Waits until no change of the replicas is under way, and every group has `voters` voters.
-async fn wait_until_changed(cluster: &Cluster, voters: usize) {
+/// Waits until no membership change is in progress and every group has `voters` voters and no learners.
+async fn wait_for_change_to_finish(cluster: &Cluster, voters: usize) {
     let leader = cluster.leader().await;
     let operator = cluster.operator();
-    wait_for("the change of replicas", || async {
+    wait_for("the membership change to finish", || async {
         let status = operator.try_status(cluster.machines[leader].http()).await?;
-        let all = status
+        let groups_done = status
             .groups
             .iter()
             .all(|group| group.voters.len() == voters && group.learners.is_empty());
-        (status.change.is_none() && all && status.replicas.len() == voters).then_some(())
+        (status.change.is_none() && groups_done && status.replicas.len() == voters).then_some(())
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_replica_with_a_lost_disk_waits_until_it_is_added() {
+async fn a_replica_with_a_lost_disk_stays_unformed_until_it_is_added() {
     let mut cluster = Cluster::start(3).await;
-    apply_some(&cluster, 0, 3).await;
+    apply_commands(&cluster, 0, 3).await;
     let leader = cluster.leader().await;
     let old = cluster.machines[leader].replica();
     cluster.machines[leader].kill().await;
     cluster.machines[leader].lose_disk();
-    // It may bootstrap by its settings, and still forms nothing beside the deployment of the others.
+    // Its settings allow it to bootstrap, but it must not form a second deployment beside that of the
+    // others.
     cluster.machines[leader].start().await;
     let new = cluster.machines[leader].replica();
     assert_ne!(new, old);
     let next = cluster.leader().await;
-    apply_some(&cluster, 3, 2).await;
+    apply_commands(&cluster, 3, 2).await;
     let operator = cluster.operator();
-    let blank = operator
+    let new_status = operator
         .try_status(cluster.machines[leader].http())
         .await
         .expect("a status");
-    assert!(!blank.is_formed);
+    assert!(!new_status.is_formed);
     assert!(
-        blank
+        new_status
             .groups
             .iter()
             .all(|group| group.voters.is_empty() && group.last_index == 0)
     );
-    let seen = operator
+    let leader_status = operator
         .try_status(cluster.machines[next].http())
         .await
         .expect("a status");
-    assert!(seen.groups[0].voters.contains(&old) && !seen.groups[0].voters.contains(&new));
+    assert!(
+        leader_status.groups[0].voters.contains(&old)
+            && !leader_status.groups[0].voters.contains(&new)
+    );
 
     let address = cluster.machines[leader].internal();
     let outcome = operator
@@ -78,36 +82,36 @@
         matches!(outcome, ReplicasOutcome::Started { .. }),
         "{outcome:?}"
     );
-    wait_until_changed(&cluster, 3).await;
-    // A second failure right after the repair: the new replica carries the deployment with another.
+    wait_for_change_to_finish(&cluster, 3).await;
+    // A second failure right after the replacement: the new replica and one other form the quorum.
     let third = (0..3)
         .find(|number| *number != leader && *number != next)
         .expect("a third");
     cluster.machines[third].kill().await;
-    apply_some(&cluster, 5, 2).await;
+    apply_commands(&cluster, 5, 2).await;
     let configuration: Configuration = operator.get(paths::CONFIGURATION).await;
     assert_eq!(configuration.version, 7);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_running_replica_is_replaced_and_changes_come_one_at_a_time() {
+async fn a_running_replica_is_replaced_and_changes_run_one_at_a_time() {
     let mut cluster = Cluster::prepare(3).await;
     for machine in &mut cluster.machines {
-        // The newcomer must be brought up by a snapshot.
+        // Low enough that the new replica must catch up from a snapshot.
         machine.config.snapshot_entries = 16;
     }
     cluster.start_all().await;
-    apply_some(&cluster, 0, 40).await;
+    apply_commands(&cluster, 0, 40).await;
     let leader = cluster.leader().await;
     let operator = cluster.operator();
     let fourth = cluster.add_machine().await;
-    // It knows nobody by its settings; the leader finds it.
+    // Its settings name no peers; the leader connects to it.
     cluster.machines[fourth].config.peers.clear();
     let fifth = cluster.add_machine().await;
     cluster.machines[fifth].start().await;
     let follower = cluster.follower().await;
     let old = cluster.machines[follower].replica();
-    // The fourth machine does not run yet, so nobody answers there.
+    // The replica of the fourth machine is not running yet, so nothing listens at its address.
     let address = cluster.machines[fourth].internal();
     let outcome = operator
         .change(paths::REPLACE, &ReplaceReplica { old, address })
@@ -127,44 +131,44 @@
     let second = AddReplica {
         address: cluster.machines[fifth].internal(),
     };
-    // Either the first is still under way, or it is done already; never both at once.
+    // The first change is either still in progress or already finished; two never run at once.
     let outcome = operator.change(paths::ADD, &second).await;
     let was_busy = matches!(outcome, ReplicasOutcome::Busy { .. });
     let was_done = matches!(outcome, ReplicasOutcome::Started { change: 2 });
     assert!(was_busy || was_done, "{outcome:?}");
     if was_busy {
-        wait_until_changed(&cluster, 3).await;
+        wait_for_change_to_finish(&cluster, 3).await;
         let outcome = operator.change(paths::ADD, &second).await;
         assert!(
             matches!(outcome, ReplicasOutcome::Started { .. }),
             "{outcome:?}"
         );
     }
-    wait_until_changed(&cluster, 4).await;
+    wait_for_change_to_finish(&cluster, 4).await;
     let removed = cluster.machines[leader].replica();
     let remove = RemoveReplica { replica: removed };
-    // The leader removes itself and another takes over.
+    // The leader removes itself, and another replica takes over.
     let outcome = operator.change(paths::REMOVE, &remove).await;
     assert!(
         matches!(outcome, ReplicasOutcome::Started { .. }),
         "{outcome:?}"
     );
-    wait_for("the leader to be out", || async {
+    wait_for("the former leader to be removed", || async {
         let status = operator.try_status(cluster.machines[fifth].http()).await?;
-        let gone = status
+        let is_removed = status
             .groups
             .iter()
             .all(|group| !group.voters.contains(&removed));
-        (gone && status.change.is_none() && status.replicas.len() == 3).then_some(())
+        (is_removed && status.change.is_none() && status.replicas.len() == 3).then_some(())
     })
     .await;
     cluster.machines[follower].kill().await;
     cluster.machines[leader].kill().await;
-    apply_some(&cluster, 40, 3).await;
+    apply_commands(&cluster, 40, 3).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_replacement_that_never_comes_up_can_be_called_off() {
+async fn adding_a_replica_that_fails_can_be_cancelled() {
     let mut cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     let fourth = cluster.add_machine().await;
@@ -176,20 +180,20 @@
     let add = operator.change(paths::ADD, &AddReplica { address }).await;
     assert!(matches!(add, ReplicasOutcome::Started { .. }), "{add:?}");
     cluster.machines[fourth].kill().await;
-    let off = RemoveReplica { replica: new };
-    let outcome = wait_for("the change to end either way", || async {
-        let outcome = operator.change(paths::REMOVE, &off).await;
+    let cancellation = RemoveReplica { replica: new };
+    let outcome = wait_for("the change to be cancelled or to finish", || async {
+        let outcome = operator.change(paths::REMOVE, &cancellation).await;
         (!matches!(outcome, ReplicasOutcome::Busy { .. })).then_some(outcome)
     });
-    // If it had its vote before it died, it is removed as any member is.
+    // If the replica became a voter before it was killed, it is removed like any other member.
     assert!(matches!(outcome.await, ReplicasOutcome::Started { .. }));
-    wait_until_changed(&cluster, 3).await;
+    wait_for_change_to_finish(&cluster, 3).await;
     let status = operator
         .try_status(cluster.machines[follower].http())
         .await
         .expect("a status");
     assert!(status.groups[0].voters.contains(&old));
-    apply_some(&cluster, 0, 2).await;
+    apply_commands(&cluster, 0, 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -199,7 +203,7 @@
     let key = LedgerKey {
         caller: "pantry".into(),
         request: "pallet-7".into(),
-        issued_at_ms: now.expect("a clock").as_millis() as u64,
+        issued_at_ms: now.expect("a clock after the Unix epoch").as_millis() as u64,
     };
     let claim = |id| LedgerRequest::Claim {
         key: key.clone(),
@@ -227,7 +231,7 @@
             matches!(outcome, ReplicasOutcome::Started { .. }),
             "{outcome:?}"
         );
-        wait_until_changed(&cluster, 3).await;
+        wait_for_change_to_finish(&cluster, 3).await;
     }
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
@@ -238,14 +242,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn after_the_loss_of_all_disks_nothing_issued_before_runs_again() {
+async fn after_the_loss_of_all_disks_earlier_requests_are_refused() {
     let mut cluster = Cluster::start(1).await;
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let key = LedgerKey {
         caller: "pantry".into(),
         request: "pallet-8".into(),
-        // Within the retention, but before the new ledger is opened.
-        issued_at_ms: now.expect("a clock").as_millis() as u64 - 30_000,
+        // Within the retention time, but issued before the new ledger is opened.
+        issued_at_ms: now.expect("a clock after the Unix epoch").as_millis() as u64 - 30_000,
     };
     cluster.machines[0].kill().await;
     cluster.machines[0].lose_disk();
@@ -265,7 +269,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn without_a_quorum_the_last_configuration_can_still_be_read_unconfirmed() {
     let mut cluster = Cluster::start(3).await;
-    apply_some(&cluster, 0, 2).await;
+    apply_commands(&cluster, 0, 2).await;
     let survivor = cluster.follower().await;
     let operator = cluster.operator();
     wait_for("the survivor to apply", || async {
@@ -291,12 +295,12 @@
     assert_eq!(configuration.version, 2);
 }
 
-/// After a loss of power no entry is known to be committed, and the settings may name nobody who is
-/// there any more: the replicas find each other by what their own logs say.
+/// After a power failure no entry is known to be committed, and the settings may name no replica that
+/// still exists. The replicas must find each other from the members recorded in their own logs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn replicas_whose_settings_name_nobody_find_each_other_by_their_logs() {
+async fn replicas_without_configured_peers_find_each_other_from_their_logs() {
     let mut cluster = Cluster::start(3).await;
-    apply_some(&cluster, 0, 2).await;
+    apply_commands(&cluster, 0, 2).await;
     for machine in &mut cluster.machines {
         machine.kill().await;
         machine.config.peers = Vec::new();
@@ -304,5 +308,5 @@
     }
     cluster.start_all().await;
     cluster.leader().await;
-    apply_some(&cluster, 2, 1).await;
+    apply_commands(&cluster, 2, 1).await;
 }
--- a/crates/sablehaven-control/tests/replicas.rs
+++ b/crates/sablehaven-control/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Changes of the control replicas: one at a time, phase by phase.
+//! Membership changes of the control replicas: one at a time, in phases.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -21,7 +21,7 @@
     }
 }
 
-fn formed() -> ReplicasState {
+fn formed_state() -> ReplicasState {
     let mut state = ReplicasState::default();
     let members = [A, B, C].map(|replica| (replica, addresses(replica)));
     state.apply(ReplicasCommand::Form(BTreeMap::from(members)));
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn a_replacement_learns_then_votes_then_the_old_one_goes() {
-    let mut state = formed();
+fn a_replacement_is_learner_then_voter_then_the_old_replica_is_removed() {
+    let mut state = formed_state();
     begin(&mut state, replace(ReplacementOrder::PromoteFirst));
     assert_eq!(voters(&state), [A, B, C]);
     assert!(state.target().learners.contains(&D));
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn a_dead_replica_goes_before_its_replacement_votes() {
-    let mut state = formed();
+fn a_failed_replica_is_removed_before_its_replacement_is_promoted() {
+    let mut state = formed_state();
     begin(&mut state, replace(ReplacementOrder::RemoveFirst));
     advance(&mut state, 1, ChangePhase::Learning);
     assert_eq!(voters(&state), [A, B]);
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn a_second_change_waits_for_the_first() {
-    let mut state = formed();
+fn a_second_change_is_refused_until_the_first_finishes() {
+    let mut state = formed_state();
     let kind = replace(ReplacementOrder::PromoteFirst);
     assert_eq!(
         begin(&mut state, kind),
@@ -100,27 +100,31 @@
     assert_eq!(second, ReplicasOutcome::Started { change: 2 });
 }
 
-/// An operator whose answer was lost sends the same again, and what the leader thinks of the old replica may have
-/// changed meanwhile.
+/// An operator whose response was lost resends the request. In the meantime the leader's view of whether the old replica
+/// is alive, and so the order of the steps, may have changed.
 #[test]
-fn a_change_that_is_sent_again_is_the_one_under_way() {
-    let mut state = formed();
+fn a_resent_change_returns_the_change_in_progress() {
+    let mut state = formed_state();
     let first = begin(&mut state, replace(ReplacementOrder::PromoteFirst));
     assert_eq!(first, ReplicasOutcome::Started { change: 1 });
     advance(&mut state, 1, ChangePhase::Learning);
-    let again = begin(&mut state, replace(ReplacementOrder::RemoveFirst));
-    assert_eq!(again, ReplicasOutcome::Started { change: 1 });
-    assert_eq!(voters(&state), [A, B, C, D], "it goes on as it was begun");
+    let resent = begin(&mut state, replace(ReplacementOrder::RemoveFirst));
+    assert_eq!(resent, ReplicasOutcome::Started { change: 1 });
+    assert_eq!(
+        voters(&state),
+        [A, B, C, D],
+        "the change keeps its original order"
+    );
     let other = begin(&mut state, ChangeKind::Remove { replica: A });
     assert!(matches!(other, ReplicasOutcome::Busy { .. }), "{other:?}");
 }
 
 #[test]
-fn a_change_can_be_called_off_only_while_the_new_replica_has_no_vote() {
-    let mut state = formed();
+fn a_change_can_be_cancelled_only_while_the_new_replica_is_a_learner() {
+    let mut state = formed_state();
     begin(&mut state, replace(ReplacementOrder::PromoteFirst));
-    let off = begin(&mut state, ChangeKind::Remove { replica: D });
-    assert_eq!(off, ReplicasOutcome::Started { change: 2 });
+    let cancelled = begin(&mut state, ChangeKind::Remove { replica: D });
+    assert_eq!(cancelled, ReplicasOutcome::Started { change: 2 });
     assert!(state.is_finished(1));
     assert_eq!(voters(&state), [A, B, C]);
     advance(&mut state, 2, ChangePhase::Removing);
@@ -132,52 +136,52 @@
 }
 
 #[test]
-fn a_newcomer_that_is_gone_can_be_called_off_while_it_is_promoted_last() {
-    let mut state = formed();
+fn a_change_can_be_cancelled_during_a_promotion_that_is_its_last_phase() {
+    let mut state = formed_state();
     begin(&mut state, replace(ReplacementOrder::RemoveFirst));
     advance(&mut state, 1, ChangePhase::Learning);
     let early = begin(&mut state, ChangeKind::Remove { replica: D });
     assert!(matches!(early, ReplicasOutcome::Busy { .. }));
     advance(&mut state, 1, ChangePhase::Removing);
-    let off = begin(&mut state, ChangeKind::Remove { replica: D });
-    assert_eq!(off, ReplicasOutcome::Started { change: 2 });
-    let left = voters(&state);
+    let cancelled = begin(&mut state, ChangeKind::Remove { replica: D });
+    assert_eq!(cancelled, ReplicasOutcome::Started { change: 2 });
+    let remaining = voters(&state);
     advance(&mut state, 2, ChangePhase::Removing);
-    // The old replica was out of every group already and does not come back in.
-    assert_eq!(voters(&state), left);
-    assert_eq!(left.len(), 2);
+    // The old replica had already been removed from every group and does not rejoin any.
+    assert_eq!(voters(&state), remaining);
+    assert_eq!(remaining.len(), 2);
     assert_eq!(state.replicas().len(), 2);
-    let again = begin(&mut state, ChangeKind::Add { replica: D });
-    assert_eq!(again, ReplicasOutcome::Started { change: 3 });
+    let resent = begin(&mut state, ChangeKind::Add { replica: D });
+    assert_eq!(resent, ReplicasOutcome::Started { change: 3 });
     advance(&mut state, 3, ChangePhase::Learning);
-    let off = begin(&mut state, ChangeKind::Remove { replica: D });
-    assert_eq!(off, ReplicasOutcome::Started { change: 4 });
+    let cancelled = begin(&mut state, ChangeKind::Remove { replica: D });
+    assert_eq!(cancelled, ReplicasOutcome::Started { change: 4 });
 }
 
 #[test]
-fn an_old_leaders_word_changes_nothing() {
-    let mut state = formed();
+fn an_advance_from_a_former_leader_has_no_effect() {
+    let mut state = formed_state();
     begin(&mut state, ChangeKind::Add { replica: D });
     advance(&mut state, 1, ChangePhase::Promoting);
     advance(&mut state, 7, ChangePhase::Learning);
     assert_eq!(
-        state.change().expect("under way").phase,
+        state.change().expect("a change in progress").phase,
         ChangePhase::Learning
     );
 }
 
 #[test]
-fn changes_that_make_no_sense_are_refused() {
-    let mut state = formed();
+fn inconsistent_changes_are_refused() {
+    let mut state = formed_state();
     let known = begin(&mut state, ChangeKind::Add { replica: A });
     assert!(matches!(known, ReplicasOutcome::Refused { .. }));
     let unknown = begin(&mut state, ChangeKind::Remove { replica: D });
     assert!(matches!(unknown, ReplicasOutcome::Refused { .. }));
-    let taken = state.apply(ReplicasCommand::Begin {
+    let address_in_use = state.apply(ReplicasCommand::Begin {
         kind: ChangeKind::Add { replica: D },
         addresses: Some(addresses(A)),
     });
-    assert!(matches!(taken, ReplicasOutcome::Refused { .. }));
+    assert!(matches!(address_in_use, ReplicasOutcome::Refused { .. }));
     let second_form = ReplicasCommand::Form(BTreeMap::from([(D, addresses(D))]));
     state.apply(second_form);
     assert_eq!(voters(&state), [A, B, C]);
--- a/crates/sablehaven-control/tests/support/gateway.rs
+++ b/crates/sablehaven-control/tests/support/gateway.rs
@@ -65,7 +65,7 @@
 
     /// Waits until the replica announces a version of the server list newer than `held`, and returns its
     /// versions.
-    pub async fn offered_listing(&mut self, held: ListingNumber) -> StateVersions {
+    pub async fn wait_for_listing(&mut self, held: ListingNumber) -> StateVersions {
         self.receive_matching(|message| match message {
             ControlToGateway::Versions(versions) if versions.listing > held => Some(versions),
             _ => None,
