--- a/crates/sablehaven-control/examples/control_bench/client.rs
+++ b/crates/sablehaven-control/examples/control_bench/client.rs
@@ -1,4 +1,4 @@
-//! A relay's end of a connection, with many clients behind it.
+//! A client that speaks to a control replica as a relay and carries the claims of many clients.
 
 use std::{
     net::SocketAddr,
@@ -13,8 +13,8 @@
 };
 use tokio::time::timeout;
 
-/// Time for one answer while a leader is looked for.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+/// Longest time to wait for a reply, so that the search for a leader soon tries the next replica.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(0);
 
@@ -22,8 +22,8 @@
     connection: Connection<ControlToRelay, RelayToControl>,
 }
 
-/// What the clients behind one relay have seen.
-pub struct ClientReport {
+/// Results of the clients behind one relay.
+pub struct ClientResults {
     pub granted: u64,
     pub latency_us: Histogram<u64>,
 }
@@ -54,26 +54,26 @@
         Some(Self { connection })
     }
 
-    async fn ask<Wanted>(
+    async fn call<Selected>(
         &mut self,
         message: RelayToControl,
-        pick: impl Fn(ControlToRelay) -> Option<Wanted>,
-    ) -> Option<Wanted> {
+        select: impl Fn(ControlToRelay) -> Option<Selected>,
+    ) -> Option<Selected> {
         self.connection.writer.send(&message).await.ok()?;
-        let answer = async {
+        let reply = async {
             loop {
-                if let Some(wanted) = pick(self.connection.reader.receive().await.ok()?) {
-                    return Some(wanted);
+                if let Some(selected) = select(self.connection.reader.receive().await.ok()?) {
+                    return Some(selected);
                 }
             }
         };
-        timeout(ANSWER_LIMIT, answer).await.ok().flatten()
+        timeout(REPLY_TIMEOUT, reply).await.ok().flatten()
     }
 
-    /// Whether the replica proves that it leads.
-    pub async fn lease(&mut self) -> bool {
+    /// Whether the replica grants a lease, which proves that it is the leader.
+    pub async fn request_lease(&mut self) -> bool {
         let message = RelayToControl::RequestLease { nonce: 1 };
-        let granted = self.ask(message, |message| match message {
+        let granted = self.call(message, |message| match message {
             ControlToRelay::Lease(_) => Some(true),
             ControlToRelay::NotLeader { .. } => Some(false),
             _ => None,
@@ -81,35 +81,38 @@
         granted.await.unwrap_or(false)
     }
 
-    /// Whether the replica grants a claim.
+    /// Whether the replica grants one new claim.
     pub async fn claim_once(&mut self) -> bool {
         let message = RelayToControl::Ledger(vec![(0, next_claim())]);
-        let granted = self.ask(message, |message| match message {
-            ControlToRelay::Ledger(replies) => Some(replies.iter().all(|(_, r)| is_granted(r))),
+        let granted = self.call(message, |message| match message {
+            ControlToRelay::Ledger(replies) => {
+                Some(replies.iter().all(|(_, reply)| is_granted(reply)))
+            }
             _ => None,
         });
         granted.await.unwrap_or(false)
     }
 
-    /// Claims with `clients` clients, each of which waits for its answer before it claims again.
-    pub async fn claim_until(&mut self, clients: usize, end: Instant) -> ClientReport {
-        let mut report = ClientReport {
+    /// Sends claims from `clients` clients until `end`. Each client waits for its reply before it claims
+    /// again.
+    pub async fn claim_until(&mut self, clients: usize, end: Instant) -> ClientResults {
+        let mut results = ClientResults {
             granted: 0,
             latency_us: Histogram::new(3).expect("a histogram"),
         };
         let mut sent_at = vec![Instant::now(); clients];
-        let mut due: Vec<usize> = (0..clients).collect();
-        let mut open = 0;
+        let mut idle_clients: Vec<usize> = (0..clients).collect();
+        let mut outstanding = 0;
         loop {
-            if Instant::now() < end && !due.is_empty() {
-                open += due.len();
-                self.send_claims(&mut sent_at, &due).await;
+            if Instant::now() < end && !idle_clients.is_empty() {
+                outstanding += idle_clients.len();
+                self.send_claims(&mut sent_at, &idle_clients).await;
             }
-            due.clear();
-            if open == 0 {
-                return report;
+            idle_clients.clear();
+            if outstanding == 0 {
+                return results;
             }
-            let message = self.connection.reader.receive().await.expect("an answer");
+            let message = self.connection.reader.receive().await.expect("a reply");
             let ControlToRelay::Ledger(replies) = message else {
                 continue;
             };
@@ -117,10 +120,10 @@
                 assert!(is_granted(&reply), "{reply:?}");
                 let client = client as usize;
                 let latency = sent_at[client].elapsed().as_micros() as u64;
-                report.latency_us.record(latency).expect("a latency");
-                report.granted += 1;
-                open -= 1;
-                due.push(client);
+                results.latency_us.record(latency).expect("a latency");
+                results.granted += 1;
+                outstanding -= 1;
+                idle_clients.push(client);
             }
         }
     }
--- a/crates/sablehaven-control/examples/control_bench/cluster.rs
+++ b/crates/sablehaven-control/examples/control_bench/cluster.rs
@@ -1,4 +1,4 @@
-//! Control replicas in this process.
+//! A cluster of control replicas in this process.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -23,7 +23,8 @@
 
 pub struct Cluster {
     pub replicas: Vec<Replica>,
-    /// Between each pair of replicas, by sender and receiver; empty without forwarders.
+    /// The forwarder from each replica to each other one, with the numbers of both; empty if the
+    /// replicas connect directly.
     pub forwarders: Vec<(usize, usize, Forwarder)>,
 }
 
@@ -74,16 +75,16 @@
         self.config.internal_listen
     }
 
-    /// A metric of this replica, by its name without the common prefix.
+    /// Value of a metric of this replica, by its name without the common prefix; 0 if there is none.
     pub fn metric(&self, name: &str) -> u64 {
         let text = self.telemetry.encode_metrics();
-        let line = text.lines().find_map(|line| {
+        let value = text.lines().find_map(|line| {
             let value = line
                 .strip_prefix("sablehaven_control_")?
                 .strip_prefix(name)?;
             value.trim().parse().ok()
         });
-        line.unwrap_or(0)
+        value.unwrap_or(0)
     }
 }
 
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The replica that proves its leadership, out of those that run.
+    /// Waits until a running replica grants a lease and a claim, and returns it.
     pub async fn leader(&self) -> usize {
         loop {
             for (number, replica) in self.replicas.iter().enumerate() {
@@ -129,7 +130,7 @@
                 let Some(mut relay) = Relay::connect(replica.internal()).await else {
                     continue;
                 };
-                if relay.lease().await && relay.claim_once().await {
+                if relay.request_lease().await && relay.claim_once().await {
                     return number;
                 }
             }
@@ -137,8 +138,9 @@
         }
     }
 
-    /// The leader once it has stayed one for a while, so that the ledger groups follow it.
-    pub async fn settled_leader(&self) -> usize {
+    /// Waits until the same replica is the leader before and after a pause, so that the leadership of the
+    /// ledger groups has followed it.
+    pub async fn stable_leader(&self) -> usize {
         loop {
             let leader = self.leader().await;
             tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -148,15 +150,15 @@
         }
     }
 
-    /// Time until another replica than `old` proves its leadership and grants a claim.
-    pub async fn time_without_leader(&self, old: usize, started: Instant) -> Duration {
+    /// Time from `started` until a replica other than `old` grants a lease and a claim.
+    pub async fn wait_for_next_leader(&self, old: usize, started: Instant) -> Duration {
         loop {
             let others = (0..self.replicas.len()).filter(|number| *number != old);
             for number in others {
                 let Some(mut relay) = Relay::connect(self.replicas[number].internal()).await else {
                     continue;
                 };
-                if relay.lease().await && relay.claim_once().await {
+                if relay.request_lease().await && relay.claim_once().await {
                     return started.elapsed();
                 }
             }
--- a/crates/sablehaven-control/examples/control_bench/main.rs
+++ b/crates/sablehaven-control/examples/control_bench/main.rs
@@ -1,5 +1,5 @@
-//! Measures control replicas: commits and claims a second, syncs, the disk's raw limit, time without
-//! a leader, and recovery. Run with `cargo run --release -p sablehaven-control --example
+//! Measures control replicas: commits and claims per second, syncs, the throughput of the disk itself,
+//! failover time and recovery time. Run with `cargo run --release -p sablehaven-control --example
 //! control_bench -- all`.
 
 mod client;
@@ -26,21 +26,21 @@
         .arg(
             Arg::new("seconds")
                 .long("seconds")
-                .help("Length of each load")
+                .help("Duration of each load, in seconds")
                 .value_parser(value_parser!(u64))
                 .default_value("5"),
         )
         .arg(
             Arg::new("rounds")
                 .long("rounds")
-                .help("Leaders lost in each failover measurement")
+                .help("Number of leaders lost in each failover measurement")
                 .value_parser(value_parser!(usize))
                 .default_value("10"),
         )
         .arg(
             Arg::new("folder")
                 .long("folder")
-                .help("Where the data folders are made; names the disk that is measured")
+                .help("Folder for the data folders; it determines which disk is measured")
                 .value_parser(value_parser!(PathBuf))
                 .default_value("target"),
         )
@@ -49,31 +49,31 @@
 #[tokio::main]
 async fn main() {
     let arguments = arguments().get_matches();
-    let part = one::<String>(&arguments, "part");
-    let length = Duration::from_secs(one::<u64>(&arguments, "seconds"));
-    let rounds = one::<usize>(&arguments, "rounds");
+    let part = argument::<String>(&arguments, "part");
+    let duration = Duration::from_secs(argument::<u64>(&arguments, "seconds"));
+    let rounds = argument::<usize>(&arguments, "rounds");
     let folder = tempfile::Builder::new()
         .prefix("control-bench-")
-        .tempdir_in(one::<PathBuf>(&arguments, "folder"))
-        .expect("make data folder");
-    let is_wanted = |name: &str| part == name || part == "all";
-    if is_wanted("claims") {
-        throughput::claims(folder.path(), length).await;
+        .tempdir_in(argument::<PathBuf>(&arguments, "folder"))
+        .expect("create data folder");
+    let is_selected = |name: &str| part == name || part == "all";
+    if is_selected("claims") {
+        throughput::measure_claims(folder.path(), duration).await;
     }
-    if is_wanted("commits") {
-        throughput::commits(folder.path(), length).await;
+    if is_selected("commits") {
+        throughput::measure_commits(folder.path(), duration).await;
     }
-    if is_wanted("failover") {
-        failover::kills(folder.path(), rounds).await;
-        failover::silent_partitions(folder.path(), rounds).await;
-        failover::planned_stops(folder.path(), rounds).await;
+    if is_selected("failover") {
+        failover::measure_kills(folder.path(), rounds).await;
+        failover::measure_silent_partitions(folder.path(), rounds).await;
+        failover::measure_planned_stops(folder.path(), rounds).await;
     }
-    if is_wanted("recovery") {
-        recovery::run(folder.path()).await;
+    if is_selected("recovery") {
+        recovery::measure_all(folder.path()).await;
     }
 }
 
-fn one<Value: Clone + Send + Sync + 'static>(arguments: &ArgMatches, name: &str) -> Value {
+fn argument<Value: Clone + Send + Sync + 'static>(arguments: &ArgMatches, name: &str) -> Value {
     let value = arguments.get_one::<Value>(name);
     value.expect("an argument with a default").clone()
 }
--- a/crates/sablehaven-control/examples/control_bench/throughput.rs
+++ b/crates/sablehaven-control/examples/control_bench/throughput.rs
@@ -1,4 +1,4 @@
-//! Claims and commits a second against the disk's raw limit.
+//! Claims and commits per second, compared with the throughput of the disk itself.
 
 use std::{
     net::SocketAddr,
@@ -13,18 +13,19 @@
 };
 
 use crate::{
-    client::{ClientReport, Relay},
+    client::{ClientResults, Relay},
     cluster::Cluster,
     raw_disk,
 };
 
-const CLIENTS: [usize; 4] = [1, 8, 64, 512];
+/// Numbers of concurrent clients.
+const CLIENT_COUNTS: [usize; 4] = [1, 8, 64, 512];
 
-/// Connections that the clients are spread over, as over relays.
+/// Number of connections over which the clients are distributed, as over relays.
 const RELAYS: usize = 4;
 
-/// Time for each measurement of the raw limit.
-const RAW_LENGTH: Duration = Duration::from_secs(1);
+/// Duration of each measurement of the disk itself.
+const DISK_MEASUREMENT_DURATION: Duration = Duration::from_secs(1);
 
 const SCHEMA: &str = r#"
 syntax = "proto3";
@@ -41,11 +42,11 @@
 message GetReply { string key = 1; }
 "#;
 
-/// Claims a second through relays' connections, 3 replicas.
-pub async fn claims(folder: &Path, length: Duration) {
-    println!("\n# claims (3 replicas, 4 ledger groups, {length:?} each)");
+/// Measures claims per second through relays' connections, with 3 replicas.
+pub async fn measure_claims(folder: &Path, duration: Duration) {
+    println!("\n# claims (3 replicas, 4 ledger groups, {duration:?} each)");
     println!(
-        "# raw: appends and syncs a second of one writer, into space written in advance, and growing the file"
+        "# raw, growing: synced appends per second of one writer, into preallocated space and extending the file"
     );
     println!(
         "{:>8} {:>9} {:>8} {:>8} {:>10} {:>10} {:>9} {:>9} {:>8} {:>8} {:>7}",
@@ -61,26 +62,27 @@
         "growing",
         "ratio"
     );
-    for clients in CLIENTS {
+    for clients in CLIENT_COUNTS {
         let mut cluster = Cluster::prepare(folder, &format!("claims-{clients}"), 3, false).await;
         cluster.start().await;
-        let leader = cluster.settled_leader().await;
-        let raw_before = raw_disk::measure(folder, RAW_LENGTH);
+        let leader = cluster.stable_leader().await;
+        let disk_before = raw_disk::measure(folder, DISK_MEASUREMENT_DURATION);
         let before = counters(&cluster, leader);
         let started = Instant::now();
-        let report = claim_load(cluster.replicas[leader].internal(), clients, length).await;
+        let results = run_claims(cluster.replicas[leader].internal(), clients, duration).await;
         let seconds = started.elapsed().as_secs_f64();
         let after = counters(&cluster, leader);
-        let raw_after = raw_disk::measure(folder, RAW_LENGTH);
-        let raw = f64::midpoint(raw_before.in_advance, raw_after.in_advance);
-        let growing = f64::midpoint(raw_before.growing, raw_after.growing);
-        let granted = report.granted as f64;
+        let disk_after = raw_disk::measure(folder, DISK_MEASUREMENT_DURATION);
+        let raw = f64::midpoint(disk_before.preallocated, disk_after.preallocated);
+        let growing = f64::midpoint(disk_before.growing, disk_after.growing);
+        let granted = results.granted as f64;
         let per_second = granted / seconds;
-        let [entries, syncs, bytes] = [0, 1, 2].map(|each| (after[each] - before[each]) as f64);
+        let [entries, syncs, bytes] =
+            [0, 1, 2].map(|counter| (after[counter] - before[counter]) as f64);
         println!(
             "{clients:>8} {per_second:>9.0} {:>8.2} {:>8.2} {:>10.0} {:>10.0} {:>9.3} {:>9.0} {raw:>8.0} {growing:>8.0} {:>7.2}",
-            milliseconds(&report.latency_us, 0.5),
-            milliseconds(&report.latency_us, 0.99),
+            milliseconds(&results.latency_us, 0.5),
+            milliseconds(&results.latency_us, 0.99),
             entries / seconds,
             syncs / seconds,
             syncs / granted,
@@ -91,6 +93,7 @@
     }
 }
 
+/// Log entries applied, syncs of the log and bytes written to it.
 fn counters(cluster: &Cluster, leader: usize) -> [u64; 3] {
     let replica = &cluster.replicas[leader];
     ["entries_applied_total", "log_syncs", "log_bytes"].map(|name| replica.metric(name))
@@ -100,8 +103,8 @@
     latency_us.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-async fn claim_load(address: SocketAddr, clients: usize, length: Duration) -> ClientReport {
-    let end = Instant::now() + length;
+async fn run_claims(address: SocketAddr, clients: usize, duration: Duration) -> ClientResults {
+    let end = Instant::now() + duration;
     let relays = clients.min(RELAYS);
     let tasks = (0..relays).map(|number| {
         let share = clients / relays + usize::from(number < clients % relays);
@@ -111,38 +114,38 @@
         })
     });
     let tasks: Vec<_> = tasks.collect();
-    let mut total = ClientReport {
+    let mut total = ClientResults {
         granted: 0,
         latency_us: Histogram::new(3).expect("a histogram"),
     };
     for task in tasks {
-        let report = task.await.expect("clients");
-        total.granted += report.granted;
-        total.latency_us += report.latency_us;
+        let results = task.await.expect("clients");
+        total.granted += results.granted;
+        total.latency_us += results.latency_us;
     }
     total
 }
 
-/// Commands committed a second through the operators' interface, accepted and conflicting alike:
-/// both are entries of the log.
-pub async fn commits(folder: &Path, length: Duration) {
-    println!("\n# commits through the operators' interface (3 replicas, {length:?} each)");
+/// Measures the commands committed per second through the operator interface. Accepted and conflicting
+/// commands both count, since both are log entries.
+pub async fn measure_commits(folder: &Path, duration: Duration) {
+    println!("\n# commits through the operator interface (3 replicas, {duration:?} each)");
     println!(
-        "# check of the configuration alone: {:.2} ms",
-        check_milliseconds()
+        "# validation of the configuration alone: {:.2} ms",
+        mean_validation_ms()
     );
     println!(
         "{:>8} {:>10} {:>10} {:>9} {:>9} {:>9}",
         "clients", "commits/s", "accepted/s", "p50 ms", "p99 ms", "syncs/commit"
     );
-    for clients in CLIENTS {
+    for clients in CLIENT_COUNTS {
         let mut cluster = Cluster::prepare(folder, &format!("commits-{clients}"), 3, false).await;
         cluster.start().await;
-        let leader = cluster.settled_leader().await;
+        let leader = cluster.stable_leader().await;
         let address = cluster.replicas[leader].config.http_listen;
         let before = counters(&cluster, leader);
         let started = Instant::now();
-        let (committed, accepted, latency_us) = commit_load(address, clients, length).await;
+        let (committed, accepted, latency_us) = run_commits(address, clients, duration).await;
         let seconds = started.elapsed().as_secs_f64();
         let after = counters(&cluster, leader);
         let syncs = (after[1] - before[1]) as f64;
@@ -158,19 +161,19 @@
     }
 }
 
-async fn commit_load(
+async fn run_commits(
     address: SocketAddr,
     clients: usize,
-    length: Duration,
+    duration: Duration,
 ) -> (u64, u64, Histogram<u64>) {
-    let end = Instant::now() + length;
+    let end = Instant::now() + duration;
     let client = reqwest::Client::builder()
         .no_proxy()
         .build()
         .expect("client");
     let tasks = (0..clients).map(|number| {
         let client = client.clone();
-        tokio::spawn(async move { operate(&client, address, number, end).await })
+        tokio::spawn(async move { run_operator(&client, address, number, end).await })
     });
     let tasks: Vec<_> = tasks.collect();
     let mut total = (0, 0, Histogram::new(3).expect("a histogram"));
@@ -183,7 +186,7 @@
     total
 }
 
-async fn operate(
+async fn run_operator(
     client: &reqwest::Client,
     address: SocketAddr,
     number: usize,
@@ -208,15 +211,17 @@
             .json(&command)
             .send()
             .await
-            .expect("answer");
+            .expect("response");
         let outcome: ApplyOutcome = response.json().await.expect("an outcome");
         let latency = started.elapsed().as_micros() as u64;
         latency_us.record(latency).expect("a latency");
         committed += 1;
         match outcome {
-            ApplyOutcome::Accepted { version: made } => {
+            ApplyOutcome::Accepted {
+                version: new_version,
+            } => {
                 accepted += 1;
-                version = made;
+                version = new_version;
             }
             ApplyOutcome::Conflict {
                 current_version, ..
@@ -237,13 +242,13 @@
     }
 }
 
-/// Mean time of the check that the leader makes before each proposal.
-fn check_milliseconds() -> f64 {
-    const CHECKS: u32 = 200;
+/// Mean time, in milliseconds, of the validation that the leader performs before each proposal.
+fn mean_validation_ms() -> f64 {
+    const REPETITIONS: u32 = 200;
     let configuration = configuration();
     let started = Instant::now();
-    for _ in 0..CHECKS {
+    for _ in 0..REPETITIONS {
         assert!(sablehaven_schema::check_document(&configuration).is_empty());
     }
-    started.elapsed().as_secs_f64() * 1_000.0 / f64::from(CHECKS)
+    started.elapsed().as_secs_f64() * 1_000.0 / f64::from(REPETITIONS)
 }
--- a/crates/sablehaven-control/tests/configuration.rs
+++ b/crates/sablehaven-control/tests/configuration.rs
@@ -183,7 +183,9 @@
     /// With concurrent operators and resends, versions grow by one, each version has one winner, and
     /// a command gets the same outcome every time it is sent.
     #[test]
-    fn each_version_has_one_winner(submissions in prop::collection::vec((0_u64..12, 0_u64..10), 1..80)) {
+    fn each_version_has_one_winner(
+        submissions in prop::collection::vec((0_u64..12, 0_u64..10), 1..80),
+    ) {
         let mut state = ConfigurationState::default();
         let mut first_outcomes = BTreeMap::new();
         let mut winners = BTreeMap::new();
--- a/crates/sablehaven-control/tests/ledger.rs
+++ b/crates/sablehaven-control/tests/ledger.rs
@@ -246,7 +246,7 @@
     })]
 
     /// For any order of claims, settlements, releases, restarts and clock advances: between two
-    /// releases of a key by its holder, at most one claim is granted, and none after the key is
+    /// releases of a key by its holder, at most one claim is ever granted, and none after the key is
     /// settled.
     #[test]
     fn a_key_is_dispatched_at_most_once(operations in prop::collection::vec(operation(), 1..120)) {
@@ -265,7 +265,11 @@
                     }
                 }
                 Operation::Settle { request, claim } => {
-                    let reply = apply_request(&mut state, now_ms, settle(key(request, 5_000), claim, b"x"));
+                    let reply = apply_request(
+                        &mut state,
+                        now_ms,
+                        settle(key(request, 5_000), claim, b"x"),
+                    );
                     if reply == LedgerReply::Recorded {
                         prop_assert_eq!(holder.get(&request), Some(&claim));
                         settled.insert(request);
--- a/crates/sablehaven-control/tests/listing.rs
+++ b/crates/sablehaven-control/tests/listing.rs
@@ -39,7 +39,7 @@
 }
 
 /// Starts three replicas with a list of 200 servers.
-async fn cluster() -> (Cluster, Arc<ChangeableServerList>) {
+async fn start_cluster() -> (Cluster, Arc<ChangeableServerList>) {
     let list = Arc::new(ChangeableServerList::default());
     for number in 1..=200 {
         list.add(number);
@@ -55,7 +55,7 @@
 
 #[tokio::test]
 async fn a_gateway_gets_the_list_from_a_follower() {
-    let (cluster, list) = cluster().await;
+    let (cluster, list) = start_cluster().await;
     let follower = cluster.follower().await;
     let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
     let first = gateway.wait_for_listing(ListingNumber::default()).await;
@@ -82,7 +82,7 @@
 /// Guards against a list kept only in the leader's memory: each election then sent the whole list to every gateway.
 #[tokio::test]
 async fn a_new_leader_sends_only_the_changes_of_the_list() {
-    let (mut cluster, list) = cluster().await;
+    let (mut cluster, list) = start_cluster().await;
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
     let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
@@ -106,7 +106,7 @@
 
 #[tokio::test]
 async fn a_restarted_replica_has_the_list_again() {
-    let (mut cluster, list) = cluster().await;
+    let (mut cluster, list) = start_cluster().await;
     let follower = cluster.follower().await;
     cluster.machines[follower].kill().await;
     list.add(201);
--- a/crates/sablehaven-control/tests/membership.rs
+++ b/crates/sablehaven-control/tests/membership.rs
@@ -281,8 +281,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// For any reports of agents, suspicion removes at most its share of the servers, and none on the report of a single
-    /// agent.
+    /// For any reports of agents, suspicion removes at most its share of the servers, and no server on the reports of a
+    /// single agent.
     #[test]
     fn suspicion_removes_at_most_its_share(
         reports in prop::collection::vec((0_usize..5, 0_usize..12, 0_u8..4), 0..150),
@@ -296,7 +296,11 @@
                 ObservationKind::Reachable => agents.clear(),
                 _ => { agents.insert(agent); }
             }
-            apply_observations(&mut state, 1_000 + elapsed_ms as u64, vec![observation(agent, "palermo-a", server, 1, kind)]);
+            apply_observations(
+                &mut state,
+                1_000 + elapsed_ms as u64,
+                vec![observation(agent, "palermo-a", server, 1, kind)],
+            );
             let suspected: Vec<usize> = (0..12)
                 .filter(|server| state_of(&state, *server) == BackendState::Suspected)
                 .collect();
--- a/crates/sablehaven-control/tests/quotas.rs
+++ b/crates/sablehaven-control/tests/quotas.rs
@@ -19,7 +19,7 @@
 const RETRY_ROUNDING: Duration = Duration::from_millis(1);
 
 /// Starts replicas whose slack lets their parts accumulate tokens.
-async fn cluster(size: usize) -> Cluster {
+async fn start_cluster(size: usize) -> Cluster {
     let mut cluster = Cluster::prepare(size).await;
     for machine in &mut cluster.machines {
         machine.config.quotas = QuotaTolerance {
@@ -88,7 +88,7 @@
 
 #[tokio::test]
 async fn every_replica_grants_from_its_part_as_leader_or_follower() {
-    let cluster = cluster(3).await;
+    let cluster = start_cluster(3).await;
     put_routes(&cluster, 1, 100.0).await;
     for machine in &cluster.machines {
         let mut gateway = Gateway::connect(machine.internal()).await;
@@ -98,7 +98,7 @@
 
 #[tokio::test]
 async fn an_empty_part_refuses_with_the_time_until_the_next_token() {
-    let cluster = cluster(1).await;
+    let cluster = start_cluster(1).await;
     put_routes(&cluster, 1, 4.0).await;
     let leader = cluster.machines[0].internal();
     let mut gateway = Gateway::connect(leader).await;
@@ -114,7 +114,7 @@
 
 #[tokio::test]
 async fn a_replica_without_a_quorum_has_no_part() {
-    let mut cluster = cluster(3).await;
+    let mut cluster = start_cluster(3).await;
     put_routes(&cluster, 1, 100.0).await;
     let leader = cluster.leader().await;
     let mut gateway = Gateway::connect(cluster.machines[leader].internal()).await;
@@ -130,7 +130,7 @@
 
 #[tokio::test]
 async fn a_lower_quota_takes_effect_with_its_version() {
-    let cluster = cluster(1).await;
+    let cluster = start_cluster(1).await;
     put_routes(&cluster, 1, 10_000.0).await;
     let mut gateway = Gateway::connect(cluster.machines[0].internal()).await;
     wait_for_verdict("a token", &mut gateway, is_granted).await;
@@ -146,14 +146,14 @@
 
 #[tokio::test]
 async fn an_unknown_tenant_has_no_part() {
-    let cluster = cluster(1).await;
+    let cluster = start_cluster(1).await;
     let mut gateway = Gateway::connect(cluster.machines[0].internal()).await;
     assert_eq!(gateway.take_token(TENANT).await, TokenVerdict::NoPart);
 }
 
 #[tokio::test]
 async fn half_of_the_replicas_keep_their_parts_without_a_leader() {
-    let mut cluster = cluster(4).await;
+    let mut cluster = start_cluster(4).await;
     put_routes(&cluster, 1, 100.0).await;
     let repair_patience = Duration::from_millis(cluster.machines[0].config.repair_patience_ms);
     let leader = cluster.leader().await;
@@ -180,7 +180,7 @@
 
 #[tokio::test]
 async fn a_replica_keeps_its_part_for_a_while_after_losing_its_leader() {
-    let mut cluster = cluster(3).await;
+    let mut cluster = start_cluster(3).await;
     put_routes(&cluster, 1, 100.0).await;
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
@@ -191,7 +191,8 @@
             cluster.machines[machine].kill().await;
         }
     }
-    // Longer than an election timeout, after which it knows no leader, and shorter than the repair repair_patience.
+    // Longer than an election timeout, after which the replica knows no leader, but shorter than the
+    // repair patience.
     let config = &cluster.machines[leader].config;
     sleep(2 * Duration::from_millis(config.election_timeout_ms)).await;
     let verdict = gateway.take_token(TENANT).await;
--- a/crates/sablehaven-control/tests/relays.rs
+++ b/crates/sablehaven-control/tests/relays.rs
@@ -288,11 +288,11 @@
     let leader = cluster.leader().await;
     let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
     relay.watch(0).await;
-    let with_lease = Some(agent_status(1, 10));
-    let without_lease = Some(agent_status(0, 60_000));
+    let current_lease = Some(agent_status(1, 10));
+    let expired_lease = Some(agent_status(0, 60_000));
     let agents = [
-        ("ahead", with_lease),
-        ("lapsed", without_lease),
+        ("ahead", current_lease),
+        ("lapsed", expired_lease),
         ("late", Some(agent_status(0, 5))),
     ];
     relay.send(report(&agents)).await;
--- a/crates/sablehaven-control/tests/replacement.rs
+++ b/crates/sablehaven-control/tests/replacement.rs
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_replica_with_a_lost_disk_stays_unformed_until_it_is_added() {
+async fn a_replica_with_a_lost_disk_waits_until_it_is_added() {
     let mut cluster = Cluster::start(3).await;
     apply_commands(&cluster, 0, 3).await;
     let leader = cluster.leader().await;
--- a/crates/sablehaven-control/tests/replicas.rs
+++ b/crates/sablehaven-control/tests/replicas.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_second_change_is_refused_until_the_first_finishes() {
+fn a_second_change_cannot_start_until_the_first_finishes() {
     let mut state = formed_state();
     let kind = replace(ReplacementOrder::PromoteFirst);
     assert_eq!(
@@ -100,8 +100,8 @@
     assert_eq!(second, ReplicasOutcome::Started { change: 2 });
 }
 
-/// An operator whose response was lost resends the request. In the meantime the leader's view of whether the old replica
-/// is alive, and so the order of the steps, may have changed.
+/// An operator whose response was lost resends the request. In the meantime, the leader's view of whether the old
+/// replica is alive may have changed, and with it the order of the steps.
 #[test]
 fn a_resent_change_returns_the_change_in_progress() {
     let mut state = formed_state();
@@ -151,8 +151,8 @@
     assert_eq!(voters(&state), remaining);
     assert_eq!(remaining.len(), 2);
     assert_eq!(state.replicas().len(), 2);
-    let resent = begin(&mut state, ChangeKind::Add { replica: D });
-    assert_eq!(resent, ReplicasOutcome::Started { change: 3 });
+    let readded = begin(&mut state, ChangeKind::Add { replica: D });
+    assert_eq!(readded, ReplicasOutcome::Started { change: 3 });
     advance(&mut state, 3, ChangePhase::Learning);
     let cancelled = begin(&mut state, ChangeKind::Remove { replica: D });
     assert_eq!(cancelled, ReplicasOutcome::Started { change: 4 });
--- a/crates/sablehaven-control/tests/support/operator.rs
+++ b/crates/sablehaven-control/tests/support/operator.rs
@@ -1,4 +1,4 @@
-//! A client of the operator API that follows redirects to the leader and retries while there is none.
+//! A client of the operator interface that follows redirects to the leader and retries while there is none.
 
 use std::{
     net::SocketAddr,
@@ -64,7 +64,7 @@
     ) -> Reply {
         let started = Instant::now();
         let mut address = self.addresses[0];
-        let mut next_address = 0;
+        let mut address_index = 0;
         loop {
             let reply = self.call_once(method.clone(), address, path, body).await;
             match reply {
@@ -76,8 +76,8 @@
                     panic!("{path}: {status}: {}", error.error);
                 }
                 _ => {
-                    next_address += 1;
-                    address = self.addresses[next_address % self.addresses.len()];
+                    address_index += 1;
+                    address = self.addresses[address_index % self.addresses.len()];
                 }
             }
             assert!(
