--- a/crates/sablehaven-control/examples/control_bench/client.rs
+++ b/crates/sablehaven-control/examples/control_bench/client.rs
@@ -13,7 +13,7 @@
 };
 use tokio::time::timeout;
 
-/// Longest time to wait for a reply, so that the search for a leader soon tries the next replica.
+/// Longest time to wait for a reply while searching for the leader.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(0);
@@ -119,8 +119,8 @@
             for (client, reply) in replies {
                 assert!(is_granted(&reply), "{reply:?}");
                 let client = client as usize;
-                let latency = sent_at[client].elapsed().as_micros() as u64;
-                results.latency_us.record(latency).expect("a latency");
+                let latency_us = sent_at[client].elapsed().as_micros() as u64;
+                results.latency_us.record(latency_us).expect("a latency");
                 results.granted += 1;
                 outstanding -= 1;
                 idle_clients.push(client);
--- a/crates/sablehaven-control/examples/control_bench/cluster.rs
+++ b/crates/sablehaven-control/examples/control_bench/cluster.rs
@@ -71,7 +71,7 @@
         self.handle = Some(handle.expect("start replica"));
     }
 
-    pub fn internal(&self) -> SocketAddr {
+    pub fn internal_address(&self) -> SocketAddr {
         self.config.internal_listen
     }
 
@@ -97,7 +97,7 @@
         let mut forwarders = Vec::new();
         for from in 0..size {
             for to in (0..size).filter(|to| *to != from) {
-                let mut address = replicas[to].internal();
+                let mut address = replicas[to].internal_address();
                 if with_forwarders {
                     let forwarder = Forwarder::start(address).await;
                     address = forwarder.address;
@@ -127,7 +127,7 @@
                 if replica.handle.is_none() {
                     continue;
                 }
-                let Some(mut relay) = Relay::connect(replica.internal()).await else {
+                let Some(mut relay) = Relay::connect(replica.internal_address()).await else {
                     continue;
                 };
                 if relay.request_lease().await && relay.claim_once().await {
@@ -150,12 +150,14 @@
         }
     }
 
-    /// Time from `started` until a replica other than `old` grants a lease and a claim.
-    pub async fn wait_for_next_leader(&self, old: usize, started: Instant) -> Duration {
+    /// Time from `started` until a replica other than `former_leader` grants a lease and a claim.
+    pub async fn wait_for_next_leader(&self, former_leader: usize, started: Instant) -> Duration {
         loop {
-            let others = (0..self.replicas.len()).filter(|number| *number != old);
+            let others = (0..self.replicas.len()).filter(|number| *number != former_leader);
             for number in others {
-                let Some(mut relay) = Relay::connect(self.replicas[number].internal()).await else {
+                let Some(mut relay) =
+                    Relay::connect(self.replicas[number].internal_address()).await
+                else {
                     continue;
                 };
                 if relay.request_lease().await && relay.claim_once().await {
--- a/crates/sablehaven-control/examples/control_bench/recovery.rs
+++ b/crates/sablehaven-control/examples/control_bench/recovery.rs
@@ -57,7 +57,9 @@
 async fn fill(cluster: &Cluster, keys: u64) -> u64 {
     let replica = &cluster.replicas[0];
     let before = replica.metric("entries_applied_total");
-    let mut relay = Relay::connect(replica.internal()).await.expect("connect");
+    let mut relay = Relay::connect(replica.internal_address())
+        .await
+        .expect("connect");
     let mut granted = 0;
     while granted < keys {
         let end = Instant::now() + Duration::from_millis(200);
--- a/crates/sablehaven-control/examples/control_bench/throughput.rs
+++ b/crates/sablehaven-control/examples/control_bench/throughput.rs
@@ -69,7 +69,12 @@
         let disk_before = raw_disk::measure(folder, DISK_MEASUREMENT_DURATION);
         let before = counters(&cluster, leader);
         let started = Instant::now();
-        let results = run_claims(cluster.replicas[leader].internal(), clients, duration).await;
+        let results = run_claims(
+            cluster.replicas[leader].internal_address(),
+            clients,
+            duration,
+        )
+        .await;
         let seconds = started.elapsed().as_secs_f64();
         let after = counters(&cluster, leader);
         let disk_after = raw_disk::measure(folder, DISK_MEASUREMENT_DURATION);
@@ -81,8 +86,8 @@
             [0, 1, 2].map(|counter| (after[counter] - before[counter]) as f64);
         println!(
             "{clients:>8} {per_second:>9.0} {:>8.2} {:>8.2} {:>10.0} {:>10.0} {:>9.3} {:>9.0} {raw:>8.0} {growing:>8.0} {:>7.2}",
-            milliseconds(&results.latency_us, 0.5),
-            milliseconds(&results.latency_us, 0.99),
+            quantile_ms(&results.latency_us, 0.5),
+            quantile_ms(&results.latency_us, 0.99),
             entries / seconds,
             syncs / seconds,
             syncs / granted,
@@ -99,7 +104,7 @@
     ["entries_applied_total", "log_syncs", "log_bytes"].map(|name| replica.metric(name))
 }
 
-fn milliseconds(latency_us: &Histogram<u64>, quantile: f64) -> f64 {
+fn quantile_ms(latency_us: &Histogram<u64>, quantile: f64) -> f64 {
     latency_us.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
@@ -107,10 +112,10 @@
     let end = Instant::now() + duration;
     let relays = clients.min(RELAYS);
     let tasks = (0..relays).map(|number| {
-        let share = clients / relays + usize::from(number < clients % relays);
+        let relay_clients = clients / relays + usize::from(number < clients % relays);
         tokio::spawn(async move {
             let mut relay = Relay::connect(address).await.expect("connect");
-            relay.claim_until(share, end).await
+            relay.claim_until(relay_clients, end).await
         })
     });
     let tasks: Vec<_> = tasks.collect();
@@ -153,8 +158,8 @@
             "{clients:>8} {:>10.0} {:>10.0} {:>9.2} {:>9.2} {:>9.3}",
             committed as f64 / seconds,
             accepted as f64 / seconds,
-            milliseconds(&latency_us, 0.5),
-            milliseconds(&latency_us, 0.99),
+            quantile_ms(&latency_us, 0.5),
+            quantile_ms(&latency_us, 0.99),
             syncs / committed as f64,
         );
         cluster.stop().await;
@@ -213,8 +218,8 @@
             .await
             .expect("response");
         let outcome: ApplyOutcome = response.json().await.expect("an outcome");
-        let latency = started.elapsed().as_micros() as u64;
-        latency_us.record(latency).expect("a latency");
+        let sample_us = started.elapsed().as_micros() as u64;
+        latency_us.record(sample_us).expect("a latency");
         committed += 1;
         match outcome {
             ApplyOutcome::Accepted {
--- a/crates/sablehaven-control/tests/cluster.rs
+++ b/crates/sablehaven-control/tests/cluster.rs
@@ -15,7 +15,7 @@
     let mut members = None;
     for machine in &cluster.machines {
         let status = wait_for("version 1 on every replica", || async {
-            let status = operator.try_status(machine.http()).await?;
+            let status = operator.try_status(machine.http_address()).await?;
             (status.configuration_version == 1).then_some(status)
         })
         .await;
@@ -49,7 +49,7 @@
     assert_eq!(outcome, ApplyOutcome::Accepted { version: 6 });
     cluster.machines[leader].start().await;
     wait_for("the old leader to catch up", || async {
-        let address = cluster.machines[leader].http();
+        let address = cluster.machines[leader].http_address();
         let status = operator.try_status(address).await?;
         (status.configuration_version == 6).then_some(())
     })
@@ -187,7 +187,7 @@
     let outcome = cluster.operator().apply(&command("first", 0)).await;
     assert_eq!(outcome, ApplyOutcome::Accepted { version: 1 });
     let leader = cluster.leader().await;
-    let url = format!("http://{}/metrics", cluster.machines[leader].http());
+    let url = format!("http://{}/metrics", cluster.machines[leader].http_address());
     wait_for("the leader's gauges", || async {
         let page = reqwest::get(&url).await.ok()?.text().await.ok()?;
         let gauge = |name: &str| -> Option<u64> {
--- a/crates/sablehaven-control/tests/listing.rs
+++ b/crates/sablehaven-control/tests/listing.rs
@@ -57,7 +57,7 @@
 async fn a_gateway_gets_the_list_from_a_follower() {
     let (cluster, list) = start_cluster().await;
     let follower = cluster.follower().await;
-    let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
+    let mut gateway = Gateway::connect(cluster.machines[follower].internal_address()).await;
     let first = gateway.wait_for_listing(ListingNumber::default()).await;
     let update = gateway.fetch_listing(ListingNumber::default()).await;
     let ListingUpdate::Whole(whole) = update else {
@@ -79,13 +79,14 @@
     assert_eq!(next.servers.len(), 201);
 }
 
-/// Guards against a list kept only in the leader's memory: each election then sent the whole list to every gateway.
+/// Guards against keeping the list only in the leader's memory: each election then caused the whole list to be sent to
+/// every gateway.
 #[tokio::test]
 async fn a_new_leader_sends_only_the_changes_of_the_list() {
     let (mut cluster, list) = start_cluster().await;
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
-    let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
+    let mut gateway = Gateway::connect(cluster.machines[follower].internal_address()).await;
     let versions = gateway.wait_for_listing(ListingNumber::default()).await;
     let held = versions.listing;
     cluster.machines[leader].kill().await;
@@ -111,7 +112,7 @@
     cluster.machines[follower].kill().await;
     list.add(201);
     cluster.machines[follower].start().await;
-    let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
+    let mut gateway = Gateway::connect(cluster.machines[follower].internal_address()).await;
     gateway.wait_for_listing(ListingNumber::default()).await;
     let update = gateway.fetch_listing(ListingNumber::default()).await;
     let ListingUpdate::Whole(whole) = update else {
--- a/crates/sablehaven-control/tests/membership.rs
+++ b/crates/sablehaven-control/tests/membership.rs
@@ -23,7 +23,7 @@
     BackendId(format!("server-{number:02}"))
 }
 
-fn machine(number: usize, state: BackendState, incarnation: u64) -> BackendRecord {
+fn backend_record(number: usize, state: BackendState, incarnation: u64) -> BackendRecord {
     BackendRecord {
         id: backend_id(number),
         service: SERVICE.into(),
@@ -41,7 +41,7 @@
     let mut state = MembershipState::default();
     state.apply_platform(PlatformUpdate {
         machines: (0..servers)
-            .map(|number| machine(number, BackendState::Live, 1))
+            .map(|number| backend_record(number, BackendState::Live, 1))
             .collect(),
         removed: Default::default(),
     });
@@ -171,7 +171,7 @@
     let mut state = state_with_live_servers(2);
     let mut absences = PlatformAbsences::default();
     let list = PlatformList {
-        machines: vec![machine(0, BackendState::Leaving, 1)],
+        machines: vec![backend_record(0, BackendState::Leaving, 1)],
     };
     for _ in 0..2 {
         let update = absences.compare(&list, &state);
@@ -235,7 +235,7 @@
 #[test]
 fn an_observation_batch_about_a_whole_zone_is_one_update() {
     let mut state = SharedState::default();
-    let machines = (0..30).map(|number| machine(number, BackendState::Live, 1));
+    let machines = (0..30).map(|number| backend_record(number, BackendState::Live, 1));
     let update = PlatformUpdate {
         machines: machines.collect(),
         removed: Default::default(),
--- a/crates/sablehaven-control/tests/quotas.rs
+++ b/crates/sablehaven-control/tests/quotas.rs
@@ -91,7 +91,7 @@
     let cluster = start_cluster(3).await;
     put_routes(&cluster, 1, 100.0).await;
     for machine in &cluster.machines {
-        let mut gateway = Gateway::connect(machine.internal()).await;
+        let mut gateway = Gateway::connect(machine.internal_address()).await;
         wait_for_verdict("a token", &mut gateway, is_granted).await;
     }
 }
@@ -100,7 +100,7 @@
 async fn an_empty_part_refuses_with_the_time_until_the_next_token() {
     let cluster = start_cluster(1).await;
     put_routes(&cluster, 1, 4.0).await;
-    let leader = cluster.machines[0].internal();
+    let leader = cluster.machines[0].internal_address();
     let mut gateway = Gateway::connect(leader).await;
     let verdict = wait_for_verdict("an empty part", &mut gateway, is_over_quota).await;
     let TokenVerdict::OverQuota { retry_after_ms } = verdict else {
@@ -117,7 +117,7 @@
     let mut cluster = start_cluster(3).await;
     put_routes(&cluster, 1, 100.0).await;
     let leader = cluster.leader().await;
-    let mut gateway = Gateway::connect(cluster.machines[leader].internal()).await;
+    let mut gateway = Gateway::connect(cluster.machines[leader].internal_address()).await;
     wait_for_verdict("a token", &mut gateway, is_granted).await;
     for machine in 0..3 {
         if machine != leader {
@@ -132,7 +132,7 @@
 async fn a_lower_quota_takes_effect_with_its_version() {
     let cluster = start_cluster(1).await;
     put_routes(&cluster, 1, 10_000.0).await;
-    let mut gateway = Gateway::connect(cluster.machines[0].internal()).await;
+    let mut gateway = Gateway::connect(cluster.machines[0].internal_address()).await;
     wait_for_verdict("a token", &mut gateway, is_granted).await;
     put_routes(&cluster, 2, 0.01).await;
     // Tokens that the part already held may still be granted. Its capacity is half of the slack.
@@ -147,7 +147,7 @@
 #[tokio::test]
 async fn an_unknown_tenant_has_no_part() {
     let cluster = start_cluster(1).await;
-    let mut gateway = Gateway::connect(cluster.machines[0].internal()).await;
+    let mut gateway = Gateway::connect(cluster.machines[0].internal_address()).await;
     assert_eq!(gateway.take_token(TENANT).await, TokenVerdict::NoPart);
 }
 
@@ -159,7 +159,7 @@
     let leader = cluster.leader().await;
     let survivors = [(leader + 2) % 4, (leader + 3) % 4];
     for machine in survivors {
-        let mut gateway = Gateway::connect(cluster.machines[machine].internal()).await;
+        let mut gateway = Gateway::connect(cluster.machines[machine].internal_address()).await;
         wait_for_verdict("a token", &mut gateway, is_granted).await;
     }
     for machine in [leader, (leader + 1) % 4] {
@@ -168,12 +168,12 @@
     let killed_at = Instant::now();
     sleep(2 * repair_patience).await;
     for machine in survivors {
-        let mut gateway = Gateway::connect(cluster.machines[machine].internal()).await;
+        let mut gateway = Gateway::connect(cluster.machines[machine].internal_address()).await;
         wait_for_verdict("a token", &mut gateway, is_granted).await;
     }
     assert!(killed_at.elapsed() >= 2 * repair_patience);
     cluster.machines[survivors[0]].kill().await;
-    let mut gateway = Gateway::connect(cluster.machines[survivors[1]].internal()).await;
+    let mut gateway = Gateway::connect(cluster.machines[survivors[1]].internal_address()).await;
     let has_no_part = |verdict| verdict == TokenVerdict::NoPart;
     wait_for_verdict("no part", &mut gateway, has_no_part).await;
 }
@@ -184,7 +184,7 @@
     put_routes(&cluster, 1, 100.0).await;
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
-    let mut gateway = Gateway::connect(cluster.machines[follower].internal()).await;
+    let mut gateway = Gateway::connect(cluster.machines[follower].internal_address()).await;
     wait_for_verdict("a token", &mut gateway, is_granted).await;
     for machine in 0..3 {
         if machine != follower {
--- a/crates/sablehaven-control/tests/relays.rs
+++ b/crates/sablehaven-control/tests/relays.rs
@@ -66,7 +66,7 @@
     operator.apply(&command("c0", 0)).await;
     // Any replica serves updates.
     let follower = cluster.follower().await;
-    let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[follower].internal_address()).await;
     relay.watch(0).await;
     let full = relay.receive_matching(as_update).await;
     assert!(full.full && full.schema.is_some());
@@ -78,7 +78,7 @@
     assert_eq!(delta.configuration_version, 2);
     assert!(delta.services.contains_key(&SERVICE.into()));
     // A relay that is up to date with this replica, or ahead of it, gets no update.
-    let mut ahead = Relay::connect(cluster.machines[follower].internal()).await;
+    let mut ahead = Relay::connect(cluster.machines[follower].internal_address()).await;
     ahead.watch(delta.revision + 10).await;
     let reply = ahead.receive().await;
     assert!(
@@ -95,14 +95,14 @@
     operator.apply(&command("c0", 0)).await;
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     let grant = relay.request_lease(41).await.expect("a lease");
     assert_eq!((grant.nonce, grant.configuration_version), (41, 1));
     assert!(grant.revision > 0 && grant.duration_ms == 1_500);
-    let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[follower].internal_address()).await;
     relay.send(RelayToControl::RequestLease { nonce: 42 }).await;
     let reply = relay.receive().await;
-    let leader_address = Some(cluster.machines[leader].internal());
+    let leader_address = Some(cluster.machines[leader].internal_address());
     assert_eq!(
         reply,
         Some(ControlToRelay::NotLeader {
@@ -118,7 +118,7 @@
     for from in 0..3 {
         let mut peers = Vec::new();
         for to in (0..3).filter(|to| *to != from) {
-            let forwarder = Forwarder::start(cluster.machines[to].internal()).await;
+            let forwarder = Forwarder::start(cluster.machines[to].internal_address()).await;
             peers.push(forwarder.address);
             forwarders.insert((from, to), forwarder);
         }
@@ -135,7 +135,7 @@
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     relay.request_lease(1).await.expect("a lease");
     let touches_leader = |(from, to): &(usize, usize)| *from == leader || *to == leader;
     for (_, forwarder) in forwarders.iter().filter(|(pair, _)| touches_leader(pair)) {
@@ -145,13 +145,15 @@
     // lease.
     assert_eq!(relay.request_lease(2).await, None);
     let status_before = operator
-        .try_status(cluster.machines[leader].http())
+        .try_status(cluster.machines[leader].http_address())
         .await
         .expect("a status");
     let next = wait_for("another leader", || async {
         let others = (0..3).filter(|number| *number != leader);
         for number in others {
-            let status = operator.try_status(cluster.machines[number].http()).await?;
+            let status = operator
+                .try_status(cluster.machines[number].http_address())
+                .await?;
             if status.leader == Some(status.replica) {
                 return Some(number);
             }
@@ -159,11 +161,11 @@
         None
     })
     .await;
-    let majority = support::operator::Operator::new(vec![cluster.machines[next].http()]);
+    let majority = support::operator::Operator::new(vec![cluster.machines[next].http_address()]);
     let outcome = majority.apply(&command("c1", 1)).await;
     assert_eq!(outcome, ApplyOutcome::Accepted { version: 2 });
     let status_after = operator
-        .try_status(cluster.machines[leader].http())
+        .try_status(cluster.machines[leader].http_address())
         .await
         .expect("a status");
     assert_eq!(
@@ -174,7 +176,9 @@
         forwarder.unblock();
     }
     wait_for("the partitioned replica to catch up", || async {
-        let status = operator.try_status(cluster.machines[leader].http()).await?;
+        let status = operator
+            .try_status(cluster.machines[leader].http_address())
+            .await?;
         (status.configuration_version == 2).then_some(())
     })
     .await;
@@ -184,7 +188,7 @@
 async fn a_claim_is_granted_only_once_across_a_leader_change() {
     let mut cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     let keys: Vec<LedgerKey> = (0..20).map(|number| key(&format!("r{number}"))).collect();
     for (number, key) in keys.iter().enumerate() {
         let reply = relay.call_ledger(claim(key, number as u64)).await;
@@ -198,7 +202,7 @@
     assert_eq!(relay.call_ledger(settled).await, LedgerReply::Recorded);
     cluster.machines[leader].kill().await;
     let next = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[next].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[next].internal_address()).await;
     for (number, key) in keys.iter().enumerate() {
         let other = relay.call_ledger(claim(key, 100 + number as u64)).await;
         let expected = match number {
@@ -218,7 +222,7 @@
 async fn a_follower_answers_ledger_calls_at_once_with_a_retry_time() {
     let cluster = Cluster::start(3).await;
     let follower = cluster.follower().await;
-    let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[follower].internal_address()).await;
     let reply = relay.call_ledger(claim(&key("r"), 1)).await;
     assert!(
         matches!(reply, LedgerReply::Unavailable { .. }),
@@ -230,7 +234,7 @@
 async fn a_planned_stop_answers_pending_ledger_calls_and_sends_go_away() {
     let mut cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     relay.watch(0).await;
     relay.request_lease(1).await.expect("a lease");
     let mut calls = Vec::new();
@@ -260,7 +264,7 @@
     let operator = cluster.operator();
     let mut leaders = 0;
     for machine in &cluster.machines {
-        let status = operator.try_status(machine.http()).await;
+        let status = operator.try_status(machine.http_address()).await;
         let is_leader = status.is_some_and(|status| status.leader == Some(status.replica));
         leaders += usize::from(is_leader);
     }
@@ -286,7 +290,7 @@
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     relay.watch(0).await;
     let current_lease = Some(agent_status(1, 10));
     let expired_lease = Some(agent_status(0, 60_000));
@@ -297,7 +301,9 @@
     ];
     relay.send(report(&agents)).await;
     wait_for("the report", || async {
-        let status: ControlStatus = operator.try_status(cluster.machines[leader].http()).await?;
+        let status: ControlStatus = operator
+            .try_status(cluster.machines[leader].http_address())
+            .await?;
         (status.agents.len() == 3).then_some(())
     })
     .await;
@@ -326,13 +332,15 @@
     let cluster = Cluster::start(1).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
-    let mut relay = Relay::connect(cluster.machines[0].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[0].internal_address()).await;
     relay.watch(0).await;
     relay
         .send(report(&[("gone", Some(agent_status(0, 0)))]))
         .await;
     wait_for("the report", || async {
-        let status = operator.try_status(cluster.machines[0].http()).await?;
+        let status = operator
+            .try_status(cluster.machines[0].http_address())
+            .await?;
         (status.agents.len() == 1).then_some(())
     })
     .await;
@@ -345,7 +353,7 @@
     assert!(reply.in_force, "{reply:?}");
 }
 
-fn machine(number: u16, state: BackendState) -> BackendRecord {
+fn backend_record(number: u16, state: BackendState) -> BackendRecord {
     BackendRecord {
         id: format!("server-{number}").into(),
         service: SERVICE.into(),
@@ -361,7 +369,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn the_platform_list_and_observations_reach_relays() {
-    let machines: Vec<BackendRecord> = (1..5).map(|n| machine(n, BackendState::Live)).collect();
+    let machines: Vec<BackendRecord> = (1..5)
+        .map(|number| backend_record(number, BackendState::Live))
+        .collect();
     let platform = support::platform::Platform::start(machines).await;
     let mut cluster = Cluster::prepare(3).await;
     for machine in &mut cluster.machines {
@@ -369,7 +379,7 @@
     }
     cluster.start_all().await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     relay.watch(0).await;
     relay.send(report(&[("a", Some(agent_status(0, 0)))])).await;
     let listed = relay.receive_matching(as_update).await;
@@ -383,17 +393,17 @@
     let observations = vec![(AgentId::from("a"), draining)];
     relay.send(RelayToControl::Observe { observations }).await;
     let changed = |message| as_update(message).filter(|update| !update.backends.is_empty());
-    let drained = relay.receive_matching(changed).await;
-    let record = drained.backends[&"server-2".into()]
+    let draining_update = relay.receive_matching(changed).await;
+    let record = draining_update.backends[&"server-2".into()]
         .as_ref()
         .expect("a record");
     assert_eq!(record.state, BackendState::Leaving);
     platform.set_machines(vec![
-        machine(1, BackendState::Leaving),
-        machine(2, BackendState::Live),
+        backend_record(1, BackendState::Leaving),
+        backend_record(2, BackendState::Live),
     ]);
-    let left = relay.receive_matching(changed).await;
-    let record = left.backends[&"server-1".into()]
+    let leaving = relay.receive_matching(changed).await;
+    let record = leaving.backends[&"server-1".into()]
         .as_ref()
         .expect("a record");
     assert_eq!(record.state, BackendState::Leaving);
--- a/crates/sablehaven-control/tests/replacement.rs
+++ b/crates/sablehaven-control/tests/replacement.rs
@@ -28,7 +28,9 @@
     let leader = cluster.leader().await;
     let operator = cluster.operator();
     wait_for("the membership change to finish", || async {
-        let status = operator.try_status(cluster.machines[leader].http()).await?;
+        let status = operator
+            .try_status(cluster.machines[leader].http_address())
+            .await?;
         let groups_done = status
             .groups
             .iter()
@@ -55,7 +57,7 @@
     apply_commands(&cluster, 3, 2).await;
     let operator = cluster.operator();
     let new_status = operator
-        .try_status(cluster.machines[leader].http())
+        .try_status(cluster.machines[leader].http_address())
         .await
         .expect("a status");
     assert!(!new_status.is_formed);
@@ -66,7 +68,7 @@
             .all(|group| group.voters.is_empty() && group.last_index == 0)
     );
     let leader_status = operator
-        .try_status(cluster.machines[next].http())
+        .try_status(cluster.machines[next].http_address())
         .await
         .expect("a status");
     assert!(
@@ -74,7 +76,7 @@
             && !leader_status.groups[0].voters.contains(&new)
     );
 
-    let address = cluster.machines[leader].internal();
+    let address = cluster.machines[leader].internal_address();
     let outcome = operator
         .change(paths::REPLACE, &ReplaceReplica { old, address })
         .await;
@@ -112,7 +114,7 @@
     let follower = cluster.follower().await;
     let old = cluster.machines[follower].replica();
     // The replica of the fourth machine is not running yet, so nothing listens at its address.
-    let address = cluster.machines[fourth].internal();
+    let address = cluster.machines[fourth].internal_address();
     let outcome = operator
         .change(paths::REPLACE, &ReplaceReplica { old, address })
         .await;
@@ -129,7 +131,7 @@
         "{outcome:?}"
     );
     let second = AddReplica {
-        address: cluster.machines[fifth].internal(),
+        address: cluster.machines[fifth].internal_address(),
     };
     // The first change is either still in progress or already finished; two never run at once.
     let outcome = operator.change(paths::ADD, &second).await;
@@ -154,7 +156,9 @@
         "{outcome:?}"
     );
     wait_for("the former leader to be removed", || async {
-        let status = operator.try_status(cluster.machines[fifth].http()).await?;
+        let status = operator
+            .try_status(cluster.machines[fifth].http_address())
+            .await?;
         let is_removed = status
             .groups
             .iter()
@@ -176,7 +180,7 @@
     let follower = cluster.follower().await;
     let old = cluster.machines[follower].replica();
     let new = cluster.machines[fourth].replica();
-    let address = cluster.machines[fourth].internal();
+    let address = cluster.machines[fourth].internal_address();
     let add = operator.change(paths::ADD, &AddReplica { address }).await;
     assert!(matches!(add, ReplicasOutcome::Started { .. }), "{add:?}");
     cluster.machines[fourth].kill().await;
@@ -189,7 +193,7 @@
     assert!(matches!(outcome.await, ReplicasOutcome::Started { .. }));
     wait_for_change_to_finish(&cluster, 3).await;
     let status = operator
-        .try_status(cluster.machines[follower].http())
+        .try_status(cluster.machines[follower].http_address())
         .await
         .expect("a status");
     assert!(status.groups[0].voters.contains(&old));
@@ -211,7 +215,7 @@
         fingerprint: 1,
     };
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     assert_eq!(
         relay.call_ledger(claim(1)).await,
         LedgerReply::Claim(ClaimAnswer::Granted)
@@ -221,7 +225,7 @@
         cluster.machines[number].kill().await;
         cluster.machines[number].lose_disk();
         cluster.machines[number].start().await;
-        let address = cluster.machines[number].internal();
+        let address = cluster.machines[number].internal_address();
         let operator = cluster.operator();
         cluster.leader().await;
         let outcome = operator
@@ -234,7 +238,7 @@
         wait_for_change_to_finish(&cluster, 3).await;
     }
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     assert_eq!(
         relay.call_ledger(claim(2)).await,
         LedgerReply::Claim(ClaimAnswer::Held)
@@ -255,7 +259,7 @@
     cluster.machines[0].lose_disk();
     cluster.machines[0].start().await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     let claim = LedgerRequest::Claim {
         key,
         claim: ClaimId(1),
@@ -274,7 +278,7 @@
     let operator = cluster.operator();
     wait_for("the survivor to apply", || async {
         let status = operator
-            .try_status(cluster.machines[survivor].http())
+            .try_status(cluster.machines[survivor].http_address())
             .await?;
         (status.configuration_version == 2).then_some(())
     })
@@ -282,7 +286,7 @@
     for number in (0..3).filter(|number| *number != survivor) {
         cluster.machines[number].kill().await;
     }
-    let address = cluster.machines[survivor].http();
+    let address = cluster.machines[survivor].http_address();
     let confirmed = operator
         .call_once::<Configuration>(Method::GET, address, paths::CONFIGURATION, None::<&()>)
         .await;
--- a/crates/sablehaven-control/tests/support/gateway.rs
+++ b/crates/sablehaven-control/tests/support/gateway.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Waits until the replica announces a version of the server list newer than `held`, and returns its
-    /// versions.
+    /// Waits until the replica announces a version of the server list newer than `held`, and returns all
+    /// the versions that it announced.
     pub async fn wait_for_listing(&mut self, held: ListingNumber) -> StateVersions {
         self.receive_matching(|message| match message {
             ControlToGateway::Versions(versions) if versions.listing > held => Some(versions),
--- a/crates/sablehaven-control/tests/support/mod.rs
+++ b/crates/sablehaven-control/tests/support/mod.rs
@@ -151,11 +151,11 @@
         self.handle.as_ref().expect("a running replica").replica()
     }
 
-    pub fn http(&self) -> SocketAddr {
+    pub fn http_address(&self) -> SocketAddr {
         self.config.http_listen
     }
 
-    pub fn internal(&self) -> SocketAddr {
+    pub fn internal_address(&self) -> SocketAddr {
         self.config.internal_listen
     }
 }
@@ -169,10 +169,10 @@
         for number in 0..size {
             machines.push(Machine::new(folder.path().join(format!("machine-{number}"))).await);
         }
-        let addresses: Vec<SocketAddr> = machines.iter().map(Machine::internal).collect();
+        let addresses: Vec<SocketAddr> = machines.iter().map(Machine::internal_address).collect();
         for machine in &mut machines {
             machine.config.bootstrap = true;
-            let own = machine.internal();
+            let own = machine.internal_address();
             let others = addresses.iter().filter(|address| **address != own);
             machine.config.peers = others.copied().collect();
         }
@@ -200,13 +200,17 @@
         let number = self.machines.len();
         let folder = self.folder.path().join(format!("machine-{number}"));
         let mut machine = Machine::new(folder).await;
-        machine.config.peers = self.machines.iter().map(Machine::internal).collect();
+        machine.config.peers = self
+            .machines
+            .iter()
+            .map(Machine::internal_address)
+            .collect();
         self.machines.push(machine);
         number
     }
 
     pub fn operator(&self) -> operator::Operator {
-        operator::Operator::new(self.machines.iter().map(Machine::http).collect())
+        operator::Operator::new(self.machines.iter().map(Machine::http_address).collect())
     }
 
     /// Waits for a machine whose replica leads every group and has recorded the members.
@@ -217,7 +221,7 @@
                 let Some(handle) = &machine.handle else {
                     continue;
                 };
-                let Some(status) = operator.try_status(machine.http()).await else {
+                let Some(status) = operator.try_status(machine.http_address()).await else {
                     continue;
                 };
                 let leads_every_group = status
