--- a/crates/sablehaven-control/examples/control_bench/cluster.rs
+++ b/crates/sablehaven-control/examples/control_bench/cluster.rs
@@ -1,4 +1,4 @@
-//! Control replicas in this process.
+//! A cluster of control replicas in this process.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -12,7 +12,7 @@
 use sablehaven_telemetry::Telemetry;
 use tokio::net::TcpListener;
 
-use crate::{client::Relay, cut::Forwarder};
+use crate::{client::Relay, forwarder::Forwarder};
 
 pub struct Replica {
     pub config: Config,
@@ -23,7 +23,8 @@
 
 pub struct Cluster {
     pub replicas: Vec<Replica>,
-    /// Between each pair of replicas, by sender and receiver; empty without forwarders.
+    /// The forwarder from each replica to each other one, with the numbers of both; empty if the
+    /// replicas connect directly.
     pub forwarders: Vec<(usize, usize, Forwarder)>,
 }
 
@@ -70,20 +71,20 @@
         self.handle = Some(handle.expect("start replica"));
     }
 
-    pub fn internal(&self) -> SocketAddr {
+    pub fn internal_address(&self) -> SocketAddr {
         self.config.internal_listen
     }
 
-    /// A metric of this replica, by its name without the common prefix.
+    /// Value of a metric of this replica, by its name without the common prefix; 0 if there is none.
     pub fn metric(&self, name: &str) -> u64 {
         let text = self.telemetry.encode_metrics();
-        let line = text.lines().find_map(|line| {
+        let value = text.lines().find_map(|line| {
             let value = line
                 .strip_prefix("sablehaven_control_")?
                 .strip_prefix(name)?;
             value.trim().parse().ok()
         });
-        line.unwrap_or(0)
+        value.unwrap_or(0)
     }
 }
 
@@ -96,7 +97,7 @@
         let mut forwarders = Vec::new();
         for from in 0..size {
             for to in (0..size).filter(|to| *to != from) {
-                let mut address = replicas[to].internal();
+                let mut address = replicas[to].internal_address();
                 if with_forwarders {
                     let forwarder = Forwarder::start(address).await;
                     address = forwarder.address;
@@ -119,17 +120,17 @@
         }
     }
 
-    /// The replica that proves its leadership, out of those that run.
+    /// Waits until a running replica grants a lease and a claim, and returns it.
     pub async fn leader(&self) -> usize {
         loop {
             for (number, replica) in self.replicas.iter().enumerate() {
                 if replica.handle.is_none() {
                     continue;
                 }
-                let Some(mut relay) = Relay::connect(replica.internal()).await else {
+                let Some(mut relay) = Relay::connect(replica.internal_address()).await else {
                     continue;
                 };
-                if relay.lease().await && relay.claim_once().await {
+                if relay.request_lease().await && relay.claim_once().await {
                     return number;
                 }
             }
@@ -137,8 +138,9 @@
         }
     }
 
-    /// The leader once it has stayed one for a while, so that the ledger groups follow it.
-    pub async fn settled_leader(&self) -> usize {
+    /// Waits until the same replica is the leader before and after a pause, so that the leadership of the
+    /// ledger groups has followed it.
+    pub async fn stable_leader(&self) -> usize {
         loop {
             let leader = self.leader().await;
             tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -148,15 +150,17 @@
         }
     }
 
-    /// Time until another replica than `old` proves its leadership and grants a claim.
-    pub async fn time_without_leader(&self, old: usize, started: Instant) -> Duration {
+    /// Time from `started` until a replica other than `former_leader` grants a lease and a claim.
+    pub async fn wait_for_next_leader(&self, former_leader: usize, started: Instant) -> Duration {
         loop {
-            let others = (0..self.replicas.len()).filter(|number| *number != old);
+            let others = (0..self.replicas.len()).filter(|number| *number != former_leader);
             for number in others {
-                let Some(mut relay) = Relay::connect(self.replicas[number].internal()).await else {
+                let Some(mut relay) =
+                    Relay::connect(self.replicas[number].internal_address()).await
+                else {
                     continue;
                 };
-                if relay.lease().await && relay.claim_once().await {
+                if relay.request_lease().await && relay.claim_once().await {
                     return started.elapsed();
                 }
             }
--- a/crates/sablehaven-control/tests/relays.rs
+++ b/crates/sablehaven-control/tests/relays.rs
@@ -1,4 +1,5 @@
-//! The relays' link: updates, leases, ledger calls, reports, observations, the platform's list.
+//! Relays' connections to control replicas: updates, leases, ledger calls, agent reports, observations and the
+//! platform's list.
 
 mod support;
 
@@ -10,9 +11,9 @@
     LedgerReply, LedgerRequest, Observation, ObservationKind, Placement, RecordedOutcome,
 };
 use sablehaven_wire::{AgentStatus, ControlToRelay, RelayToControl, StateUpdate};
-use support::{Cluster, SERVICE, command, cut::Forwarder, relay::Relay, wait_for};
+use support::{Cluster, SERVICE, command, forwarder::Forwarder, relay::Relay, wait_for};
 
-fn update(message: ControlToRelay) -> Option<StateUpdate> {
+fn as_update(message: ControlToRelay) -> Option<StateUpdate> {
     match message {
         ControlToRelay::Update(update) => Some(update),
         _ => None,
@@ -21,7 +22,9 @@
 
 fn key(request: &str) -> LedgerKey {
     let now = std::time::SystemTime::now();
-    let now = now.duration_since(std::time::UNIX_EPOCH).expect("a clock");
+    let now = now
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("a clock after the Unix epoch");
     LedgerKey {
         caller: "pantry".into(),
         request: request.into(),
@@ -57,60 +60,65 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_relay_gets_the_whole_state_then_deltas_and_is_not_taken_back() {
+async fn a_relay_gets_the_full_state_then_deltas_and_never_an_earlier_revision() {
     let cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
     // Any replica serves updates.
     let follower = cluster.follower().await;
-    let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[follower].internal_address()).await;
     relay.watch(0).await;
-    let whole = relay.receive_some(update).await;
-    assert!(whole.full && whole.schema.is_some());
-    assert_eq!(whole.configuration_version, 1);
+    let full = relay.receive_matching(as_update).await;
+    assert!(full.full && full.schema.is_some());
+    assert_eq!(full.configuration_version, 1);
     operator.apply(&command("c1", 1)).await;
-    let delta = relay.receive_some(update).await;
+    let delta = relay.receive_matching(as_update).await;
     assert!(!delta.full && delta.schema.is_none(), "{delta:?}");
-    assert_eq!(delta.from_revision, whole.revision);
+    assert_eq!(delta.from_revision, full.revision);
     assert_eq!(delta.configuration_version, 2);
     assert!(delta.services.contains_key(&SERVICE.into()));
-    // A relay that is there already, or ahead of this replica, gets nothing.
-    let mut ahead = Relay::connect(cluster.machines[follower].internal()).await;
+    // A relay that is up to date with this replica, or ahead of it, gets no update.
+    let mut ahead = Relay::connect(cluster.machines[follower].internal_address()).await;
     ahead.watch(delta.revision + 10).await;
-    let told = ahead.receive().await;
+    let reply = ahead.receive().await;
     assert!(
-        matches!(told, Some(ControlToRelay::NotLeader { .. })),
-        "{told:?}"
+        matches!(reply, Some(ControlToRelay::NotLeader { .. })),
+        "{reply:?}"
     );
     assert!(ahead.is_silent_for(Duration::from_millis(300)).await);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn only_the_leader_proves_and_others_name_it() {
+async fn only_the_leader_grants_leases_and_followers_name_it() {
     let cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
     let leader = cluster.leader().await;
     let follower = cluster.follower().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
-    let grant = relay.lease(41).await.expect("a lease");
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
+    let grant = relay.request_lease(41).await.expect("a lease");
     assert_eq!((grant.nonce, grant.configuration_version), (41, 1));
     assert!(grant.revision > 0 && grant.duration_ms == 1_500);
-    let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[follower].internal_address()).await;
     relay.send(RelayToControl::RequestLease { nonce: 42 }).await;
-    let told = relay.receive().await;
-    let named = Some(cluster.machines[leader].internal());
-    assert_eq!(told, Some(ControlToRelay::NotLeader { leader: named }));
+    let reply = relay.receive().await;
+    let leader_address = Some(cluster.machines[leader].internal_address());
+    assert_eq!(
+        reply,
+        Some(ControlToRelay::NotLeader {
+            leader: leader_address
+        })
+    );
 }
 
-/// Three replicas whose connections to each other pass through forwarders, one for each direction.
-async fn cluster_behind_forwarders() -> (Cluster, BTreeMap<(usize, usize), Forwarder>) {
+/// Starts three replicas connected to each other through forwarders, one per direction.
+async fn start_cluster_behind_forwarders() -> (Cluster, BTreeMap<(usize, usize), Forwarder>) {
     let mut cluster = Cluster::prepare(3).await;
     let mut forwarders = BTreeMap::new();
     for from in 0..3 {
         let mut peers = Vec::new();
         for to in (0..3).filter(|to| *to != from) {
-            let forwarder = Forwarder::start(cluster.machines[to].internal()).await;
+            let forwarder = Forwarder::start(cluster.machines[to].internal_address()).await;
             peers.push(forwarder.address);
             forwarders.insert((from, to), forwarder);
         }
@@ -122,27 +130,30 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_silently_cut_off_leader_proves_nothing_and_takes_no_command() {
-    let (cluster, forwarders) = cluster_behind_forwarders().await;
+async fn a_silently_partitioned_leader_grants_no_lease_and_applies_no_command() {
+    let (cluster, forwarders) = start_cluster_behind_forwarders().await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
-    relay.lease(1).await.expect("a lease");
-    let around = |(from, to): &(usize, usize)| *from == leader || *to == leader;
-    for (_, forwarder) in forwarders.iter().filter(|(pair, _)| around(pair)) {
-        forwarder.cut();
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
+    relay.request_lease(1).await.expect("a lease");
+    let touches_leader = |(from, to): &(usize, usize)| *from == leader || *to == leader;
+    for (_, forwarder) in forwarders.iter().filter(|(pair, _)| touches_leader(pair)) {
+        forwarder.block();
     }
-    // Asked after the cut, so no quorum can confirm it: the answer is never a lease.
-    assert_eq!(relay.lease(2).await, None);
-    let old = operator
-        .try_status(cluster.machines[leader].http())
+    // Requested after the partition began, so no quorum can confirm the leader and it must not grant a
+    // lease.
+    assert_eq!(relay.request_lease(2).await, None);
+    let status_before = operator
+        .try_status(cluster.machines[leader].http_address())
         .await
         .expect("a status");
     let next = wait_for("another leader", || async {
         let others = (0..3).filter(|number| *number != leader);
         for number in others {
-            let status = operator.try_status(cluster.machines[number].http()).await?;
+            let status = operator
+                .try_status(cluster.machines[number].http_address())
+                .await?;
             if status.leader == Some(status.replica) {
                 return Some(number);
             }
@@ -150,32 +161,37 @@
         None
     })
     .await;
-    let rest = support::operator::Operator::new(vec![cluster.machines[next].http()]);
-    let outcome = rest.apply(&command("c1", 1)).await;
+    let majority = support::operator::Operator::new(vec![cluster.machines[next].http_address()]);
+    let outcome = majority.apply(&command("c1", 1)).await;
     assert_eq!(outcome, ApplyOutcome::Accepted { version: 2 });
-    let stale = operator
-        .try_status(cluster.machines[leader].http())
+    let status_after = operator
+        .try_status(cluster.machines[leader].http_address())
         .await
         .expect("a status");
-    assert_eq!(stale.configuration_version, old.configuration_version);
+    assert_eq!(
+        status_after.configuration_version,
+        status_before.configuration_version
+    );
     for forwarder in forwarders.values() {
-        forwarder.heal();
+        forwarder.unblock();
     }
-    wait_for("the cut-off replica to catch up", || async {
-        let status = operator.try_status(cluster.machines[leader].http()).await?;
+    wait_for("the partitioned replica to catch up", || async {
+        let status = operator
+            .try_status(cluster.machines[leader].http_address())
+            .await?;
         (status.configuration_version == 2).then_some(())
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_claim_is_granted_once_through_a_leader_change() {
+async fn a_claim_is_granted_only_once_across_a_leader_change() {
     let mut cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     let keys: Vec<LedgerKey> = (0..20).map(|number| key(&format!("r{number}"))).collect();
     for (number, key) in keys.iter().enumerate() {
-        let reply = relay.ledger(claim(key, number as u64)).await;
+        let reply = relay.call_ledger(claim(key, number as u64)).await;
         assert_eq!(reply, LedgerReply::Claim(ClaimAnswer::Granted));
     }
     let settled = LedgerRequest::Settle {
@@ -183,12 +199,12 @@
         claim: ClaimId(0),
         outcome: RecordedOutcome::Done { body: vec![9] },
     };
-    assert_eq!(relay.ledger(settled).await, LedgerReply::Recorded);
+    assert_eq!(relay.call_ledger(settled).await, LedgerReply::Recorded);
     cluster.machines[leader].kill().await;
     let next = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[next].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[next].internal_address()).await;
     for (number, key) in keys.iter().enumerate() {
-        let other = relay.ledger(claim(key, 100 + number as u64)).await;
+        let other = relay.call_ledger(claim(key, 100 + number as u64)).await;
         let expected = match number {
             0 => ClaimAnswer::Settled(RecordedOutcome::Done { body: vec![9] }),
             _ => ClaimAnswer::Held,
@@ -203,11 +219,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_replica_that_does_not_lead_says_at_once_when_to_come_back() {
+async fn a_follower_answers_ledger_calls_at_once_with_a_retry_time() {
     let cluster = Cluster::start(3).await;
     let follower = cluster.follower().await;
-    let mut relay = Relay::connect(cluster.machines[follower].internal()).await;
-    let reply = relay.ledger(claim(&key("r"), 1)).await;
+    let mut relay = Relay::connect(cluster.machines[follower].internal_address()).await;
+    let reply = relay.call_ledger(claim(&key("r"), 1)).await;
     assert!(
         matches!(reply, LedgerReply::Unavailable { .. }),
         "{reply:?}"
@@ -215,12 +231,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_planned_stop_sends_relays_away_and_answers_what_they_asked() {
+async fn a_planned_stop_answers_pending_ledger_calls_and_sends_go_away() {
     let mut cluster = Cluster::start(3).await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     relay.watch(0).await;
-    relay.lease(1).await.expect("a lease");
+    relay.request_lease(1).await.expect("a lease");
     let mut calls = Vec::new();
     for number in 0..50 {
         calls.push((number, claim(&key(&format!("r{number}")), number)));
@@ -238,7 +254,8 @@
         }
     }
     stopping.await.expect("stop");
-    // Leadership went first: the relay finds the next leader without waiting for an election.
+    // Leadership was transferred before `GoAway`, so the relay finds the next leader without waiting for
+    // an election.
     assert_eq!(leaders_at_go_away, Some(1));
     assert_eq!(answered, 50);
 }
@@ -247,17 +264,17 @@
     let operator = cluster.operator();
     let mut leaders = 0;
     for machine in &cluster.machines {
-        let status = operator.try_status(machine.http()).await;
-        let leads = status.is_some_and(|status| status.leader == Some(status.replica));
-        leaders += usize::from(leads);
+        let status = operator.try_status(machine.http_address()).await;
+        let is_leader = status.is_some_and(|status| status.leader == Some(status.replica));
+        leaders += usize::from(is_leader);
     }
     leaders
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_new_leader_does_not_vouch_for_agents_that_it_may_not_know_yet() {
+async fn a_new_leader_reports_settling_while_agents_may_hold_older_leases() {
     let mut cluster = Cluster::prepare(1).await;
-    // Its predecessor's leases would last longer than the test.
+    // Leases that a previous leader granted would outlast the test.
     cluster.machines[0].config.lease_duration_ms = 3_600_000;
     cluster.start_all().await;
     let operator = cluster.operator();
@@ -268,23 +285,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn waiting_names_the_agents_that_are_behind() {
+async fn waiting_for_a_version_names_the_agents_that_are_behind() {
     let cluster = Cluster::start(3).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     relay.watch(0).await;
-    let with_lease = Some(agent_status(1, 10));
-    let without_lease = Some(agent_status(0, 60_000));
+    let current_lease = Some(agent_status(1, 10));
+    let expired_lease = Some(agent_status(0, 60_000));
     let agents = [
-        ("ahead", with_lease),
-        ("lapsed", without_lease),
+        ("ahead", current_lease),
+        ("lapsed", expired_lease),
         ("late", Some(agent_status(0, 5))),
     ];
     relay.send(report(&agents)).await;
     wait_for("the report", || async {
-        let status: ControlStatus = operator.try_status(cluster.machines[leader].http()).await?;
+        let status: ControlStatus = operator
+            .try_status(cluster.machines[leader].http_address())
+            .await?;
         (status.agents.len() == 3).then_some(())
     })
     .await;
@@ -294,7 +313,7 @@
     let behind: Vec<&str> = reply
         .behind
         .iter()
-        .map(|each| each.agent.as_str())
+        .map(|agent| agent.agent.as_str())
         .collect();
     assert_eq!(behind, ["late"]);
     relay
@@ -302,24 +321,26 @@
         .await;
     let reply: WaitReply = operator.get(&path).await;
     assert!(reply.in_force, "{reply:?}");
-    // Not made yet, so not in force, whoever watches.
+    // Version 2 does not exist yet, so it is not in force, whatever agents report.
     let path = format!("{}?version=2&timeout_ms=10", paths::WAIT);
     let reply: WaitReply = operator.get(&path).await;
     assert!(!reply.in_force);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn agents_of_a_lost_relay_count_until_their_leases_must_have_run_out() {
+async fn agents_of_a_lost_relay_count_as_behind_until_their_leases_have_expired() {
     let cluster = Cluster::start(1).await;
     let operator = cluster.operator();
     operator.apply(&command("c0", 0)).await;
-    let mut relay = Relay::connect(cluster.machines[0].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[0].internal_address()).await;
     relay.watch(0).await;
     relay
         .send(report(&[("gone", Some(agent_status(0, 0)))]))
         .await;
     wait_for("the report", || async {
-        let status = operator.try_status(cluster.machines[0].http()).await?;
+        let status = operator
+            .try_status(cluster.machines[0].http_address())
+            .await?;
         (status.agents.len() == 1).then_some(())
     })
     .await;
@@ -332,7 +353,7 @@
     assert!(reply.in_force, "{reply:?}");
 }
 
-fn machine(number: u16, state: BackendState) -> BackendRecord {
+fn backend_record(number: u16, state: BackendState) -> BackendRecord {
     BackendRecord {
         id: format!("server-{number}").into(),
         service: SERVICE.into(),
@@ -348,7 +369,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn the_platform_list_and_observations_reach_relays() {
-    let machines: Vec<BackendRecord> = (1..5).map(|n| machine(n, BackendState::Live)).collect();
+    let machines: Vec<BackendRecord> = (1..5)
+        .map(|number| backend_record(number, BackendState::Live))
+        .collect();
     let platform = support::platform::Platform::start(machines).await;
     let mut cluster = Cluster::prepare(3).await;
     for machine in &mut cluster.machines {
@@ -356,36 +379,36 @@
     }
     cluster.start_all().await;
     let leader = cluster.leader().await;
-    let mut relay = Relay::connect(cluster.machines[leader].internal()).await;
+    let mut relay = Relay::connect(cluster.machines[leader].internal_address()).await;
     relay.watch(0).await;
     relay.send(report(&[("a", Some(agent_status(0, 0)))])).await;
-    let listed = relay.receive_some(update).await;
+    let listed = relay.receive_matching(as_update).await;
     assert_eq!(listed.backends.len(), 4);
-    let drains = Observation {
+    let draining = Observation {
         backend: "server-2".into(),
         service: SERVICE.into(),
         incarnation: 1,
         kind: ObservationKind::Draining,
     };
-    let observations = vec![(AgentId::from("a"), drains)];
+    let observations = vec![(AgentId::from("a"), draining)];
     relay.send(RelayToControl::Observe { observations }).await;
-    let changed = |message| update(message).filter(|update| !update.backends.is_empty());
-    let drained = relay.receive_some(changed).await;
-    let record = drained.backends[&"server-2".into()]
+    let changed = |message| as_update(message).filter(|update| !update.backends.is_empty());
+    let draining_update = relay.receive_matching(changed).await;
+    let record = draining_update.backends[&"server-2".into()]
         .as_ref()
         .expect("a record");
     assert_eq!(record.state, BackendState::Leaving);
-    platform.list(vec![
-        machine(1, BackendState::Leaving),
-        machine(2, BackendState::Live),
+    platform.set_machines(vec![
+        backend_record(1, BackendState::Leaving),
+        backend_record(2, BackendState::Live),
     ]);
-    let left = relay.receive_some(changed).await;
-    let record = left.backends[&"server-1".into()]
+    let leaving = relay.receive_matching(changed).await;
+    let record = leaving.backends[&"server-1".into()]
         .as_ref()
         .expect("a record");
     assert_eq!(record.state, BackendState::Leaving);
-    let removed = relay.receive_some(changed).await;
+    let removed = relay.receive_matching(changed).await;
     assert_eq!(removed.backends[&"server-4".into()], None);
-    let known: Vec<BackendRecord> = cluster.operator().get(paths::BACKENDS).await;
-    assert_eq!(known.len(), 2);
+    let remaining: Vec<BackendRecord> = cluster.operator().get(paths::BACKENDS).await;
+    assert_eq!(remaining.len(), 2);
 }
