--- a/crates/sablehaven-agent/src/reason.rs
+++ b/crates/sablehaven-agent/src/reason.rs
@@ -11,22 +11,22 @@
 pub enum Reason {
     /// the agent has no configuration yet
     NotReady,
-    /// the current configuration has no method at path '{0}', or this agent does not serve its service
+    /// no method at path '{0}' in the configuration in force, or no service of it in this agent's interest
     UnknownMethod(String),
-    /// content type '{0}' is not supported; expected application/json or application/x-protobuf
+    /// content type '{0}' is neither application/json nor application/x-protobuf
     UnsupportedContentType(String),
-    /// the request body is larger than {limit_bytes} bytes or could not be read: {cause}
+    /// the body is larger than {limit_bytes} bytes, or could not be read: {cause}
     BodyUnreadable {
         /// Maximum size of a request body, in bytes.
         limit_bytes: usize,
         /// The error of the HTTP library.
         cause: String,
     },
-    /// the request body does not match the schema: {0}
+    /// the body does not fit the schema: {0}
     InvalidBody(BodyError),
     /// header '{0}' is required for this method
     MissingHeader(&'static str),
-    /// invalid value '{value}' of header '{name}', allowed is {allowed}
+    /// header '{name}' is '{value}', allowed is {allowed}
     InvalidHeader {
         /// The name of the header.
         name: &'static str,
@@ -35,9 +35,9 @@
         /// A description of the allowed values.
         allowed: &'static str,
     },
-    /// the service is overloaded
+    /// the service is pressed
     Overloaded,
-    /// the request has crashed back ends and is temporarily not sent to any
+    /// the request has crashed back ends and is not sent to any for a while
     Quarantined,
     /// this agent cannot prove that its configuration is current
     NoLease,
@@ -45,38 +45,38 @@
     LedgerUnavailable,
     /// the request ledger is full
     LedgerFull,
-    /// the issue time is too far in the future; the latest accepted is {limit_ms} ms since the Unix epoch
+    /// the issue time lies too far in the future; the latest accepted is {limit_ms} ms since the epoch
     IssuedInFuture {
         /// The latest accepted issue time, in milliseconds since the Unix epoch.
         limit_ms: u64,
     },
-    /// the issue time is too far in the past to run the request now
+    /// the issue time lies too far in the past to run the request now
     IssuedTooLongAgo,
-    /// the request id was already used with another method or body
+    /// the request id was used with another method or body
     RequestIdReused,
     /// the deadline passed before the request was sent to a back end
     DeadlineBeforeDispatch,
-    /// the back end refused the request before starting it: {0:?}
+    /// the back end refused before it started: {0:?}
     BackendRefused(Refusal),
     /// no connection to the back end could be opened
     NotConnected,
-    /// no replica of the shard is available: {0:?}
+    /// no replica of the shard can be asked: {0:?}
     NoReplica(MissingReason),
-    /// no shard answered, and the request did not run: {0:?}
+    /// no shard answered, and nothing ran: {0:?}
     NoShardRan(MissingReason),
-    /// no shard answered, and the request may have run: {0:?}
+    /// no shard answered: {0:?}
     NoShardReplied(MissingReason),
-    /// the replies of the shards could not be merged: {0}
+    /// the shards' replies could not be merged: {0}
     MergeFailed(MergeError),
-    /// the request is in progress, or the agent that ran it was lost
+    /// the request is in progress, or its agent was lost with it
     InProgress,
-    /// the issue time is below the horizon of the ledger; it is no longer known whether the request ran
+    /// the issue time lies below the ledger's horizon; whether the request ran is no longer known
     BelowLedgerHorizon,
-    /// the request was sent to a back end, and it is not known whether it ran
+    /// the request was sent to a back end, and whether it ran is not known
     SentWithoutReply,
-    /// the outcome of the earlier request cannot be determined now: {0}
+    /// the request was sent before, and its outcome cannot be looked up now: {0}
     ResendOutcomeUnknown(Box<Reason>),
-    /// the recorded reply does not match the current schema: {0}
+    /// the recorded reply does not fit the schema in force: {0}
     RecordedReplyUnreadable(BodyError),
 }
 
--- a/crates/sablehaven-client/tests/calls.rs
+++ b/crates/sablehaven-client/tests/calls.rs
@@ -187,7 +187,7 @@
 async fn refusal_is_returned_as_a_response() {
     let refusal = Envelope {
         outcome: Outcome::NotRun,
-        reason: Some("the service is overloaded".to_owned()),
+        reason: Some("the service is pressed".to_owned()),
         retry_after_ms: Some(250),
         ..envelope(None)
     };
--- a/crates/sablehaven-gateway/src/request/refusal.rs
+++ b/crates/sablehaven-gateway/src/request/refusal.rs
@@ -33,46 +33,46 @@
         /// Time since the gateway started.
         age: Duration,
     },
-    /// the request has no host
+    /// the request names no host
     MissingHost,
-    /// no route matches this host and path
+    /// no route has this host and path
     UnknownRoute,
-    /// the tenant key is missing or unknown
+    /// no key of a tenant is presented, or one that is not known
     UnknownKey,
-    /// the request has no request ID
+    /// the request has no id
     MissingRequestId,
-    /// the request body exceeds the size limit
+    /// the body is larger than allowed
     BodyTooLarge,
-    /// the request body is incomplete
+    /// the body ended early
     IncompleteBody,
     /// too many requests
     TooManyRequests,
-    /// the tenant's quota is exhausted
+    /// the tenant's quota is used up
     OverQuota {
         /// Time until a token is available for this caller.
         retry_in: Duration,
     },
-    /// no control replica confirmed the tenant's quota in time
+    /// no control replica says in time whether the tenant's quota bears the request
     NoTokens,
-    /// no server is available for the request; it has not run
+    /// no server may take the request; it has not run
     NoServerAvailable,
-    /// no server accepted the request; it has not run
+    /// no server took the request; it has not run
     NotRun,
-    /// the servers failed; it is unknown whether the request has run
+    /// the servers failed; whether the request has run is not known
     Failed,
     /// too few shards answered
     TooFewShards,
-    /// servers crashed while running the request; it may be retried later
+    /// servers ended when they ran the request; it is tried again later
     CrashesServers {
         /// Time until the request may be retried.
         retry_in: Duration,
     },
-    /// the request is quarantined because it has crashed servers; it has not run
+    /// the request has crashed servers and is not sent to any for a while; it has not run
     Quarantined {
         /// Time until the request may be retried.
         retry_in: Duration,
     },
-    /// deadline exceeded
+    /// the time is over
     DeadlineExceeded,
 }
 
