--- a/crates/sablehaven-agent/examples/agent_bench/agent_process.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/agent_process.rs
@@ -1,5 +1,5 @@
-//! The process of one agent with its callers and a scripted relay: runs one load and prints one
-//! line of numbers.
+//! Agent process of the benchmark: runs one agent with its callers and a scripted relay under one load,
+//! and prints one line of numbers.
 
 use std::{
     fs,
@@ -20,7 +20,7 @@
 use tokio::{runtime::Runtime, time::sleep_until};
 
 use crate::{
-    baseline, children, given, number,
+    baseline, children, numeric_arg, numeric_value,
     support::{
         bed::{FIRST, placement},
         caller::Caller,
@@ -31,35 +31,43 @@
 
 pub const NAME: &str = "agent";
 
-/// Threads of the agent, by which its processor time is told from that of its callers.
-const AGENT_THREAD: &str = "bench-agent";
-const AGENT_THREADS: usize = 2;
+/// Name of the agent's threads. It separates the processor time of the agent from that of its callers.
+const AGENT_THREAD_NAME: &str = "bench-agent";
+const AGENT_THREAD_COUNT: usize = 2;
 
 pub fn command() -> Command {
     Command::new(NAME)
         .hide(true)
-        .arg(number("replicas", "1", "Replicas of each shard"))
-        .arg(number("seconds", "1", "Duration of the measurement"))
-        .arg(number("warm-up-seconds", "1", "Load before it"))
-        .arg(number("callers", "8", "Callers of a closed loop"))
-        .arg(number(
+        .arg(numeric_arg("replicas", "1", "Replicas of each shard"))
+        .arg(numeric_arg("seconds", "1", "Duration of the measurement"))
+        .arg(numeric_arg(
+            "warm-up-seconds",
+            "1",
+            "Duration of the load before the measurement",
+        ))
+        .arg(numeric_arg(
+            "callers",
+            "8",
+            "Number of callers in a closed loop",
+        ))
+        .arg(numeric_arg(
             "queries-per-second",
             "0",
-            "Offered load of an open loop; 0 for a closed one",
+            "Offered load of an open loop; 0 for a closed loop",
         ))
-        .arg(number("deadline-ms", "20000", "Deadline of a query"))
-        .arg(number(
+        .arg(numeric_arg("deadline-ms", "20000", "Deadline of a query"))
+        .arg(numeric_arg(
             "baseline",
             "0",
-            "1 for a random replica without hedging",
+            "1 to choose a random replica without hedging",
         ))
 }
 
-/// What the load has counted.
+/// State of the load generator and its counts.
 #[derive(Default)]
 struct Load {
-    measuring: AtomicBool,
-    stopped: AtomicBool,
+    is_measuring: AtomicBool,
+    is_stopped: AtomicBool,
     queries: AtomicU64,
     answered_shards: AtomicU64,
     latencies: Mutex<Vec<Duration>>,
@@ -68,53 +76,53 @@
 pub fn run(arguments: &ArgMatches) {
     let addresses = children::read_addresses();
     let agent_runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(AGENT_THREADS)
-        .thread_name(AGENT_THREAD)
+        .worker_threads(AGENT_THREAD_COUNT)
+        .thread_name(AGENT_THREAD_NAME)
         .enable_all()
         .build()
         .expect("a runtime");
     let runtime = Runtime::new().expect("a runtime");
     let relay = runtime.block_on(RelayDouble::start());
-    publish(&relay, &addresses, given(arguments, "replicas"));
+    publish_configuration(&relay, &addresses, numeric_value(arguments, "replicas"));
     let telemetry = Telemetry::new("agent");
-    let policies = match given(arguments, "baseline") {
+    let policies = match numeric_value(arguments, "baseline") {
         0 => service_router_factory(),
         _ => baseline::factory(),
     };
     let config = config(&relay);
-    let started = agent_runtime.spawn(start_with_policies(config, telemetry.clone(), policies));
-    let handle = runtime.block_on(started).expect("runs").expect("starts");
+    let start_task = agent_runtime.spawn(start_with_policies(config, telemetry.clone(), policies));
+    let handle = runtime.block_on(start_task).expect("runs").expect("starts");
     runtime.block_on(measure(arguments, &handle, &telemetry));
 }
 
-/// Prints: queries, seconds, agent's processor seconds, attempts, needed sub-requests, answered
-/// shards, connections, resident bytes, then p50, p99 and p99.9 in milliseconds.
+/// Runs the load and prints the measurements: queries, seconds, processor seconds of the agent, attempts,
+/// required sub-requests, answered shards, connections, resident bytes, then p50, p99 and p99.9 in milliseconds.
 async fn measure(arguments: &ArgMatches, handle: &Handle, telemetry: &Telemetry) {
     while !telemetry.is_ready() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let load = Arc::new(Load::default());
-    offer(arguments, handle, &load);
-    sleep(given(arguments, "warm-up-seconds")).await;
-    let before = (agent_seconds(), attempts(telemetry));
-    load.measuring.store(true, Ordering::SeqCst);
+    start_load(arguments, handle, &load);
+    sleep(numeric_value(arguments, "warm-up-seconds")).await;
+    let before = (agent_processor_seconds(), sub_request_attempts(telemetry));
+    load.is_measuring.store(true, Ordering::SeqCst);
     let start = Instant::now();
-    sleep(given(arguments, "seconds")).await;
-    load.measuring.store(false, Ordering::SeqCst);
+    sleep(numeric_value(arguments, "seconds")).await;
+    load.is_measuring.store(false, Ordering::SeqCst);
     let elapsed = start.elapsed();
-    let after = (agent_seconds(), attempts(telemetry));
-    load.stopped.store(true, Ordering::SeqCst);
-    // What is in flight ends within its deadline; the memory is then that of an idle agent.
+    let after = (agent_processor_seconds(), sub_request_attempts(telemetry));
+    load.is_stopped.store(true, Ordering::SeqCst);
+    // Requests in flight end within their deadline, so that the memory of an idle agent is measured.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let queries = load.queries.load(Ordering::SeqCst);
-    let shards = telemetry_shards(arguments, handle);
+    let shard_count = shard_count(arguments, handle);
     let latencies = load.latencies.lock().expect("not poisoned");
     println!(
         "{queries} {} {} {} {} {} {} {} {} {} {}",
         elapsed.as_secs_f64(),
         after.0 - before.0,
         after.1 - before.1,
-        queries * shards,
+        queries * shard_count,
         load.answered_shards.load(Ordering::SeqCst),
         handle.backend_connections(),
         resident_bytes(),
@@ -124,50 +132,50 @@
     );
 }
 
-fn telemetry_shards(arguments: &ArgMatches, handle: &Handle) -> u64 {
+fn shard_count(arguments: &ArgMatches, handle: &Handle) -> u64 {
     let connections = u64::try_from(handle.backend_connections()).expect("few");
-    connections / given(arguments, "replicas")
+    connections / numeric_value(arguments, "replicas")
 }
 
-fn offer(arguments: &ArgMatches, handle: &Handle, load: &Arc<Load>) {
+fn start_load(arguments: &ArgMatches, handle: &Handle, load: &Arc<Load>) {
     let address = handle.addresses().http.expect("listens");
-    let deadline = Duration::from_millis(given(arguments, "deadline-ms"));
-    let rate = given(arguments, "queries-per-second");
+    let deadline = Duration::from_millis(numeric_value(arguments, "deadline-ms"));
+    let rate = numeric_value(arguments, "queries-per-second");
     let caller = Caller::new(address);
     if rate > 0 {
         let interval = Duration::from_secs(1) / u32::try_from(rate).expect("a small rate");
         tokio::spawn(open_loop(caller, deadline, interval, Arc::clone(load)));
         return;
     }
-    for _ in 0..given(arguments, "callers") {
+    for _ in 0..numeric_value(arguments, "callers") {
         tokio::spawn(closed_loop(caller.clone(), deadline, Arc::clone(load)));
     }
 }
 
 async fn closed_loop(caller: Caller, deadline: Duration, load: Arc<Load>) {
-    while !load.stopped.load(Ordering::SeqCst) {
-        ask(&caller, deadline, Instant::now(), &load).await;
+    while !load.is_stopped.load(Ordering::SeqCst) {
+        send_query(&caller, deadline, Instant::now(), &load).await;
     }
 }
 
-/// Sends at fixed times whatever the answers do, and counts latency from those times.
+/// Sends queries at fixed times, independently of the answers, and measures the latency from those times.
 async fn open_loop(caller: Caller, deadline: Duration, interval: Duration, load: Arc<Load>) {
-    let mut intended = Instant::now();
-    while !load.stopped.load(Ordering::SeqCst) {
-        let (caller, load, at) = (caller.clone(), Arc::clone(&load), intended);
-        tokio::spawn(async move { ask(&caller, deadline, at, &load).await });
-        intended += interval;
-        sleep_until(intended.into()).await;
+    let mut scheduled = Instant::now();
+    while !load.is_stopped.load(Ordering::SeqCst) {
+        let (caller, load, send_time) = (caller.clone(), Arc::clone(&load), scheduled);
+        tokio::spawn(async move { send_query(&caller, deadline, send_time, &load).await });
+        scheduled += interval;
+        sleep_until(scheduled.into()).await;
     }
 }
 
-async fn ask(caller: &Caller, deadline: Duration, intended: Instant, load: &Load) {
-    let measured = load.measuring.load(Ordering::SeqCst);
-    let answer = caller.search_within("q", deadline).await;
-    if !measured {
+async fn send_query(caller: &Caller, deadline: Duration, scheduled: Instant, load: &Load) {
+    let is_measured = load.is_measuring.load(Ordering::SeqCst);
+    let answer = caller.search_with_deadline("q", deadline).await;
+    if !is_measured {
         return;
     }
-    let latency = intended.elapsed();
+    let latency = scheduled.elapsed();
     let answered = answer
         .envelope
         .coverage
@@ -178,12 +186,16 @@
     load.latencies.lock().expect("not poisoned").push(latency);
 }
 
-fn publish(relay: &RelayDouble, addresses: &[std::net::SocketAddr], replicas: u64) {
+fn publish_configuration(
+    relay: &RelayDouble,
+    addresses: &[std::net::SocketAddr],
+    replicas_per_shard: u64,
+) {
     let ids = (0..addresses.len()).map(|index| format!("backend-{index:04}").into());
     let ids: Vec<sablehaven_types::BackendId> = ids.collect();
-    let replicas = usize::try_from(replicas).expect("few");
+    let replicas_per_shard = usize::try_from(replicas_per_shard).expect("few");
     let shards = ids
-        .chunks(replicas)
+        .chunks(replicas_per_shard)
         .zip(0..)
         .map(|(ids, shard)| ShardAssignment {
             shard: ShardId(shard),
@@ -223,23 +235,23 @@
     config
 }
 
-fn attempts(telemetry: &Telemetry) -> u64 {
+fn sub_request_attempts(telemetry: &Telemetry) -> u64 {
     let text = telemetry.encode_metrics();
     let mut lines = text.lines();
     let value = lines.find_map(|line| line.strip_prefix("sablehaven_agent_sub_requests_total "));
     value.map_or(0, |value| value.parse().expect("a number"))
 }
 
-/// Time that the agent's threads have run, from the kernel's scheduler statistics.
-fn agent_seconds() -> f64 {
+/// Processor time of the agent's threads, from the scheduler statistics of the kernel.
+fn agent_processor_seconds() -> f64 {
     let mut nanoseconds = 0_u64;
     for task in fs::read_dir("/proc/self/task").expect("Linux") {
-        let folder = task.expect("a task").path();
-        let name = fs::read_to_string(folder.join("comm")).unwrap_or_default();
-        if name.trim() != AGENT_THREAD {
+        let directory = task.expect("a task").path();
+        let name = fs::read_to_string(directory.join("comm")).unwrap_or_default();
+        if name.trim() != AGENT_THREAD_NAME {
             continue;
         }
-        let statistics = fs::read_to_string(folder.join("schedstat")).unwrap_or_default();
+        let statistics = fs::read_to_string(directory.join("schedstat")).unwrap_or_default();
         let running = statistics.split(' ').next().unwrap_or_default();
         nanoseconds += running.parse::<u64>().unwrap_or(0);
     }
--- a/crates/sablehaven-agent/examples/agent_bench/backends.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/backends.rs
@@ -1,27 +1,32 @@
-//! The process of the back ends: serves until its standard input ends, then says what it saw.
+//! Back-end process of the benchmark: serves until its standard input is closed, then prints the number of
+//! attempts it received.
 
 use std::{io::Read, time::Duration};
 
 use clap::{ArgMatches, Command};
 
 use crate::{
-    given, number,
+    numeric_arg, numeric_value,
     support::backend::{BackendDouble, Script},
 };
 
 pub const NAME: &str = "backends";
 
-/// How many times longer a slow reply takes.
+/// Factor by which a slow reply is delayed longer.
 const SLOW_FACTOR: u32 = 10;
 
 pub fn command() -> Command {
     Command::new(NAME)
         .hide(true)
-        .arg(number("shards", "0", "Shards"))
-        .arg(number("replicas", "0", "Replicas of each shard"))
-        .arg(number("reply-ms", "0", "Time of an ordinary reply"))
-        .arg(number("slow-per-mille", "0", "Replies that take longer"))
-        .arg(number(
+        .arg(numeric_arg("shards", "0", "Number of shards"))
+        .arg(numeric_arg("replicas", "0", "Replicas of each shard"))
+        .arg(numeric_arg("reply-ms", "0", "Delay of an ordinary reply"))
+        .arg(numeric_arg(
+            "slow-per-mille",
+            "0",
+            "Share of replies that are slow",
+        ))
+        .arg(numeric_arg(
             "stuck",
             "0",
             "Replicas of each shard that never reply",
@@ -36,37 +41,41 @@
         .map(|backend| backend.address.to_string())
         .collect();
     println!("{}", addresses.join(" "));
-    let mut rest = Vec::new();
-    std::io::stdin().read_to_end(&mut rest).expect("a pipe");
-    let seen: u64 = backends.iter().map(BackendDouble::count).sum();
-    println!("{seen}");
+    let mut remaining_input = Vec::new();
+    std::io::stdin()
+        .read_to_end(&mut remaining_input)
+        .expect("a pipe");
+    let attempt_count: u64 = backends.iter().map(BackendDouble::attempt_count).sum();
+    println!("{attempt_count}");
 }
 
 async fn start(arguments: &ArgMatches) -> Vec<BackendDouble> {
-    let replicas = given(arguments, "replicas");
+    let replicas = numeric_value(arguments, "replicas");
     let mut backends = Vec::new();
-    for index in 0..given(arguments, "shards") * replicas {
+    for index in 0..numeric_value(arguments, "shards") * replicas {
         let backend = BackendDouble::start().await;
-        backend.forget_attempts();
-        let is_stuck = index % replicas < given(arguments, "stuck");
-        play(&backend, is_stuck, arguments);
+        backend.stop_recording();
+        let is_stuck = index % replicas < numeric_value(arguments, "stuck");
+        set_script(&backend, is_stuck, arguments);
         backends.push(backend);
     }
     backends
 }
 
-fn play(backend: &BackendDouble, is_stuck: bool, arguments: &ArgMatches) {
+fn set_script(backend: &BackendDouble, is_stuck: bool, arguments: &ArgMatches) {
     if is_stuck {
-        return backend.always(Script::Never);
+        return backend.always(Script::NeverReply);
     }
-    let time = Duration::from_millis(given(arguments, "reply-ms"));
-    if time.is_zero() {
+    let reply_delay = Duration::from_millis(numeric_value(arguments, "reply-ms"));
+    if reply_delay.is_zero() {
         return backend.always(Script::Reply);
     }
-    let slow_per_mille = given(arguments, "slow-per-mille");
-    // Attempt ids are random and uniform, so they serve as the dice.
-    backend.choose(move |seen| match seen.attempt % 1_000 < slow_per_mille {
-        true => Script::Delay(time * SLOW_FACTOR),
-        false => Script::Delay(time),
-    });
+    let slow_per_mille = numeric_value(arguments, "slow-per-mille");
+    // Attempt IDs are uniformly random, so they select the slow replies.
+    backend.script_with(
+        move |received| match received.attempt % 1_000 < slow_per_mille {
+            true => Script::Delay(reply_delay * SLOW_FACTOR),
+            false => Script::Delay(reply_delay),
+        },
+    );
 }
--- a/crates/sablehaven-agent/examples/agent_bench/baseline.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/baseline.rs
@@ -1,4 +1,4 @@
-//! The plain baseline: a random replica of each shard, no hedging, no retries, no admission limit.
+//! Baseline routing policy: a random replica of each shard, without hedging, retries or an admission limit.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -9,20 +9,21 @@
 };
 use sablehaven_types::{BackendId, MissingReason, Observation, ShardId};
 
-/// When a caller may come back; the baseline refuses nobody.
+/// Retry delay of refused requests; the baseline refuses none.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
+/// A policy that chooses a random replica of each shard.
 #[derive(Default)]
-struct RandomReplica {
+struct RandomReplicaPolicy {
     replicas: BTreeMap<ShardId, Vec<ChosenBackend>>,
 }
 
-/// Makes a baseline for each service.
+/// Returns a factory that creates a baseline policy for each service.
 pub fn factory() -> PolicyFactory {
-    Arc::new(|_, _, _| Box::new(RandomReplica::default()))
+    Arc::new(|_, _, _| Box::new(RandomReplicaPolicy::default()))
 }
 
-impl RoutingPolicy for RandomReplica {
+impl RoutingPolicy for RandomReplicaPolicy {
     fn update(&mut self, _now: Duration, update: ServiceUpdate<'_>) {
         let chosen = |id: &BackendId| {
             let record = update.backends.iter().find(|record| record.id == *id)?;
@@ -50,15 +51,15 @@
         exclude: &[BackendId],
     ) -> Option<ChosenBackend> {
         let replicas = self.replicas.get(&shard)?;
-        let left: Vec<_> = replicas
+        let candidates: Vec<_> = replicas
             .iter()
             .filter(|chosen| !exclude.contains(&chosen.backend))
             .collect();
-        if left.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         let number = usize::try_from(rand::random::<u32>()).expect("at least 32 bits");
-        Some(left[number % left.len()].clone())
+        Some(candidates[number % candidates.len()].clone())
     }
 
     fn no_choice_reason(
--- a/crates/sablehaven-agent/examples/agent_bench/children.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/children.rs
@@ -1,4 +1,4 @@
-//! Child processes of the benchmark: this program itself, under another subcommand.
+//! Child processes of the benchmark: the same program with another subcommand.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -6,14 +6,14 @@
     process::{Child, ChildStdin, ChildStdout, Command, Stdio},
 };
 
-/// A child with its pipes.
-pub struct Process {
+/// A child process with pipes to its standard input and output.
+pub struct ChildProcess {
     child: Child,
     input: ChildStdin,
     output: BufReader<ChildStdout>,
 }
 
-impl Process {
+impl ChildProcess {
     pub fn start(arguments: &[String]) -> Self {
         let program = std::env::current_exe().expect("this program's path");
         let mut child = Command::new(program)
@@ -21,7 +21,7 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("this program starts again");
+            .expect("the child starts");
         let input = child.stdin.take().expect("piped");
         let output = BufReader::new(child.stdout.take().expect("piped"));
         Self {
@@ -41,7 +41,7 @@
         line.trim().to_owned()
     }
 
-    /// Ends the child's input, reads its last line and waits for its end.
+    /// Closes the child's input, reads its last line and waits for it to exit.
     pub fn finish(self) -> String {
         let Self {
             mut child,
@@ -51,33 +51,33 @@
         drop(input);
         let mut line = String::new();
         output.read_line(&mut line).expect("the child writes");
-        child.wait().expect("the child ends");
+        child.wait().expect("the child exits");
         line.trim().to_owned()
     }
 }
 
-/// The back ends' process and their addresses.
-pub struct Backends {
-    process: Process,
+/// The back-end process and the addresses of its back ends.
+pub struct BackendProcess {
+    process: ChildProcess,
     pub addresses: String,
 }
 
-impl Backends {
+impl BackendProcess {
     pub fn start(arguments: &[(&str, u64)]) -> Self {
-        let mut process = Process::start(&line(crate::backends::NAME, arguments));
+        let mut process = ChildProcess::start(&command_line(crate::backends::NAME, arguments));
         let addresses = process.read_line();
         Self { process, addresses }
     }
 
-    /// Ends the back ends; the number of attempts that they saw.
+    /// Stops the back ends and returns the number of attempts they received.
     pub fn finish(self) -> u64 {
         self.process.finish().parse().expect("a number")
     }
 }
 
-/// Runs one agent process to its end and gives the numbers that it prints.
+/// Runs one agent process until it exits and returns the numbers it prints.
 pub fn run_agent(arguments: &[(&str, u64)], addresses: &str) -> Vec<f64> {
-    let mut process = Process::start(&line(crate::agent_process::NAME, arguments));
+    let mut process = ChildProcess::start(&command_line(crate::agent_process::NAME, arguments));
     process.write_line(addresses);
     let report = process.finish();
     report
@@ -90,7 +90,7 @@
         .collect()
 }
 
-/// The addresses that a parent writes.
+/// Reads the addresses that the parent process writes to standard input.
 pub fn read_addresses() -> Vec<SocketAddr> {
     let mut line = String::new();
     std::io::stdin()
@@ -102,7 +102,7 @@
         .collect()
 }
 
-fn line(name: &str, arguments: &[(&str, u64)]) -> Vec<String> {
+fn command_line(name: &str, arguments: &[(&str, u64)]) -> Vec<String> {
     let options = arguments
         .iter()
         .flat_map(|(name, value)| [format!("--{name}"), value.to_string()]);
--- a/crates/sablehaven-agent/examples/agent_bench/cost.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/cost.rs
@@ -1,15 +1,15 @@
-//! Processor time per sub-request and memory per connection.
+//! Measures processor time per sub-request and memory per connection.
 
 use clap::ArgMatches;
 
 use sablehaven_measurements::fit::{Line, fit_pairs};
 
 use crate::{
-    children::{Backends, run_agent},
-    given,
+    children::{BackendProcess, run_agent},
+    numeric_value,
 };
 
-/// One run: the numbers that the agent's process prints, by name.
+/// The measurements of one run, as printed by the agent process.
 struct Run {
     shards: f64,
     queries: f64,
@@ -28,10 +28,10 @@
         .collect();
     println!("shards  connections  queries/s  processor us/query  attempts/query  resident MiB");
     let mut runs = Vec::new();
-    // Repeats go round the points, so that a change of the machine's load touches all of them.
-    for _ in 0..given(arguments, "repeats") {
+    // Each repeat runs all points, so that a change in the load of the machine affects all of them.
+    for _ in 0..numeric_value(arguments, "repeats") {
         for shards in &shards {
-            let run = one_run(*shards, arguments);
+            let run = measure_run(*shards, arguments);
             print(&run);
             runs.push(run);
         }
@@ -58,14 +58,14 @@
     }
 }
 
-fn one_run(shards: u64, arguments: &ArgMatches) -> Run {
-    let replicas = given(arguments, "replicas");
-    let backends = Backends::start(&[("shards", shards), ("replicas", replicas)]);
+fn measure_run(shards: u64, arguments: &ArgMatches) -> Run {
+    let replicas = numeric_value(arguments, "replicas");
+    let backends = BackendProcess::start(&[("shards", shards), ("replicas", replicas)]);
     let numbers = run_agent(
         &[
             ("replicas", replicas),
-            ("seconds", given(arguments, "seconds")),
-            ("callers", given(arguments, "callers")),
+            ("seconds", numeric_value(arguments, "seconds")),
+            ("callers", numeric_value(arguments, "callers")),
         ],
         &backends.addresses,
     );
@@ -93,13 +93,13 @@
     );
 }
 
-fn print_line(what: &str, line: Option<Line>) {
+fn print_line(description: &str, line: Option<Line>) {
     let Some(line) = line else {
-        println!("{what}: too few points for a line");
+        println!("{description}: too few points for a line");
         return;
     };
     println!(
-        "{what}: slope {:.2} +- {:.2} (standard error), intercept {:.1}, R^2 {:.4}",
+        "{description}: slope {:.2} +- {:.2} (standard error), intercept {:.1}, R^2 {:.4}",
         line.slope, line.slope_error, line.intercept, line.explained
     );
 }
--- a/crates/sablehaven-agent/examples/agent_bench/main.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/main.rs
@@ -1,24 +1,25 @@
-//! What the agent costs, and what its routing does to the tail.
+//! Benchmarks of the resource use of the agent and of the effect of its routing on tail latency.
 //!
-//! `cost`: processor time per sub-request and memory per back-end connection, each as a slope over
-//! the number of shards. `tail`: latency of queries over many shards with slow replies and stuck
-//! replicas, against a plain baseline (random replica, no hedging) in the same run. Each point runs
-//! the real agent in a process of its own; back ends are scripted doubles in another one, on
-//! loopback.
+//! `cost` measures processor time per sub-request and memory per back-end connection, each as the slope
+//! of a line over the number of shards. `tail` measures the latency of queries over many shards with slow
+//! replies and stuck replicas, and compares it with a baseline (random replica, no hedging) in the same
+//! run. Each point runs the real agent in a process of its own. The back ends are scripted test doubles in
+//! another process, on loopback.
 
 mod agent_process;
 mod backends;
 mod baseline;
 mod children;
 mod cost;
-#[allow(dead_code, reason = "the benchmark uses a part of the tests' doubles")]
+#[allow(dead_code, reason = "the benchmark uses only some of the test helpers")]
 #[path = "../../tests/agent/support/mod.rs"]
 mod support;
 mod tail;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+/// Defines an argument with a numeric value.
+fn numeric_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .default_value(default)
@@ -36,39 +37,39 @@
                 .value_delimiter(',')
                 .value_parser(value_parser!(u64))
                 .default_values(["5", "15", "30", "55"])
-                .help("Numbers of shards, one point each"),
+                .help("Numbers of shards; each is one point"),
         )
-        .arg(number("repeats", "3", "Runs of each point"))
-        .arg(number("replicas", "4", "Replicas of each shard"))
-        .arg(number("seconds", "5", "Duration of one run"))
-        .arg(number(
+        .arg(numeric_arg("repeats", "3", "Number of runs of each point"))
+        .arg(numeric_arg("replicas", "4", "Replicas of each shard"))
+        .arg(numeric_arg("seconds", "5", "Duration of one run"))
+        .arg(numeric_arg(
             "callers",
             "8",
-            "Callers, each with one query at a time",
+            "Number of callers, each with one query at a time",
         ));
     let tail = Command::new("tail")
         .about("Tail latency against a random replica without hedging")
-        .arg(number("shards", "55", "Shards"))
-        .arg(number("replicas", "4", "Replicas of each shard"))
-        .arg(number("seconds", "30", "Duration of one run"))
-        .arg(number(
+        .arg(numeric_arg("shards", "55", "Number of shards"))
+        .arg(numeric_arg("replicas", "4", "Replicas of each shard"))
+        .arg(numeric_arg("seconds", "30", "Duration of one run"))
+        .arg(numeric_arg(
             "warm-up-seconds",
             "10",
-            "Load before the measurement",
+            "Duration of the load before the measurement",
         ))
-        .arg(number("queries-per-second", "40", "Offered load"))
-        .arg(number("reply-ms", "5", "Time of an ordinary reply"))
-        .arg(number(
+        .arg(numeric_arg("queries-per-second", "40", "Offered load"))
+        .arg(numeric_arg("reply-ms", "5", "Delay of an ordinary reply"))
+        .arg(numeric_arg(
             "slow-per-mille",
             "10",
-            "Replies that take ten times as long",
+            "Share of replies that are delayed ten times as long",
         ))
-        .arg(number(
+        .arg(numeric_arg(
             "stuck",
             "1",
             "Replicas of each shard that never reply",
         ))
-        .arg(number("deadline-ms", "1000", "Deadline of a query"));
+        .arg(numeric_arg("deadline-ms", "1000", "Deadline of a query"));
     Command::new("agent_bench")
         .about("Benchmarks of the agent")
         .subcommand_required(true)
@@ -89,7 +90,7 @@
     }
 }
 
-/// A number among the arguments; every one has a default.
-fn given(arguments: &ArgMatches, name: &str) -> u64 {
+/// Returns the value of a numeric argument. All of them have defaults.
+fn numeric_value(arguments: &ArgMatches, name: &str) -> u64 {
     *arguments.get_one::<u64>(name).expect("has a default")
 }
--- a/crates/sablehaven-agent/examples/agent_bench/tail.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/tail.rs
@@ -1,45 +1,49 @@
-//! Tail latency with slow replies and stuck replicas, against the baseline.
+//! Measures tail latency with slow replies and stuck replicas, and compares it with the baseline.
 
 use clap::ArgMatches;
 
 use crate::{
-    children::{Backends, run_agent},
-    given,
+    children::{BackendProcess, run_agent},
+    numeric_value,
 };
 
-/// One run, with the product's routing or the baseline's.
+/// The measurements of one run, with the routing of the agent or of the baseline.
 struct Run {
     queries: f64,
     attempts: f64,
-    needed: f64,
-    answered: f64,
-    p50: f64,
-    p99: f64,
-    p999: f64,
-    seen: u64,
+    required_sub_requests: f64,
+    answered_shards: f64,
+    p50_ms: f64,
+    p99_ms: f64,
+    p999_ms: f64,
+    /// Number of attempts received by the back ends, including warm-up.
+    received_attempts: u64,
 }
 
 pub fn run(arguments: &ArgMatches) {
     println!("routing   queries  p50 ms  p99 ms  p99.9 ms  answered shards  extra load");
-    let product = one_run(arguments, 0);
+    let product = measure_run(arguments, 0);
     print("product", &product);
-    let baseline = one_run(arguments, 1);
+    let baseline = measure_run(arguments, 1);
     print("baseline", &baseline);
-    println!("p99 ratio: {:.3}", product.p99 / baseline.p99);
+    println!("p99 ratio: {:.3}", product.p99_ms / baseline.p99_ms);
     println!(
-        "attempts that back ends saw, warm-up included: product {}, baseline {}",
-        product.seen, baseline.seen
+        "attempts received by back ends, including warm-up: product {}, baseline {}",
+        product.received_attempts, baseline.received_attempts
     );
 }
 
-fn one_run(arguments: &ArgMatches, baseline: u64) -> Run {
-    let pass_on = |names: &[&'static str]| -> Vec<(&'static str, u64)> {
-        let pairs = names.iter().map(|name| (*name, given(arguments, name)));
+fn measure_run(arguments: &ArgMatches, baseline: u64) -> Run {
+    let forwarded_arguments = |names: &[&'static str]| -> Vec<(&'static str, u64)> {
+        let pairs = names
+            .iter()
+            .map(|name| (*name, numeric_value(arguments, name)));
         pairs.collect()
     };
-    let backends = pass_on(&["shards", "replicas", "reply-ms", "slow-per-mille", "stuck"]);
-    let backends = Backends::start(&backends);
-    let mut agent = pass_on(&[
+    let backends =
+        forwarded_arguments(&["shards", "replicas", "reply-ms", "slow-per-mille", "stuck"]);
+    let backends = BackendProcess::start(&backends);
+    let mut agent = forwarded_arguments(&[
         "replicas",
         "seconds",
         "warm-up-seconds",
@@ -51,12 +55,12 @@
     Run {
         queries: numbers[0],
         attempts: numbers[3],
-        needed: numbers[4],
-        answered: numbers[5],
-        p50: numbers[8],
-        p99: numbers[9],
-        p999: numbers[10],
-        seen: backends.finish(),
+        required_sub_requests: numbers[4],
+        answered_shards: numbers[5],
+        p50_ms: numbers[8],
+        p99_ms: numbers[9],
+        p999_ms: numbers[10],
+        received_attempts: backends.finish(),
     }
 }
 
@@ -64,10 +68,10 @@
     println!(
         "{name:<8}  {:>7}  {:>6.1}  {:>6.1}  {:>8.1}  {:>14.3}%  {:>9.2}%",
         run.queries,
-        run.p50,
-        run.p99,
-        run.p999,
-        run.answered / run.needed * 100.0,
-        (run.attempts / run.needed - 1.0) * 100.0,
+        run.p50_ms,
+        run.p99_ms,
+        run.p999_ms,
+        run.answered_shards / run.required_sub_requests * 100.0,
+        (run.attempts / run.required_sub_requests - 1.0) * 100.0,
     );
 }
--- a/crates/sablehaven-agent/tests/agent/admission.rs
+++ b/crates/sablehaven-agent/tests/agent/admission.rs
@@ -1,4 +1,4 @@
-//! A pressed service: refused at once, before any work, with the time to come back.
+//! Requests to an overloaded service are refused before any work, with a retry delay.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,17 +6,17 @@
 use sablehaven_types::Outcome;
 
 use crate::support::{
-    bed::Bed,
-    caller::{Answer, Once},
-    policy::Scripted,
+    bed::TestBed,
+    caller::{Answer, OnceRequest},
+    policy::ScriptedPolicy,
 };
 
-const COME_BACK: Duration = Duration::from_millis(1_200);
+const RETRY_AFTER: Duration = Duration::from_millis(1_200);
 
-fn pressed() -> PolicyFactory {
+fn overloaded_policy() -> PolicyFactory {
     Arc::new(|_, _, _| {
-        let mut policy = Scripted::new(1, 0);
-        policy.refuses = Some(COME_BACK);
+        let mut policy = ScriptedPolicy::new(1, 0);
+        policy.refuse_with = Some(RETRY_AFTER);
         Box::new(policy)
     })
 }
@@ -35,23 +35,27 @@
 
 #[tokio::test]
 async fn queries_and_requests_are_refused_before_any_work() {
-    let bed = Bed::start(2, 1).await;
-    let agent = bed.agent_routed(bed.config(), pressed()).await;
+    let bed = TestBed::start(2, 1).await;
+    let agent = bed
+        .agent_with_policies(bed.config(), overloaded_policy())
+        .await;
     assert_refused(&agent.caller.search("q").await);
     assert_refused(&agent.caller.get("depot").await);
-    assert_refused(&agent.caller.reserve(&Once::fresh()).await);
+    assert_refused(&agent.caller.reserve(&OnceRequest::unique()).await);
     assert!(bed.relay.lock().ledger.requests.is_empty());
-    assert_eq!(bed.attempts(), 0);
+    assert_eq!(bed.attempt_count(), 0);
 }
 
 #[tokio::test]
-async fn a_resend_still_gets_its_recorded_outcome() {
-    let bed = Bed::start(1, 1).await;
+async fn a_resend_to_an_overloaded_service_gets_its_recorded_outcome() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    let once = Once::fresh();
+    let once = OnceRequest::unique();
     let first = agent.caller.reserve(&once).await;
-    let pressed = bed.agent_routed(bed.config(), pressed()).await;
-    let resent = pressed.caller.reserve(&once.again()).await;
+    let overloaded_agent = bed
+        .agent_with_policies(bed.config(), overloaded_policy())
+        .await;
+    let resent = overloaded_agent.caller.reserve(&once.as_resend()).await;
     assert_eq!(resent.envelope.outcome, Outcome::Done);
     assert_eq!(resent.envelope.body, first.envelope.body);
 }
--- a/crates/sablehaven-agent/tests/agent/coverage_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/coverage_rules.rs
@@ -1,4 +1,4 @@
-//! Coverage is made of the replies that are merged.
+//! Tests that the coverage of a query agrees with the replies that are merged.
 
 use std::collections::BTreeMap;
 
@@ -18,12 +18,12 @@
     MissingReason::BadReply,
 ];
 
-/// Every shard that was asked is in the coverage exactly once, answered shards are exactly those
-/// with a reply, and a shard without an end is missing for its deadline.
+/// Every shard that was asked is in the coverage exactly once, the answered shards are exactly those
+/// with a reply, and a shard without a result is missing with the reason `Deadline`.
 #[test]
-fn coverage_and_replies_always_agree() {
-    // Per shard: no end, a reply, or a reason.
-    let end = prop_oneof![
+fn coverage_agrees_with_the_replies() {
+    // For each shard: no result, a reply, or the reason why it is missing.
+    let result = prop_oneof![
         Just(None),
         Just(Some(None)),
         prop::sample::select(REASONS.to_vec()).prop_map(|reason| Some(Some(reason))),
@@ -33,20 +33,20 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     });
-    let result = runner.run(&prop::collection::vec(end, 0..60), |ends| {
-        let asked: Vec<_> = (0..).map(ShardId).take(ends.len()).collect();
-        let known = asked.iter().zip(&ends).filter_map(|(shard, end)| {
-            let end = match end.as_ref()? {
+    let outcome = runner.run(&prop::collection::vec(result, 0..60), |results| {
+        let asked: Vec<_> = (0..).map(ShardId).take(results.len()).collect();
+        let known = asked.iter().zip(&results).filter_map(|(shard, result)| {
+            let result = match result.as_ref()? {
                 None => ShardResult::Answered(shard.0),
                 Some(reason) => ShardResult::Missing(*reason),
             };
-            Some((*shard, end))
+            Some((*shard, result))
         });
         let (replies, coverage) = split_results(&asked, known.collect());
         let expected: BTreeMap<_, _> = asked
             .iter()
-            .zip(&ends)
-            .filter(|(_, end)| **end == Some(None))
+            .zip(&results)
+            .filter(|(_, result)| **result == Some(None))
             .map(|(shard, _)| (*shard, shard.0))
             .collect();
         prop_assert_eq!(&replies, &expected);
@@ -56,26 +56,26 @@
         );
         prop_assert_eq!(coverage.shard_count(), asked.len());
         for entry in &coverage.missing {
-            let end = ends[entry.shard.0 as usize];
-            let expected = end.flatten().unwrap_or(MissingReason::Deadline);
+            let result = results[entry.shard.0 as usize];
+            let expected = result.flatten().unwrap_or(MissingReason::Deadline);
             prop_assert_eq!(entry.reason, expected);
         }
         Ok(())
     });
-    result.expect("coverage and replies agree");
+    outcome.expect("coverage and replies agree");
 }
 
 #[test]
-fn a_reply_of_a_shard_that_was_not_asked_is_in_neither() {
-    let ends = BTreeMap::from([(ShardId(9), ShardResult::Answered("foreign"))]);
-    let (replies, coverage) = split_results(&[ShardId(0)], ends);
+fn a_reply_of_a_shard_that_was_not_asked_is_ignored() {
+    let results = BTreeMap::from([(ShardId(9), ShardResult::Answered("foreign"))]);
+    let (replies, coverage) = split_results(&[ShardId(0)], results);
     assert!(replies.is_empty());
     assert_eq!(coverage.shard_count(), 1);
 }
 
-/// "Not run" of a whole query needs every shard to be sure of it.
+/// A query counts as not run only if no shard may have run it.
 #[test]
-fn one_shard_that_may_have_run_decides() {
+fn one_shard_that_may_have_run_determines_the_reason() {
     for reason in REASONS.into_iter().filter(|reason| may_have_run(*reason)) {
         let missing = [MissingReason::Shed, reason, MissingReason::SnapshotGone];
         let missing = missing
--- a/crates/sablehaven-agent/tests/agent/crashes.rs
+++ b/crates/sablehaven-agent/tests/agent/crashes.rs
@@ -1,9 +1,9 @@
-//! A query that ends every back end that runs it.
+//! Tests with a query that crashes every back end that runs it.
 //!
-//! Symptom: all replicas of every shard end within a moment, one after another, under one caller's query.
-//! Sequence: the query goes to one replica of each shard; each ends while it runs it; the agent takes the lost connections for
-//! failures of the replicas and asks the next ones; the caller asks again, with the same result.
-//! Cause: the same as in the gateway: a lost connection told nothing of the request that it was lost under.
+//! They guard against one caller's query crashing all replicas of every shard, one after another. The query goes to
+//! one replica of each shard, and each crashes while running it. The agent took the lost connections for failures of
+//! the replicas and sent the query to the next ones, and the caller retried with the same result. As in the gateway,
+//! a lost connection was not attributed to the request that was running on it.
 
 use std::sync::Arc;
 
@@ -11,23 +11,28 @@
 
 use crate::support::{
     backend::Script,
-    bed::{Bed, FIRST},
+    bed::{FIRST, TestBed},
 };
 
 const SHARDS: usize = 4;
 const REPLICAS: usize = 3;
-/// Back ends that end before a query is known for it: one of each shard, and two that show that it was the query.
-const MOST_CRASHES: usize = SHARDS + 2;
-const DEADLY: &str = "deadly";
+/// Maximum number of back ends that crash before the query is known to crash them: one of each shard, and two more
+/// that show that the query is the cause.
+const MAX_CRASHES: usize = SHARDS + 2;
+const CRASHING_TEXT: &str = "deadly";
 
-/// Back ends that end when they run [`DEADLY`], and reply to everything else; the budget bears every retry.
-async fn bed() -> Bed {
-    let bed = Bed::start(SHARDS, REPLICAS).await;
+/// Starts back ends that crash when they run [`CRASHING_TEXT`] and reply to everything else. The budget covers every
+/// retry.
+async fn start_crashing_bed() -> TestBed {
+    let bed = TestBed::start(SHARDS, REPLICAS).await;
     for backend in &bed.backends {
-        let deadly: Arc<[u8]> = DEADLY.as_bytes().into();
-        backend.choose(move |seen| {
-            let is_deadly = seen.body.windows(deadly.len()).any(|part| part == &*deadly);
-            if is_deadly {
+        let crashing_text: Arc<[u8]> = CRASHING_TEXT.as_bytes().into();
+        backend.script_with(move |received| {
+            let crashes = received
+                .body
+                .windows(crashing_text.len())
+                .any(|part| part == &*crashing_text);
+            if crashes {
                 Script::Crash
             } else {
                 Script::Reply
@@ -40,35 +45,39 @@
     bed
 }
 
-fn crashes(bed: &Bed) -> usize {
+fn crashed_count(bed: &TestBed) -> usize {
     let backends = bed.backends.iter();
     backends.filter(|backend| backend.has_crashed()).count()
 }
 
 #[tokio::test]
 async fn a_query_that_crashes_back_ends_leaves_most_of_them_running() {
-    let bed = bed().await;
+    let bed = start_crashing_bed().await;
     let agent = bed.agent().await;
     for _ in 0..5 {
-        let answer = agent.caller.search(DEADLY).await;
+        let answer = agent.caller.search(CRASHING_TEXT).await;
         assert_ne!(answer.envelope.outcome, Outcome::Done);
     }
-    assert!(crashes(&bed) <= MOST_CRASHES, "{} crashed", crashes(&bed));
-    // Whoever was in contact with a back end that ended may need a moment to see it.
+    assert!(
+        crashed_count(&bed) <= MAX_CRASHES,
+        "{} crashed",
+        crashed_count(&bed)
+    );
+    // The agent may detect only now that a back end it is connected to has crashed.
     let answer = agent.caller.search("pasta").await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
     assert!(answer.envelope.coverage.expect("coverage").is_complete());
 }
 
 #[tokio::test]
-async fn a_query_that_has_crashed_back_ends_is_refused_at_once() {
-    let bed = bed().await;
+async fn a_query_that_has_crashed_back_ends_is_refused_without_an_attempt() {
+    let bed = start_crashing_bed().await;
     let agent = bed.agent().await;
     for _ in 0..5 {
-        agent.caller.search(DEADLY).await;
+        agent.caller.search(CRASHING_TEXT).await;
     }
-    let before = crashes(&bed);
-    let answer = agent.caller.search(DEADLY).await;
+    let before = crashed_count(&bed);
+    let answer = agent.caller.search(CRASHING_TEXT).await;
     assert_eq!(answer.envelope.outcome, Outcome::NotRun);
-    assert_eq!(crashes(&bed), before);
+    assert_eq!(crashed_count(&bed), before);
 }
--- a/crates/sablehaven-agent/tests/agent/http_interface.rs
+++ b/crates/sablehaven-agent/tests/agent/http_interface.rs
@@ -1,4 +1,4 @@
-//! The caller interface: encodings, refusals before anything runs, statuses.
+//! Tests of the HTTP interface for callers: encodings, refusals before anything runs, and statuses.
 
 use prost_reflect::{DynamicMessage, Value};
 use sablehaven_agent::Reason;
@@ -7,56 +7,56 @@
 use serde_json::json;
 
 use crate::support::{
-    bed::{Bed, FIRST},
-    caller::{Once, read},
+    bed::{FIRST, TestBed},
+    caller::{OnceRequest, send_request},
     schema::{FILE, TEXT, service},
 };
 
 #[tokio::test]
-async fn a_body_that_does_not_fit_is_refused_with_the_field_named() {
-    let bed = Bed::start(2, 1).await;
+async fn a_body_that_does_not_match_the_schema_is_refused_with_the_field_name() {
+    let bed = TestBed::start(2, 1).await;
     let agent = bed.agent().await;
     for (body, field) in [
         (json!({ "text": "oil", "pages": 3 }), "pages"),
         (json!({ "text": "oil", "page": "many" }), "page"),
         (json!({ "text": 7 }), "text"),
     ] {
-        let answer = read(agent.caller.post("Search").json(&body)).await;
+        let answer = send_request(agent.caller.post("Search").json(&body)).await;
         assert_eq!(
             (answer.status, answer.envelope.outcome),
             (400, Outcome::NotRun)
         );
         assert!(answer.reason().contains(field), "{}", answer.reason());
     }
-    let empty = read(agent.caller.post("Get").json(&json!({}))).await;
+    let empty = send_request(agent.caller.post("Get").json(&json!({}))).await;
     assert_eq!(empty.status, 400);
     assert!(empty.reason().contains("id"), "{}", empty.reason());
-    assert_eq!(bed.attempts(), 0);
+    assert_eq!(bed.attempt_count(), 0);
 }
 
 #[tokio::test]
-async fn a_once_body_that_does_not_fit_reaches_neither_ledger_nor_back_end() {
-    let bed = Bed::start(1, 1).await;
+async fn an_invalid_body_of_a_once_request_reaches_neither_ledger_nor_back_end() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    let request = agent.caller.reserve_request(&Once::fresh());
-    let answer = read(request.json(&json!({ "id": "p", "quantity": -1 }))).await;
+    let request = agent.caller.reserve_request(&OnceRequest::unique());
+    let answer = send_request(request.json(&json!({ "id": "p", "quantity": -1 }))).await;
     assert_eq!(
         (answer.status, answer.envelope.outcome),
         (400, Outcome::NotRun)
     );
     assert!(answer.reason().contains("quantity"));
     assert!(bed.relay.lock().ledger.requests.is_empty());
-    assert_eq!(bed.attempts(), 0);
+    assert_eq!(bed.attempt_count(), 0);
 }
 
 #[tokio::test]
-async fn a_once_request_must_name_itself() {
-    let bed = Bed::start(1, 1).await;
+async fn a_once_request_requires_its_identifying_headers() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    let bare = agent.caller.post("Reserve").json(&json!({ "id": "p" }));
-    let mut request = bare;
+    let without_headers = agent.caller.post("Reserve").json(&json!({ "id": "p" }));
+    let mut request = without_headers;
     for header in [http::CALLER, http::REQUEST_ID, http::ISSUED_AT_MS] {
-        let answer = read(request.try_clone().expect("a plain body")).await;
+        let answer = send_request(request.try_clone().expect("a body that can be cloned")).await;
         assert_eq!(answer.status, 400);
         assert!(answer.reason().contains(header), "{}", answer.reason());
         request = request.header(header, "1");
@@ -65,8 +65,8 @@
 }
 
 #[tokio::test]
-async fn protobuf_in_gives_protobuf_out() {
-    let bed = Bed::start(2, 1).await;
+async fn a_protobuf_request_gets_a_protobuf_response() {
+    let bed = TestBed::start(2, 1).await;
     let agent = bed.agent().await;
     let schema = DeploymentSchema::parse(FILE, TEXT).expect("valid");
     let method = schema.method(&service(), "Search").expect("Search");
@@ -82,7 +82,7 @@
         response.headers()["content-type"],
         http::CONTENT_TYPE_PROTOBUF
     );
-    let bytes = response.bytes().await.expect("a whole body");
+    let bytes = response.bytes().await.expect("a complete body");
     let envelope = ProtobufEnvelope::read(&bytes).expect("an envelope");
     assert_eq!(envelope.outcome, Outcome::Done);
     assert_eq!(envelope.snapshot, Some(FIRST));
@@ -93,10 +93,10 @@
 }
 
 #[tokio::test]
-async fn a_resend_in_the_other_encoding_is_the_same_request() {
-    let bed = Bed::start(1, 1).await;
+async fn a_resend_in_another_encoding_is_the_same_request() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    let once = Once::fresh();
+    let once = OnceRequest::unique();
     let first = agent.caller.reserve(&once).await;
     let schema = DeploymentSchema::parse(FILE, TEXT).expect("valid");
     let method = schema.method(&service(), "Reserve").expect("Reserve");
@@ -105,10 +105,10 @@
     message.set_field_by_name("quantity", Value::U32(1));
     let request = agent
         .caller
-        .reserve_request(&once.again())
+        .reserve_request(&once.as_resend())
         .header("content-type", http::CONTENT_TYPE_PROTOBUF)
         .header("accept", http::CONTENT_TYPE_JSON);
-    // The builder's JSON body and content type are replaced.
+    // Replaces the JSON body and the content type that the builder has set.
     let (client, request) = request.build_split();
     let mut request = request.expect("valid");
     let content_type = http::CONTENT_TYPE_PROTOBUF.parse().expect("a header value");
@@ -119,16 +119,16 @@
         serde_json::from_slice(&response.bytes().await.expect("a body")).expect("an envelope");
     assert_eq!(resent.outcome, Outcome::Done);
     assert_eq!(resent.body, first.envelope.body);
-    assert_eq!(bed.attempts(), 1);
+    assert_eq!(bed.attempt_count(), 1);
 }
 
 #[tokio::test]
-async fn refusals_have_their_statuses() {
-    let bed = Bed::start(1, 1).await;
+async fn refusals_have_the_expected_http_statuses() {
+    let bed = TestBed::start(1, 1).await;
     let mut config = bed.config();
     config.limits.request_body_bytes = 100;
     let agent = bed.agent_with(config).await;
-    let unknown = read(agent.caller.post("Nothing").json(&json!({}))).await;
+    let unknown = send_request(agent.caller.post("Nothing").json(&json!({}))).await;
     assert_eq!(
         (unknown.status, unknown.envelope.outcome),
         (404, Outcome::NotRun)
@@ -138,26 +138,28 @@
         .post("Search")
         .header("content-type", "text/plain")
         .body("oil");
-    assert_eq!(read(text).await.status, 415);
+    assert_eq!(send_request(text).await.status, 415);
     let large = json!({ "text": "x".repeat(200) });
     assert_eq!(
-        read(agent.caller.post("Search").json(&large)).await.status,
+        send_request(agent.caller.post("Search").json(&large))
+            .await
+            .status,
         413
     );
     for deadline in ["0", "60001", "soon"] {
         let request = agent.caller.post("Search").json(&json!({}));
-        let answer = read(request.header(http::DEADLINE_MS, deadline)).await;
+        let answer = send_request(request.header(http::DEADLINE_MS, deadline)).await;
         assert_eq!(answer.status, 400, "{deadline}");
         assert!(answer.reason().contains(http::DEADLINE_MS));
     }
-    assert_eq!(bed.attempts(), 0);
+    assert_eq!(bed.attempt_count(), 0);
 }
 
 #[tokio::test]
-async fn before_the_first_configuration_nothing_runs() {
-    let bed = Bed::start(1, 1).await;
+async fn requests_are_refused_before_the_first_configuration() {
+    let bed = TestBed::start(1, 1).await;
     let mut config = bed.config();
-    // Nobody listens there.
+    // Nothing listens on this port.
     config.subscription.relays = vec!["127.0.0.1:1".parse().expect("an address")];
     let telemetry = sablehaven_telemetry::Telemetry::new("agent");
     let handle = sablehaven_agent::start(config, telemetry.clone())
@@ -175,14 +177,14 @@
 }
 
 #[test]
-fn only_what_is_true_of_the_request_is_said_of_a_resend() {
+fn a_refused_resend_is_not_reported_as_not_run() {
     assert_eq!(Reason::NoLease.outcome(), Outcome::NotRun);
     assert_eq!(Reason::NoLease.for_resend().outcome(), Outcome::Unknown);
     assert_eq!(Reason::InProgress.for_resend(), Reason::InProgress);
 }
 
 #[test]
-fn unknown_is_a_gateway_timeout_and_not_run_is_unavailable() {
+fn reasons_map_to_http_statuses() {
     assert_eq!(Reason::SentWithoutReply.status().as_u16(), 504);
     assert_eq!(Reason::Overloaded.status().as_u16(), 503);
     assert_eq!(Reason::RequestIdReused.status().as_u16(), 409);
--- a/crates/sablehaven-agent/tests/agent/main.rs
+++ b/crates/sablehaven-agent/tests/agent/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the agent over loopback: real agent, real subscription, scripted back ends and a
-//! scripted relay with its ledger.
+//! Tests of the agent over loopback, with a real agent and subscription, scripted back ends, and a
+//! scripted relay with a ledger.
 
 mod admission;
 mod coverage_rules;
--- a/crates/sablehaven-agent/tests/agent/once.rs
+++ b/crates/sablehaven-agent/tests/agent/once.rs
@@ -1,50 +1,53 @@
-//! Requests that may not be repeated: claim, lease, resends, refusals before the dispatch.
+//! Tests of at-most-once requests up to the dispatch: claims, leases, resends and refusals.
 
 use std::{sync::Arc, time::Duration};
 
 use sablehaven_types::{ClaimAnswer, Outcome};
 use tokio::sync::Semaphore;
 
-use crate::support::{backend::Script, bed::Bed, caller::Once, eventually};
+use crate::support::{backend::Script, bed::TestBed, caller::OnceRequest, eventually};
 
 #[tokio::test]
-async fn it_runs_and_the_outcome_is_recorded_before_the_answer() {
-    let bed = Bed::start(1, 1).await;
+async fn the_outcome_is_recorded_before_the_answer() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    let once = Once::fresh();
+    let once = OnceRequest::unique();
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(
         (answer.status, answer.envelope.outcome),
         (200, Outcome::Done)
     );
     assert!(bed.is_done(&once));
-    let seen = &bed.backends[0].seen()[0];
-    assert_eq!(seen.request_id.as_deref(), Some(once.key.request.as_str()));
+    let received = &bed.backends[0].received()[0];
+    assert_eq!(
+        received.request_id.as_deref(),
+        Some(once.key.request.as_str())
+    );
 }
 
 #[tokio::test]
-async fn it_is_claimed_before_the_dispatch() {
-    let bed = Bed::start(1, 1).await;
+async fn a_request_is_claimed_before_the_dispatch() {
+    let bed = TestBed::start(1, 1).await;
     let relay = bed.relay.clone();
-    bed.backends[0].choose(move |_| {
+    bed.backends[0].script_with(move |_| {
         let claimed = relay.lock().ledger.claims().len();
-        assert_eq!(claimed, 1, "the claim comes first");
+        assert_eq!(claimed, 1, "the request is claimed before the dispatch");
         Script::Reply
     });
     let agent = bed.agent().await;
-    let answer = agent.caller.reserve(&Once::fresh()).await;
+    let answer = agent.caller.reserve(&OnceRequest::unique()).await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
 }
 
 #[tokio::test]
 async fn a_resend_through_the_same_or_another_agent_gets_the_recorded_outcome() {
-    let bed = Bed::start(1, 1).await;
+    let bed = TestBed::start(1, 1).await;
     let first = bed.agent().await;
     let other = bed.agent().await;
-    let once = Once::fresh();
+    let once = OnceRequest::unique();
     let answer = first.caller.reserve(&once).await;
     for agent in [&first, &other] {
-        let resent = agent.caller.reserve(&once.again()).await;
+        let resent = agent.caller.reserve(&once.as_resend()).await;
         assert_eq!(resent.envelope.outcome, Outcome::Done);
         assert_eq!(resent.envelope.body, answer.envelope.body);
     }
@@ -52,18 +55,21 @@
 }
 
 #[tokio::test]
-async fn two_agents_with_the_same_request_at_once_run_it_once() {
-    let bed = Bed::start(1, 1).await;
+async fn a_request_sent_to_two_agents_concurrently_runs_once() {
+    let bed = TestBed::start(1, 1).await;
     let gate = Arc::new(Semaphore::new(0));
     bed.backends[0].always(Script::Gate(Arc::clone(&gate)));
     let first = bed.agent().await;
     let other = bed.agent().await;
-    let once = Once::fresh();
+    let once = OnceRequest::unique();
     let caller = first.caller.clone();
     let sent = once.clone();
     let running = tokio::spawn(async move { caller.reserve(&sent).await });
-    eventually("the first runs", || bed.backends[0].running() == 1).await;
-    let resent = other.caller.reserve(&once.again()).await;
+    eventually("the request of the first agent runs", || {
+        bed.backends[0].running() == 1
+    })
+    .await;
+    let resent = other.caller.reserve(&once.as_resend()).await;
     assert_eq!(
         (resent.status, resent.envelope.outcome),
         (504, Outcome::Unknown)
@@ -72,15 +78,15 @@
     gate.add_permits(1);
     let answer = running.await.expect("answered");
     assert_eq!(answer.envelope.outcome, Outcome::Done);
-    assert_eq!(bed.backends[0].seen().len(), 1);
+    assert_eq!(bed.backends[0].received().len(), 1);
 }
 
 #[tokio::test]
-async fn without_a_lease_it_is_refused_before_anything_happens() {
-    let bed = Bed::start(1, 1).await;
+async fn without_a_lease_a_request_is_refused_before_the_claim() {
+    let bed = TestBed::start(1, 1).await;
     bed.relay.lock().grants_leases = false;
     let agent = bed.agent().await;
-    let once = Once::fresh();
+    let once = OnceRequest::unique();
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(
         (answer.status, answer.envelope.outcome),
@@ -88,9 +94,9 @@
     );
     assert!(answer.envelope.retry_after_ms.is_some());
     assert!(bed.relay.lock().ledger.requests.is_empty());
-    assert_eq!(bed.attempts(), 0);
-    // A resend may have run before, so of it "not run" would not be true.
-    let resent = agent.caller.reserve(&once.again()).await;
+    assert_eq!(bed.attempt_count(), 0);
+    // The first request may have run, so `NotRun` could be false for a resend.
+    let resent = agent.caller.reserve(&once.as_resend()).await;
     assert_eq!(
         (resent.status, resent.envelope.outcome),
         (504, Outcome::Unknown)
@@ -98,53 +104,53 @@
 }
 
 #[tokio::test]
-async fn a_lost_claim_reply_is_asked_for_again_with_the_same_claim() {
-    let bed = Bed::start(1, 1).await;
-    bed.relay.lock().ledger.losses.claims = 2;
+async fn a_claim_is_resent_with_the_same_id_if_its_reply_is_lost() {
+    let bed = TestBed::start(1, 1).await;
+    bed.relay.lock().ledger.lost_replies.claims = 2;
     let agent = bed.agent().await;
-    let answer = agent.caller.reserve(&Once::fresh()).await;
+    let answer = agent.caller.reserve(&OnceRequest::unique()).await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
     let claims = bed.relay.lock().ledger.claims();
     assert_eq!(claims.len(), 3);
     assert!(claims.iter().all(|claim| *claim == claims[0]));
-    assert_eq!(bed.backends[0].seen().len(), 1);
+    assert_eq!(bed.backends[0].received().len(), 1);
 }
 
 #[tokio::test]
-async fn without_an_answer_of_the_ledger_nothing_is_dispatched() {
-    let bed = Bed::start(1, 1).await;
+async fn a_request_is_not_dispatched_if_the_ledger_does_not_answer() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    bed.relay.lock().ledger.losses.claims = u32::MAX;
-    let once = Once::fresh().within(Duration::from_millis(400));
+    bed.relay.lock().ledger.lost_replies.claims = u32::MAX;
+    let once = OnceRequest::unique().with_deadline(Duration::from_millis(400));
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(
         (answer.status, answer.envelope.outcome),
         (503, Outcome::NotRun)
     );
-    eventually("the claim is given back", || bed.is_released(&once)).await;
-    assert_eq!(bed.attempts(), 0);
-    // The claim is free again: the resend runs.
-    bed.relay.lock().ledger.losses.claims = 0;
-    let resent = agent.caller.reserve(&once.again()).await;
+    eventually("the claim is released", || bed.is_released(&once)).await;
+    assert_eq!(bed.attempt_count(), 0);
+    // The claim was released, so the resend runs.
+    bed.relay.lock().ledger.lost_replies.claims = 0;
+    let resent = agent.caller.reserve(&once.as_resend()).await;
     assert_eq!(resent.envelope.outcome, Outcome::Done);
 }
 
 #[tokio::test]
-async fn an_unreachable_ledger_leaves_a_resend_unknown() {
-    let bed = Bed::start(1, 1).await;
+async fn the_outcome_of_a_resend_is_unknown_if_the_ledger_is_unreachable() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
     bed.relay.lock().ledger.unreachable = true;
-    let mut once = Once::fresh().again();
+    let mut once = OnceRequest::unique().as_resend();
     once.deadline = Some(Duration::from_millis(300));
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(answer.envelope.outcome, Outcome::Unknown);
 }
 
 #[tokio::test]
-async fn the_same_id_with_another_body_is_refused() {
-    let bed = Bed::start(1, 1).await;
+async fn a_request_id_reused_with_another_body_is_refused() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    let once = Once::fresh();
+    let once = OnceRequest::unique();
     agent.caller.reserve(&once).await;
     let mut changed = once.clone();
     changed.id = "another pallet".to_owned();
@@ -153,39 +159,40 @@
         (answer.status, answer.envelope.outcome),
         (409, Outcome::NotRun)
     );
-    assert_eq!(bed.attempts(), 1);
+    assert_eq!(bed.attempt_count(), 1);
 }
 
+/// The ledger keeps no records below its horizon, so the request may have run before.
 #[tokio::test]
-async fn below_the_horizon_it_is_unknown_because_it_may_have_run() {
-    let bed = Bed::start(1, 1).await;
+async fn a_request_below_the_ledger_horizon_is_unknown() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    bed.relay.lock().ledger.forced = Some(ClaimAnswer::BelowHorizon { horizon_ms: 1 });
-    let answer = agent.caller.reserve(&Once::fresh()).await;
+    bed.relay.lock().ledger.forced_answer = Some(ClaimAnswer::BelowHorizon { horizon_ms: 1 });
+    let answer = agent.caller.reserve(&OnceRequest::unique()).await;
     assert_eq!(answer.envelope.outcome, Outcome::Unknown);
-    assert_eq!(bed.attempts(), 0);
+    assert_eq!(bed.attempt_count(), 0);
 }
 
 #[tokio::test]
-async fn refusals_of_the_ledger_are_not_run() {
+async fn requests_refused_by_the_ledger_are_not_run() {
     for forced in [
         ClaimAnswer::Full,
         ClaimAnswer::IssuedInFuture { limit_ms: 1 },
     ] {
-        let bed = Bed::start(1, 1).await;
+        let bed = TestBed::start(1, 1).await;
         let agent = bed.agent().await;
-        bed.relay.lock().ledger.forced = Some(forced);
-        let answer = agent.caller.reserve(&Once::fresh()).await;
+        bed.relay.lock().ledger.forced_answer = Some(forced);
+        let answer = agent.caller.reserve(&OnceRequest::unique()).await;
         assert_eq!(answer.envelope.outcome, Outcome::NotRun);
-        assert_eq!(bed.attempts(), 0);
+        assert_eq!(bed.attempt_count(), 0);
     }
 }
 
 #[tokio::test]
 async fn a_request_issued_long_ago_is_not_dispatched() {
-    let bed = Bed::start(1, 1).await;
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
-    let mut once = Once::fresh();
+    let mut once = OnceRequest::unique();
     once.key.issued_at_ms -= 10 * 60 * 1_000;
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(
@@ -193,5 +200,5 @@
         (409, Outcome::NotRun)
     );
     assert!(bed.is_released(&once));
-    assert_eq!(bed.attempts(), 0);
+    assert_eq!(bed.attempt_count(), 0);
 }
--- a/crates/sablehaven-agent/tests/agent/once_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/once_rules.rs
@@ -1,4 +1,4 @@
-//! The pure decisions about requests that may not be repeated.
+//! Tests of the decisions about at-most-once requests, without I/O.
 
 use std::time::{Duration, Instant};
 
@@ -17,21 +17,21 @@
 
 use crate::support::schema::{FILE, TEXT, service};
 
-const ALLOWED: Duration = Duration::from_secs(2);
+const TIME_ALLOWED: Duration = Duration::from_secs(2);
 
-fn check(frozen_monotonic: Duration, frozen_wall: Duration) -> DispatchCheck {
+fn dispatch_check(elapsed_monotonic: Duration, elapsed_wall: Duration) -> DispatchCheck {
     let arrived = ClockReading {
         monotonic: Instant::now(),
         wall_ms: 1_000_000,
     };
-    let wall = u64::try_from(frozen_wall.as_millis()).expect("short");
+    let elapsed_wall_ms = u64::try_from(elapsed_wall.as_millis()).expect("short");
     DispatchCheck {
         arrived,
         now: ClockReading {
-            monotonic: arrived.monotonic + frozen_monotonic,
-            wall_ms: arrived.wall_ms + wall,
+            monotonic: arrived.monotonic + elapsed_monotonic,
+            wall_ms: arrived.wall_ms + elapsed_wall_ms,
         },
-        time_allowed: ALLOWED,
+        time_allowed: TIME_ALLOWED,
         issued_at_ms: arrived.wall_ms - 10,
         issue_age_limit_ms: 60_000,
         lease_current: true,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn only_a_granted_claim_dispatches() {
+fn only_a_granted_claim_is_dispatched() {
     let answers = [
         ClaimAnswer::Granted,
         ClaimAnswer::Held,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_may_have_run_before_is_not_called_not_run() {
+fn a_request_that_may_have_run_before_is_unknown() {
     for answer in [
         ClaimAnswer::Held,
         ClaimAnswer::BelowHorizon { horizon_ms: 1 },
@@ -77,44 +77,44 @@
 }
 
 #[test]
-fn a_process_that_was_frozen_does_not_dispatch_whichever_clock_shows_it() {
+fn a_process_that_was_paused_does_not_dispatch_if_either_clock_shows_it() {
     let short = Duration::from_millis(5);
     let long = Duration::from_secs(3);
-    assert_eq!(check(short, short).check(), Ok(()));
-    // Stopped by a signal: both clocks went on.
+    assert_eq!(dispatch_check(short, short).check(), Ok(()));
+    // The process was stopped by a signal: both clocks advanced.
     assert_eq!(
-        check(long, long).check(),
+        dispatch_check(long, long).check(),
         Err(Reason::DeadlineBeforeDispatch)
     );
-    // The machine slept: the monotonic clock stood still.
+    // The machine was suspended: only the wall clock advanced.
     assert_eq!(
-        check(short, long).check(),
+        dispatch_check(short, long).check(),
         Err(Reason::DeadlineBeforeDispatch)
     );
-    // The wall clock was set back meanwhile.
+    // The wall clock was set back in the meantime: only the monotonic clock advanced.
     assert_eq!(
-        check(long, Duration::ZERO).check(),
+        dispatch_check(long, Duration::ZERO).check(),
         Err(Reason::DeadlineBeforeDispatch)
     );
     assert_eq!(
-        check(ALLOWED, short).check(),
+        dispatch_check(TIME_ALLOWED, short).check(),
         Err(Reason::DeadlineBeforeDispatch)
     );
 }
 
 #[test]
-fn an_old_issue_time_or_a_lost_lease_stops_the_dispatch() {
+fn an_old_issue_time_or_a_lost_lease_prevents_the_dispatch() {
     let short = Duration::from_millis(5);
-    let mut old = check(short, short);
+    let mut old = dispatch_check(short, short);
     old.issued_at_ms -= 60_000;
     assert_eq!(old.check(), Err(Reason::IssuedTooLongAgo));
-    let mut lost = check(short, short);
-    lost.lease_current = false;
-    assert_eq!(lost.check(), Err(Reason::NoLease));
+    let mut without_lease = dispatch_check(short, short);
+    without_lease.lease_current = false;
+    assert_eq!(without_lease.check(), Err(Reason::NoLease));
 }
 
 #[test]
-fn only_two_ends_prove_that_it_did_not_run() {
+fn only_a_failed_connect_or_an_echoed_refusal_is_not_run() {
     let address = "127.0.0.1:1".parse().expect("an address");
     let status = |status| TransportError::Status { address, status };
     let refused = |echoed| AttemptEnd::Refused {
@@ -129,13 +129,13 @@
         };
         assert_eq!(reason.outcome(), Outcome::NotRun);
     }
-    let unsure = [
+    let inconclusive = [
         refused(false),
         AttemptEnd::Failed(status(500)),
         AttemptEnd::Discarded(DiscardReason::WrongAttempt),
         AttemptEnd::Discarded(DiscardReason::Truncated),
     ];
-    for end in unsure {
+    for end in inconclusive {
         let decision = after_dispatch(end);
         assert!(
             matches!(decision, DispatchDecision::Unknown(_)),
@@ -148,10 +148,11 @@
 }
 
 #[test]
-fn the_fingerprint_depends_on_method_and_values_and_not_on_the_encoding() {
+fn the_fingerprint_depends_on_method_and_values_only() {
     let schema = DeploymentSchema::parse(FILE, TEXT).expect("valid");
     let method = schema.method(&service(), "Reserve").expect("Reserve");
-    let read = |json: &str| decode_json(&method.input, json.as_bytes()).expect("fits");
+    let read =
+        |json: &str| decode_json(&method.input, json.as_bytes()).expect("matches the schema");
     let first = read(r#"{ "id": "p", "quantity": 2 }"#);
     let reordered = read(r#"{ "quantity": 2, "id": "p" }"#);
     let mut built = DynamicMessage::new(method.input.clone());
--- a/crates/sablehaven-agent/tests/agent/replies.rs
+++ b/crates/sablehaven-agent/tests/agent/replies.rs
@@ -1,4 +1,4 @@
-//! Replies that do not belong to their attempt are discarded and counted, and never merged.
+//! Tests that replies that do not match their attempt are discarded and counted, and never merged.
 
 use std::time::Duration;
 
@@ -6,18 +6,22 @@
 
 use crate::support::{
     backend::{Script, WrongEcho},
-    bed::Bed,
+    bed::TestBed,
 };
 
-/// Lets one shard of two misbehave, and expects the other shard's reply alone, with the discarded
-/// reply counted.
-async fn is_discarded(script: Script, reason: &str) {
-    let bed = Bed::start(2, 1).await;
+/// Runs `script` on one of two shards and asserts that only the reply of the other is merged and that
+/// the discarded reply is counted under `reason`.
+async fn assert_discarded(script: Script, reason: &str) {
+    let bed = TestBed::start(2, 1).await;
     bed.backends[1].always(script);
     let agent = bed.agent().await;
     let answer = agent.caller.search("oil").await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
-    assert_eq!(answer.items().len(), 1, "only the sound shard is merged");
+    assert_eq!(
+        answer.items().len(),
+        1,
+        "only the reply of the other shard is merged"
+    );
     let coverage = answer.envelope.coverage.expect("coverage");
     assert_eq!(coverage.answered, vec![ShardId(0)]);
     assert_eq!(coverage.missing[0].reason, MissingReason::BadReply);
@@ -25,35 +29,35 @@
 }
 
 #[tokio::test]
-async fn a_reply_to_another_attempt_is_discarded() {
-    is_discarded(Script::Echo(WrongEcho::Attempt), "wrong_attempt").await;
+async fn a_reply_to_another_attempt_assert_discarded() {
+    assert_discarded(Script::WrongEcho(WrongEcho::Attempt), "wrong_attempt").await;
 }
 
 #[tokio::test]
-async fn a_reply_of_another_shard_is_discarded() {
-    is_discarded(Script::Echo(WrongEcho::Shard), "wrong_shard").await;
+async fn a_reply_of_another_shard_assert_discarded() {
+    assert_discarded(Script::WrongEcho(WrongEcho::Shard), "wrong_shard").await;
 }
 
 #[tokio::test]
-async fn a_reply_of_another_snapshot_is_discarded() {
-    is_discarded(Script::Echo(WrongEcho::Snapshot), "wrong_snapshot").await;
+async fn a_reply_of_another_snapshot_assert_discarded() {
+    assert_discarded(Script::WrongEcho(WrongEcho::Snapshot), "wrong_snapshot").await;
 }
 
 #[tokio::test]
-async fn a_reply_without_an_echo_is_discarded() {
-    is_discarded(Script::Echo(WrongEcho::Missing), "missing_echo").await;
+async fn a_reply_without_an_echo_assert_discarded() {
+    assert_discarded(Script::WrongEcho(WrongEcho::Missing), "missing_echo").await;
 }
 
 #[tokio::test]
-async fn a_truncated_reply_is_discarded() {
-    is_discarded(Script::Truncated, "truncated").await;
+async fn a_truncated_reply_assert_discarded() {
+    assert_discarded(Script::Truncated, "truncated").await;
 }
 
-/// Every byte has come, but the stream was reset before it said that it is whole.
+/// The whole body arrives, but the stream is reset before its end is signalled.
 #[tokio::test]
-async fn a_reply_that_breaks_off_is_not_merged() {
-    let bed = Bed::start(2, 1).await;
-    bed.backends[1].always(Script::BrokenOff);
+async fn a_reply_whose_stream_is_reset_is_not_merged() {
+    let bed = TestBed::start(2, 1).await;
+    bed.backends[1].always(Script::ResetAfterBody);
     let agent = bed.agent().await;
     let answer = agent.caller.search("oil").await;
     assert_eq!(answer.items().len(), 1);
@@ -62,33 +66,30 @@
 }
 
 #[tokio::test]
-async fn a_reply_that_is_no_message_is_discarded() {
-    is_discarded(Script::Garbage, "undecodable").await;
+async fn a_reply_that_is_no_message_assert_discarded() {
+    assert_discarded(Script::Garbage, "undecodable").await;
 }
 
 #[tokio::test]
-async fn a_reply_sent_twice_does_not_answer_the_next_caller() {
-    let bed = Bed::start(1, 1).await;
+async fn a_repeated_reply_does_not_answer_the_next_request() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
     let first = agent.caller.search("first").await;
     assert!(first.items()[0].starts_with("first "));
     bed.backends[0].always(Script::PreviousReply);
     let second = agent.caller.search("second").await;
-    assert_eq!(
-        second.envelope.body, None,
-        "nothing of the first caller's answer"
-    );
+    assert_eq!(second.envelope.body, None, "no part of the first answer");
     assert_eq!(agent.discarded("wrong_attempt"), 1);
 }
 
 #[tokio::test]
-async fn a_reply_after_the_deadline_is_in_no_answer() {
-    let bed = Bed::start(2, 1).await;
+async fn a_reply_after_the_deadline_is_not_used() {
+    let bed = TestBed::start(2, 1).await;
     bed.backends[0].always(Script::Delay(Duration::from_millis(400)));
     let agent = bed.agent().await;
     let answer = agent
         .caller
-        .search_within("oil", Duration::from_millis(150))
+        .search_with_deadline("oil", Duration::from_millis(150))
         .await;
     assert_eq!(answer.items().len(), 1);
     bed.backends[0].always(Script::Reply);
@@ -97,8 +98,8 @@
 }
 
 #[tokio::test]
-async fn a_reply_over_the_size_limit_is_discarded() {
-    let bed = Bed::start(1, 1).await;
+async fn a_reply_over_the_size_limit_assert_discarded() {
+    let bed = TestBed::start(1, 1).await;
     let mut config = bed.config();
     config.limits.reply_body_bytes = 8;
     let agent = bed.agent_with(config).await;
--- a/crates/sablehaven-agent/tests/agent/reply_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/reply_rules.rs
@@ -1,4 +1,4 @@
-//! Judging the head of a reply.
+//! Tests of the check of a reply's status and headers.
 
 use reqwest::{
     StatusCode,
@@ -27,7 +27,7 @@
     pairs.collect()
 }
 
-fn echo(attempt: &str, shard: &str, snapshot: &str) -> HeaderMap {
+fn echo_headers(attempt: &str, shard: &str, snapshot: &str) -> HeaderMap {
     headers(&[
         (http::ATTEMPT, attempt),
         (http::SHARD, shard),
@@ -35,7 +35,7 @@
     ])
 }
 
-fn judge(status: u16, headers: &HeaderMap) -> ReplyVerdict {
+fn check_head(status: u16, headers: &HeaderMap) -> ReplyVerdict {
     check_reply_head(
         &IDENTITY,
         StatusCode::from_u16(status).expect("a status"),
@@ -44,9 +44,12 @@
 }
 
 #[test]
-fn only_a_whole_echo_is_accepted() {
+fn only_a_complete_echo_is_accepted() {
     use DiscardReason::{MissingEcho, WrongAttempt, WrongShard, WrongSnapshot};
-    assert_eq!(judge(200, &echo("71", "5", "3.2")), ReplyVerdict::Accepted);
+    assert_eq!(
+        check_head(200, &echo_headers("71", "5", "3.2")),
+        ReplyVerdict::Accepted
+    );
     for (attempt, shard, snapshot, reason) in [
         ("72", "5", "3.2", WrongAttempt),
         ("71", "6", "3.2", WrongShard),
@@ -57,57 +60,57 @@
         ("x", "5", "3.2", MissingEcho),
         ("72", "6", "4.2", WrongAttempt),
     ] {
-        let judged = judge(200, &echo(attempt, shard, snapshot));
+        let verdict = check_head(200, &echo_headers(attempt, shard, snapshot));
         assert_eq!(
-            judged,
+            verdict,
             ReplyVerdict::Discarded(reason),
             "{attempt} {shard} {snapshot}"
         );
     }
     assert_eq!(
-        judge(200, &HeaderMap::new()),
+        check_head(200, &HeaderMap::new()),
         ReplyVerdict::Discarded(MissingEcho)
     );
 }
 
 #[test]
-fn the_headers_sent_are_those_a_reply_must_echo() {
+fn the_headers_of_an_attempt_are_a_valid_echo() {
     let sent = attempt_headers(&IDENTITY, std::time::Duration::from_micros(1_999));
-    assert_eq!(judge(200, &sent), ReplyVerdict::Accepted);
+    assert_eq!(check_head(200, &sent), ReplyVerdict::Accepted);
     assert_eq!(sent[http::DEADLINE_MS], "1", "rounded down");
 }
 
 #[test]
-fn a_refusal_needs_its_status_its_word_and_no_foreign_attempt() {
+fn a_refusal_requires_its_status_and_header_and_no_other_attempt_id() {
     for (status, word, refusal) in [
         (503, http::REFUSED_SHED, Refusal::Shed),
         (503, http::REFUSED_DRAINING, Refusal::Draining),
         (503, http::REFUSED_DEADLINE, Refusal::Deadline),
         (409, http::REFUSED_SNAPSHOT, Refusal::SnapshotGone),
     ] {
-        let mut given = headers(&[(http::REFUSED, word)]);
+        let mut refusal_headers = headers(&[(http::REFUSED, word)]);
         let refused = |echoed| ReplyVerdict::Refused { refusal, echoed };
-        assert_eq!(judge(status, &given), refused(false));
-        given.insert(http::ATTEMPT, HeaderValue::from_static("71"));
-        assert_eq!(judge(status, &given), refused(true));
-        given.insert(http::ATTEMPT, HeaderValue::from_static("70"));
+        assert_eq!(check_head(status, &refusal_headers), refused(false));
+        refusal_headers.insert(http::ATTEMPT, HeaderValue::from_static("71"));
+        assert_eq!(check_head(status, &refusal_headers), refused(true));
+        refusal_headers.insert(http::ATTEMPT, HeaderValue::from_static("70"));
         let foreign = ReplyVerdict::Discarded(DiscardReason::WrongAttempt);
-        assert_eq!(judge(status, &given), foreign);
+        assert_eq!(check_head(status, &refusal_headers), foreign);
     }
     let failed = |status| ReplyVerdict::Failed(StatusCode::from_u16(status).expect("a status"));
-    assert_eq!(judge(503, &HeaderMap::new()), failed(503));
+    assert_eq!(check_head(503, &HeaderMap::new()), failed(503));
     assert_eq!(
-        judge(503, &headers(&[(http::REFUSED, "tired")])),
+        check_head(503, &headers(&[(http::REFUSED, "tired")])),
         failed(503)
     );
     assert_eq!(
-        judge(500, &headers(&[(http::REFUSED, "shed")])),
+        check_head(500, &headers(&[(http::REFUSED, "shed")])),
         failed(500)
     );
 }
 
 #[test]
-fn signals_that_cannot_be_read_count_as_not_given() {
+fn invalid_server_signals_are_ignored() {
     let good = headers(&[
         (http::LOAD, "4"),
         (http::LOAD_AGE_MS, "250"),
--- a/crates/sablehaven-agent/tests/agent/rollover.rs
+++ b/crates/sablehaven-agent/tests/agent/rollover.rs
@@ -1,4 +1,4 @@
-//! One snapshot an answer: rollover and repartitioning under load never mix.
+//! Tests that an answer comes from a single snapshot during rollover and repartitioning under load.
 
 use std::{
     collections::BTreeSet,
@@ -14,10 +14,10 @@
 
 use crate::support::{
     backend::Script,
-    bed::{Bed, FIRST},
+    bed::{FIRST, TestBed},
     caller::Answer,
     eventually,
-    schema::{mark, service},
+    schema::{origin_label, service},
 };
 
 const REBUILT: SnapshotId = SnapshotId {
@@ -29,14 +29,14 @@
     partition_map: 2,
 };
 
-/// Every item carries the envelope's snapshot, and answered shards and items are alike.
+/// Asserts that every item comes from the snapshot in the envelope, with one item for each answered shard.
 fn assert_single_snapshot(answer: &Answer) {
     let snapshot = answer.envelope.snapshot.expect("a pinned snapshot");
     let coverage = answer.envelope.coverage.as_ref().expect("coverage");
     let expected = coverage
         .answered
         .iter()
-        .map(|shard| format!("q {}", mark(*shard, snapshot)));
+        .map(|shard| format!("q {}", origin_label(*shard, snapshot)));
     let items = answer
         .envelope
         .body
@@ -45,8 +45,8 @@
     assert_eq!(items, expected.collect::<Vec<_>>());
 }
 
-/// The bed's back ends under another partition map: the same servers, twice the shards.
-fn doubled(bed: &Bed, id: SnapshotId) -> ServiceConfiguration {
+/// Returns a configuration with twice as many shards on the same back ends.
+fn with_doubled_shards(bed: &TestBed, id: SnapshotId) -> ServiceConfiguration {
     let mut configuration = bed.configuration(id);
     let shards = configuration.snapshot.shards.clone();
     let count = u32::try_from(shards.len()).expect("few shards");
@@ -58,11 +58,11 @@
 }
 
 #[tokio::test]
-async fn rebuilds_and_repartitioning_under_load_never_mix() {
-    let bed = Arc::new(Bed::start(4, 2).await);
+async fn answers_never_mix_snapshots_during_rebuilds_and_repartitioning() {
+    let bed = Arc::new(TestBed::start(4, 2).await);
     for (backend, number) in bed.backends.iter().zip(0..) {
-        backend.forget_attempts();
-        // Replies that come one after the other, so that publications fall into running queries.
+        backend.stop_recording();
+        // Staggers the replies, so that configurations are published while queries run.
         backend.always(Script::Delay(Duration::from_millis(number)));
     }
     let agent = bed.agent().await;
@@ -90,49 +90,51 @@
             generation: generation - 1,
             partition_map: generation - 1,
         };
-        // Both are held for a while, as in a rollover; then the previous one goes.
+        // As in a rollover, the back ends hold both snapshots for a while and then drop the previous one.
         bed.backends
             .iter()
-            .for_each(|backend| backend.hold(&[previous, id]));
+            .for_each(|backend| backend.set_held_snapshots(&[previous, id]));
         let configuration = match generation % 2 {
-            0 => doubled(&bed, id),
+            0 => with_doubled_shards(&bed, id),
             _ => bed.configuration(id),
         };
         let version = bed.publish(configuration);
         let metric = "sablehaven_agent_configuration_version";
         agent.wait_for_metric(metric, version).await;
-        bed.backends.iter().for_each(|backend| backend.hold(&[id]));
+        bed.backends
+            .iter()
+            .for_each(|backend| backend.set_held_snapshots(&[id]));
         let is_used = || answered.lock().expect("not poisoned").contains(&id);
-        eventually("a caller is answered by the new snapshot", is_used).await;
+        eventually("a query is answered from the new snapshot", is_used).await;
     }
     stop.store(true, Ordering::SeqCst);
     for caller in callers {
-        caller.await.expect("no mixed answer");
+        caller.await.expect("every answer comes from one snapshot");
     }
 }
 
 #[tokio::test]
-async fn a_query_starts_again_when_its_generation_goes() {
-    let bed = Bed::start(3, 1).await;
+async fn a_query_restarts_if_its_generation_is_dropped() {
+    let bed = TestBed::start(3, 1).await;
     let gate = Arc::new(Semaphore::new(0));
     let held = Arc::clone(&gate);
-    // The pinned generation's last shard is held back until the new generation is in force.
-    bed.backends[2].choose(move |seen| match seen.snapshot == FIRST {
+    // Delays the last shard of the pinned generation until the new generation is in force.
+    bed.backends[2].script_with(move |received| match received.snapshot == FIRST {
         true => Script::Gate(Arc::clone(&held)),
         false => Script::Reply,
     });
     let agent = bed.agent().await;
     let caller = agent.caller.clone();
-    let asking = tokio::spawn(async move { caller.search("q").await });
+    let request_task = tokio::spawn(async move { caller.search("q").await });
     eventually("the last shard is asked", || bed.backends[2].running() == 1).await;
     bed.publish(bed.configuration(REBUILT));
     let version = bed.relay.lock().revision;
     agent
         .wait_for_metric("sablehaven_agent_configuration_version", version)
         .await;
-    bed.backends[2].hold(&[REBUILT]);
+    bed.backends[2].set_held_snapshots(&[REBUILT]);
     gate.add_permits(1);
-    let answer = asking.await.expect("answered");
+    let answer = request_task.await.expect("answered");
     assert_eq!(answer.envelope.snapshot, Some(REBUILT));
     assert!(
         answer
@@ -147,10 +149,10 @@
 }
 
 #[tokio::test]
-async fn without_a_newer_generation_the_shard_is_missing() {
-    let bed = Bed::start(3, 2).await;
-    bed.backends[2].hold(&[]);
-    bed.backends[3].hold(&[]);
+async fn a_shard_without_the_generation_is_missing_if_there_is_no_newer_one() {
+    let bed = TestBed::start(3, 2).await;
+    bed.backends[2].set_held_snapshots(&[]);
+    bed.backends[3].set_held_snapshots(&[]);
     let agent = bed.agent().await;
     let answer = agent.caller.search("q").await;
     let coverage = answer.envelope.coverage.as_ref().expect("coverage");
@@ -158,15 +160,15 @@
     assert_eq!(coverage.missing[0].shard, ShardId(1));
     assert_eq!(coverage.missing[0].reason, MissingReason::SnapshotGone);
     assert_single_snapshot(&answer);
-    let both = bed.backends[2].seen().len() + bed.backends[3].seen().len();
-    assert_eq!(both, 2, "each replica is asked once");
+    let attempt_count = bed.backends[2].received().len() + bed.backends[3].received().len();
+    assert_eq!(attempt_count, 2, "each replica is asked once");
 }
 
 #[tokio::test]
-async fn a_replica_that_lacks_the_generation_is_replaced_by_one_that_has_it() {
-    let bed = Bed::start(2, 2).await;
-    bed.backends[0].hold(&[]);
-    bed.backends[2].hold(&[]);
+async fn a_replica_without_the_generation_is_replaced_by_one_that_has_it() {
+    let bed = TestBed::start(2, 2).await;
+    bed.backends[0].set_held_snapshots(&[]);
+    bed.backends[2].set_held_snapshots(&[]);
     let agent = bed.agent().await;
     for _ in 0..20 {
         let answer = agent.caller.search("q").await;
@@ -175,51 +177,51 @@
 }
 
 #[tokio::test]
-async fn restarts_are_bounded() {
-    let bed = Bed::start(1, 1).await;
+async fn query_restarts_are_limited() {
+    let bed = TestBed::start(1, 1).await;
     let mut config = bed.config();
     config.limits.query_restarts = 0;
     let agent = bed.agent_with(config).await;
     let gate = Arc::new(Semaphore::new(0));
     bed.backends[0].always(Script::Gate(Arc::clone(&gate)));
     let caller = agent.caller.clone();
-    let asking = tokio::spawn(async move { caller.search("q").await });
+    let request_task = tokio::spawn(async move { caller.search("q").await });
     eventually("the shard is asked", || bed.backends[0].running() == 1).await;
     bed.publish(bed.configuration(REBUILT));
     let version = bed.relay.lock().revision;
     agent
         .wait_for_metric("sablehaven_agent_configuration_version", version)
         .await;
-    bed.backends[0].hold(&[REBUILT]);
+    bed.backends[0].set_held_snapshots(&[REBUILT]);
     gate.add_permits(1);
-    let answer = asking.await.expect("answered");
+    let answer = request_task.await.expect("answered");
     assert_eq!(answer.envelope.outcome, Outcome::NotRun);
     assert_eq!(answer.envelope.snapshot, Some(FIRST));
 }
 
 #[tokio::test]
 async fn a_lookup_follows_the_new_partition_map() {
-    let bed = Bed::start(2, 1).await;
+    let bed = TestBed::start(2, 1).await;
     let agent = bed.agent().await;
-    bed.publish(doubled(&bed, REPARTITIONED));
+    bed.publish(with_doubled_shards(&bed, REPARTITIONED));
     let version = bed.relay.lock().revision;
     agent
         .wait_for_metric("sablehaven_agent_configuration_version", version)
         .await;
     let answer = agent.caller.get("depot-7").await;
     assert_eq!(answer.envelope.snapshot, Some(REPARTITIONED));
-    let seen: Vec<_> = bed
+    let received: Vec<_> = bed
         .backends
         .iter()
-        .flat_map(|backend| backend.seen())
+        .flat_map(|backend| backend.received())
         .collect();
-    assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].snapshot, REPARTITIONED);
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].snapshot, REPARTITIONED);
 }
 
 #[tokio::test]
-async fn a_schema_change_is_taken_while_running() {
-    let bed = Bed::start(1, 1).await;
+async fn a_schema_change_is_applied_at_run_time() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
     let before = agent
         .caller
@@ -245,8 +247,8 @@
 }
 
 #[tokio::test]
-async fn a_schema_that_does_not_parse_leaves_the_one_before_in_force() {
-    let bed = Bed::start(1, 1).await;
+async fn an_invalid_schema_leaves_the_previous_one_in_force() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
     bed.relay
         .publish(|state| state.schema_text = "no schema".to_owned());
@@ -254,23 +256,23 @@
     agent.wait_for_metric(metric, 1).await;
     let answer = agent
         .caller
-        .search_within("q", Duration::from_secs(10))
+        .search_with_deadline("q", Duration::from_secs(10))
         .await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
 }
 
-/// Control is told that an agent has a configuration as soon as its subscription does; a request
-/// that starts after that is served by nothing older.
+/// An agent acknowledges a configuration to control as soon as its subscription has it. A request that
+/// starts after that must not be served by an older one.
 #[tokio::test]
 async fn a_request_after_the_acknowledgement_is_served_by_the_new_configuration() {
-    let bed = Bed::start(2, 1).await;
+    let bed = TestBed::start(2, 1).await;
     let agent = bed.agent().await;
     for generation in 2..6 {
         let id = SnapshotId {
             generation,
             partition_map: 1,
         };
-        // A schema that takes long to parse, so that a request could overtake it.
+        // Makes the schema slow to parse, so that a request could be served before it is applied.
         let filler = (0..150).map(|number| {
             format!("message Filler{generation}x{number} {{ string a = 1; string b = 2; }}\n")
         });
@@ -279,7 +281,10 @@
             state.schema_text.push_str(&filler);
             state.services.insert(service(), bed.configuration(id));
         });
-        eventually("acknowledged", || bed.relay.lock().acknowledged >= version).await;
+        eventually("the revision is acknowledged", || {
+            bed.relay.lock().acknowledged_revision >= version
+        })
+        .await;
         let answer = agent.caller.search("q").await;
         assert_eq!(answer.envelope.snapshot, Some(id));
         assert!(answer.envelope.configuration.version >= version);
--- a/crates/sablehaven-agent/tests/agent/settings.rs
+++ b/crates/sablehaven-agent/tests/agent/settings.rs
@@ -1,8 +1,8 @@
-//! Settings: defaults, and what cannot be used is named.
+//! Tests of the settings: defaults, and errors that name the invalid setting.
 
 use sablehaven_agent::Config;
 
-fn valid() -> Config {
+fn valid_config() -> Config {
     let mut config = Config {
         deployment: "test".to_owned(),
         placement: crate::support::bed::placement(),
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn the_defaults_lack_only_names_and_relays() {
-    assert_eq!(valid().validate("agent"), Vec::new());
+fn the_defaults_are_valid_except_for_names_and_relays() {
+    assert_eq!(valid_config().validate("agent"), Vec::new());
     let errors = Config::default().validate("agent");
     let keys: Vec<_> = errors.iter().map(|error| error.key.as_str()).collect();
     let expected = [
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_value_out_of_range_is_named_with_its_range() {
-    let mut config = valid();
+fn an_error_names_the_setting_and_its_range() {
+    let mut config = valid_config();
     config.limits.attempts_per_sub_request = 0;
     config.timing.issue_age_limit_ms = 1;
     let errors = config.validate("agent");
--- a/crates/sablehaven-agent/tests/agent/stopping.rs
+++ b/crates/sablehaven-agent/tests/agent/stopping.rs
@@ -1,15 +1,15 @@
-//! A planned stop interrupts no request in flight.
+//! Tests that a planned stop does not interrupt requests in flight.
 
 use std::{sync::Arc, time::Duration};
 
 use sablehaven_types::Outcome;
 use tokio::sync::Semaphore;
 
-use crate::support::{backend::Script, bed::Bed, caller::Once, eventually};
+use crate::support::{backend::Script, bed::TestBed, caller::OnceRequest, eventually};
 
 #[tokio::test]
-async fn requests_in_flight_are_finished_and_then_the_subscription_is_left() {
-    let bed = Bed::start(2, 1).await;
+async fn requests_in_flight_finish_before_the_agent_leaves_its_subscription() {
+    let bed = TestBed::start(2, 1).await;
     let gate = Arc::new(Semaphore::new(0));
     let held = Script::Gate(Arc::clone(&gate));
     bed.backends
@@ -19,7 +19,7 @@
     let caller = agent.caller.clone();
     let query = tokio::spawn(async move { caller.search("q").await });
     let caller = agent.caller.clone();
-    let once = Once::fresh();
+    let once = OnceRequest::unique();
     let sent = once.clone();
     let reserve = tokio::spawn(async move { caller.reserve(&sent).await });
     let running = || {
@@ -33,7 +33,7 @@
 
     let telemetry = agent.telemetry.clone();
     let stopping = tokio::spawn(agent.handle.stop());
-    eventually("not ready", || !telemetry.is_ready()).await;
+    eventually("the agent is not ready", || !telemetry.is_ready()).await;
     gate.add_permits(3);
     let query = query.await.expect("answered");
     assert!(query.envelope.coverage.expect("coverage").is_complete());
@@ -41,18 +41,21 @@
     assert_eq!(reserve.envelope.outcome, Outcome::Done);
     stopping.await.expect("stopped");
     assert!(bed.is_done(&once));
-    eventually("the subscription is left", || bed.relay.lock().left == 1).await;
+    eventually("the agent leaves the subscription", || {
+        bed.relay.lock().leave_count == 1
+    })
+    .await;
 }
 
 #[tokio::test]
-async fn during_the_notice_callers_are_served_and_told_to_reconnect() {
-    let bed = Bed::start(1, 1).await;
+async fn during_the_stop_notice_callers_are_served_and_told_to_reconnect() {
+    let bed = TestBed::start(1, 1).await;
     let mut config = bed.config();
     config.timing.stop_notice_ms = 60_000;
     let agent = bed.agent_with(config).await;
     let telemetry = agent.telemetry.clone();
     let stopping = tokio::spawn(agent.handle.stop());
-    eventually("not ready", || !telemetry.is_ready()).await;
+    eventually("the agent is not ready", || !telemetry.is_ready()).await;
     let answer = agent.caller.search("q").await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
     let connection = answer
@@ -64,22 +67,22 @@
 }
 
 #[tokio::test]
-async fn after_the_stop_nobody_listens() {
-    let bed = Bed::start(1, 1).await;
+async fn connections_are_refused_after_the_stop() {
+    let bed = TestBed::start(1, 1).await;
     let agent = bed.agent().await;
     agent.handle.stop().await;
     let request = agent.caller.post("Search").json(&serde_json::json!({}));
-    let error = request.send().await.expect_err("nobody listens");
+    let error = request.send().await.expect_err("connection refused");
     assert!(error.is_connect());
 }
 
 #[tokio::test]
-async fn an_outcome_is_recorded_though_its_caller_went_away_before_the_stop() {
-    let bed = Bed::start(1, 1).await;
+async fn the_outcome_of_a_timed_out_request_is_recorded_before_the_stop() {
+    let bed = TestBed::start(1, 1).await;
     let gate = Arc::new(Semaphore::new(0));
     bed.backends[0].always(Script::Gate(Arc::clone(&gate)));
     let agent = bed.agent().await;
-    let once = Once::fresh().within(Duration::from_millis(200));
+    let once = OnceRequest::unique().with_deadline(Duration::from_millis(200));
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(answer.envelope.outcome, Outcome::Unknown);
     let stopping = tokio::spawn(agent.handle.stop());
--- a/crates/sablehaven-agent/tests/agent/sub_request_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/sub_request_rules.rs
@@ -1,4 +1,4 @@
-//! The decisions of one sub-request, with a scripted routing policy.
+//! Tests of the decisions of a sub-request, with a scripted routing policy.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
     BackendId, IndexSnapshot, MissingReason, ShardAssignment, ShardId, SnapshotId,
 };
 
-use crate::support::policy::{HEDGE_AFTER, Scripted};
+use crate::support::policy::{HEDGE_AFTER, ScriptedPolicy};
 
 const NOW: Duration = Duration::from_secs(1);
 const SHARD: ShardId = ShardId(3);
 
-fn pinned(replicas: &[&str]) -> IndexSnapshot {
+fn pinned_snapshot(replicas: &[&str]) -> IndexSnapshot {
     IndexSnapshot {
         id: SnapshotId {
             generation: 1,
@@ -33,12 +33,12 @@
     }
 }
 
-fn drive(
-    policy: &mut Scripted,
+fn run_sub_request(
+    policy: &mut ScriptedPolicy,
     attempts: u32,
     failures: &[AttemptFailure],
 ) -> (SubRequest, Vec<Step>) {
-    let snapshot = pinned(&[]);
+    let snapshot = pinned_snapshot(&[]);
     let mut router = PinnedRouter::current(policy, &snapshot);
     let mut sub_request = SubRequest::new(SHARD, attempts);
     let mut steps = vec![sub_request.start(&mut router, NOW)];
@@ -48,7 +48,7 @@
     (sub_request, steps)
 }
 
-fn sent_to(step: &Step) -> Option<&str> {
+fn chosen_backend(step: &Step) -> Option<&str> {
     match step {
         Step::Send { chosen, .. } => Some(chosen.backend.as_str()),
         _ => None,
@@ -57,47 +57,47 @@
 
 #[test]
 fn a_retry_goes_to_another_replica_and_takes_from_the_budget() {
-    let mut policy = Scripted::new(3, 1);
-    let (_, steps) = drive(
+    let mut policy = ScriptedPolicy::new(3, 1);
+    let (_, steps) = run_sub_request(
         &mut policy,
         3,
         &[AttemptFailure::Failed, AttemptFailure::Failed],
     );
-    assert_eq!(sent_to(&steps[0]), Some("b0"));
-    assert_eq!(sent_to(&steps[1]), Some("b1"));
+    assert_eq!(chosen_backend(&steps[0]), Some("b0"));
+    assert_eq!(chosen_backend(&steps[1]), Some("b1"));
     assert_eq!(
         steps[2],
         Step::GiveUp(MissingReason::Failed),
         "the budget is empty"
     );
-    assert_eq!(policy.taken, [ExtraAttemptKind::Retry]);
+    assert_eq!(policy.extra_attempts, [ExtraAttemptKind::Retry]);
 }
 
 #[test]
-fn a_refusal_without_work_needs_no_budget() {
+fn a_retry_after_a_refusal_without_work_needs_no_budget() {
     let without_work = [
         AttemptFailure::Draining,
         AttemptFailure::SnapshotGone,
         AttemptFailure::NotConnected,
     ];
     for failure in without_work {
-        let mut policy = Scripted::new(2, 0);
-        let (_, steps) = drive(&mut policy, 3, &[failure]);
-        assert_eq!(sent_to(&steps[1]), Some("b1"), "{failure:?}");
+        let mut policy = ScriptedPolicy::new(2, 0);
+        let (_, steps) = run_sub_request(&mut policy, 3, &[failure]);
+        assert_eq!(chosen_backend(&steps[1]), Some("b1"), "{failure:?}");
     }
-    let mut policy = Scripted::new(2, 0);
-    let (_, steps) = drive(&mut policy, 3, &[AttemptFailure::Shed]);
+    let mut policy = ScriptedPolicy::new(2, 0);
+    let (_, steps) = run_sub_request(&mut policy, 3, &[AttemptFailure::Shed]);
     assert_eq!(
         steps[1],
         Step::GiveUp(MissingReason::Shed),
-        "a pressed back end does"
+        "a retry after shedding requires budget"
     );
 }
 
 #[test]
-fn attempts_are_bounded() {
-    let mut policy = Scripted::new(9, 9);
-    let (_, steps) = drive(
+fn attempts_are_limited() {
+    let mut policy = ScriptedPolicy::new(9, 9);
+    let (_, steps) = run_sub_request(
         &mut policy,
         2,
         &[AttemptFailure::Shed, AttemptFailure::Shed],
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_reason_is_the_common_one_or_the_most_telling() {
+fn the_reason_is_the_common_or_the_most_informative_one() {
     use AttemptFailure::{BadReply, Draining, Failed, Shed, SnapshotGone};
     for (failures, reason) in [
         (
@@ -118,33 +118,33 @@
         (vec![Failed, BadReply], MissingReason::BadReply),
         (vec![Draining, Draining], MissingReason::NoReplica),
     ] {
-        let mut policy = Scripted::new(2, 9);
-        let (_, steps) = drive(&mut policy, 9, &failures);
+        let mut policy = ScriptedPolicy::new(2, 9);
+        let (_, steps) = run_sub_request(&mut policy, 9, &failures);
         assert_eq!(steps.last(), Some(&Step::GiveUp(reason)), "{failures:?}");
     }
 }
 
 #[test]
-fn a_hedge_that_the_budget_refuses_is_tried_again_later() {
-    let snapshot = pinned(&[]);
-    let mut policy = Scripted::new(2, 0);
+fn a_hedge_refused_by_the_budget_is_tried_again_later() {
+    let snapshot = pinned_snapshot(&[]);
+    let mut policy = ScriptedPolicy::new(2, 0);
     let mut sub_request = SubRequest::new(SHARD, 3);
     let mut router = PinnedRouter::current(&mut policy, &snapshot);
     sub_request.start(&mut router, NOW);
     let refused = sub_request.hedge_due(&mut router, NOW);
     let hedge_after = Some(HEDGE_AFTER);
     assert_eq!(refused, Step::Wait { hedge_after });
-    policy.budget = 1;
+    policy.extra_budget = 1;
     let mut router = PinnedRouter::current(&mut policy, &snapshot);
     let allowed = sub_request.hedge_due(&mut router, NOW);
-    assert_eq!(sent_to(&allowed), Some("b1"));
-    assert_eq!(policy.taken, [ExtraAttemptKind::Hedge]);
+    assert_eq!(chosen_backend(&allowed), Some("b1"));
+    assert_eq!(policy.extra_attempts, [ExtraAttemptKind::Hedge]);
 }
 
 #[test]
 fn a_failed_attempt_is_not_retried_while_its_hedge_runs() {
-    let snapshot = pinned(&[]);
-    let mut policy = Scripted::new(3, 9);
+    let snapshot = pinned_snapshot(&[]);
+    let mut policy = ScriptedPolicy::new(3, 9);
     let mut sub_request = SubRequest::new(SHARD, 3);
     let mut router = PinnedRouter::current(&mut policy, &snapshot);
     sub_request.start(&mut router, NOW);
@@ -152,16 +152,16 @@
     let step = sub_request.attempt_failed(&mut router, NOW, AttemptFailure::Failed);
     assert!(matches!(step, Step::Wait { .. }));
     let step = sub_request.attempt_failed(&mut router, NOW, AttemptFailure::Failed);
-    assert_eq!(sent_to(&step), Some("b2"));
+    assert_eq!(chosen_backend(&step), Some("b2"));
 }
 
-/// A request whose policy has moved on to another partition map must not be sent to a replica that
-/// the pinned map does not name for the shard.
+/// If the policy has switched to another partition map, a request must not be sent to a replica that the
+/// pinned map does not assign to the shard.
 #[test]
-fn a_moved_on_policy_may_only_choose_a_pinned_replica() {
-    let mut policy: Box<dyn RoutingPolicy> = Box::new(Scripted::new(1, 9));
+fn a_policy_on_another_map_may_only_choose_a_pinned_replica() {
+    let mut policy: Box<dyn RoutingPolicy> = Box::new(ScriptedPolicy::new(1, 9));
     for (replicas, expected) in [(vec!["b0"], true), (vec!["b7"], false)] {
-        let snapshot = pinned(&replicas);
+        let snapshot = pinned_snapshot(&replicas);
         let mut state = sablehaven_agent::routing::PolicyState {
             policy,
             snapshot: std::sync::Arc::new(IndexSnapshot {
@@ -181,10 +181,10 @@
     }
 }
 
-/// Whatever happens in whatever order: nothing is awaited that will not come, no replica is asked
-/// twice, and attempts stay within their number and the budget.
+/// For every order of events, a sub-request waits only while attempts are in flight, asks no replica twice,
+/// and stays within the limits for attempts and extra attempts.
 #[test]
-fn no_order_of_events_leaves_a_sub_request_waiting_for_nothing() {
+fn a_sub_request_never_waits_without_attempts_in_flight() {
     let failures = prop::sample::select(vec![
         AttemptFailure::Shed,
         AttemptFailure::Draining,
@@ -201,8 +201,8 @@
         ..ProptestConfig::default()
     });
     let result = runner.run(&inputs, |(replicas, budget, attempts, events)| {
-        let snapshot = pinned(&[]);
-        let mut policy = Scripted::new(replicas, budget);
+        let snapshot = pinned_snapshot(&[]);
+        let mut policy = ScriptedPolicy::new(replicas, budget);
         let mut router = PinnedRouter::current(&mut policy, &snapshot);
         let mut sub_request = SubRequest::new(SHARD, attempts);
         let mut asked = Vec::new();
@@ -230,7 +230,7 @@
             };
         }
         prop_assert!(sub_request.attempts() <= attempts);
-        prop_assert!(policy.taken.len() <= budget as usize);
+        prop_assert!(policy.extra_attempts.len() <= budget as usize);
         Ok(())
     });
     result.expect("holds for every order");
--- a/crates/sablehaven-agent/tests/agent/support/backend.rs
+++ b/crates/sablehaven-agent/tests/agent/support/backend.rs
@@ -1,4 +1,4 @@
-//! A back end that does what a script says.
+//! A scripted back end.
 
 use std::{
     collections::HashMap,
@@ -23,38 +23,38 @@
 
 use super::schema;
 
-/// What the back end does with one attempt.
+/// How the back end handles an attempt.
 #[derive(Clone)]
 pub enum Script {
-    /// Replies at once.
+    /// Replies immediately.
     Reply,
-    /// Replies after a time, if the snapshot is still held then.
+    /// Replies after a delay if the snapshot is still held then.
     Delay(Duration),
     /// Never replies.
-    Never,
-    /// Replies once the gate has a permit, if the snapshot is still held then.
+    NeverReply,
+    /// Replies once the semaphore has a permit, if the snapshot is still held then.
     Gate(Arc<Semaphore>),
-    /// Refuses with a word; echoes the attempt if told so.
-    Refuse { word: &'static str, echo: bool },
-    /// Replies with a changed echo.
-    Echo(WrongEcho),
-    /// Announces a whole body and breaks off in its middle.
+    /// Refuses with `reason` in the header; echoes the attempt ID if `echo` is set.
+    Refuse { reason: &'static str, echo: bool },
+    /// Replies with an incorrect echo.
+    WrongEcho(WrongEcho),
+    /// Sends the length of the whole body but only half of the body.
     Truncated,
-    /// Sends the whole body, does not say that it is whole, and breaks off.
-    BrokenOff,
-    /// Replies with bytes that are no message.
+    /// Sends the whole body and resets the stream instead of ending it.
+    ResetAfterBody,
+    /// Replies with bytes that cannot be decoded as a message.
     Garbage,
-    /// Replies, and says that it drains.
+    /// Replies and signals that the back end is draining.
     ReplyDraining,
-    /// A status that is no refusal.
+    /// Replies with an HTTP status and no refusal header.
     Status(u16),
-    /// Replies with the echo and body of the attempt before this one.
+    /// Replies with the attempt ID and body of the previous attempt.
     PreviousReply,
-    /// Ends the back end: every connection breaks, and new ones are refused.
+    /// Crashes the back end: closes all connections and refuses new ones.
     Crash,
 }
 
-/// How an echo is wrong.
+/// Which part of an echo is incorrect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WrongEcho {
     Attempt,
@@ -63,9 +63,9 @@
     Missing,
 }
 
-/// One attempt as the back end saw it.
+/// An attempt as received by the back end.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedAttempt {
     pub method: String,
     pub attempt: u64,
     pub shard: ShardId,
@@ -75,13 +75,13 @@
     pub body: Bytes,
 }
 
-type Chooser = Box<dyn Fn(&Seen) -> Script + Send + Sync>;
+type ScriptFn = Box<dyn Fn(&ReceivedAttempt) -> Script + Send + Sync>;
 
 struct State {
-    script: Mutex<Chooser>,
-    seen: Mutex<Vec<Seen>>,
+    script: Mutex<ScriptFn>,
+    received: Mutex<Vec<ReceivedAttempt>>,
     count: AtomicU64,
-    forgets: AtomicBool,
+    is_recording_stopped: AtomicBool,
     replied: AtomicU64,
     running: AtomicUsize,
     cancelled: AtomicUsize,
@@ -103,9 +103,9 @@
         let address = acceptor.inner().local_addr().expect("bound");
         let state = Arc::new(State {
             script: Mutex::new(Box::new(|_| Script::Reply)),
-            seen: Mutex::default(),
+            received: Mutex::default(),
             count: AtomicU64::new(0),
-            forgets: AtomicBool::new(false),
+            is_recording_stopped: AtomicBool::new(false),
             replied: AtomicU64::new(0),
             running: AtomicUsize::new(0),
             cancelled: AtomicUsize::new(0),
@@ -113,13 +113,13 @@
             server: OnceLock::new(),
             has_crashed: AtomicBool::new(false),
         });
-        let handler = Attempts {
+        let handler = AttemptHandler {
             state: Arc::clone(&state),
         };
         let router = Router::with_path("{service}/{method}").post(handler);
         let server = Server::new(acceptor);
         let handle = server.handle();
-        // Nobody else sets it.
+        // Cannot fail: it is set only here.
         let _ = state.server.set(server.handle());
         tokio::spawn(server.serve(router));
         Self {
@@ -129,57 +129,62 @@
         }
     }
 
-    /// Does the same with every attempt.
+    /// Runs `script` for every attempt.
     pub fn always(&self, script: Script) {
-        self.choose(move |_| script.clone());
+        self.script_with(move |_| script.clone());
     }
 
-    /// Decides attempt by attempt.
-    pub fn choose(&self, chooser: impl Fn(&Seen) -> Script + Send + Sync + 'static) {
-        *self.state.script.lock().expect("not poisoned") = Box::new(chooser);
+    /// Sets a function that returns the script for each attempt.
+    pub fn script_with(
+        &self,
+        script_fn: impl Fn(&ReceivedAttempt) -> Script + Send + Sync + 'static,
+    ) {
+        *self.state.script.lock().expect("not poisoned") = Box::new(script_fn);
     }
 
-    /// Holds only these snapshots; others are refused as a back end must.
-    pub fn hold(&self, snapshots: &[SnapshotId]) {
+    /// Sets the snapshots that the back end holds. Attempts for others are refused, as a back end must.
+    pub fn set_held_snapshots(&self, snapshots: &[SnapshotId]) {
         *self.state.held.lock().expect("not poisoned") = Some(snapshots.to_vec());
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
-        self.state.seen.lock().expect("not poisoned").clone()
+    pub fn received(&self) -> Vec<ReceivedAttempt> {
+        self.state.received.lock().expect("not poisoned").clone()
     }
 
-    /// Keeps no record of attempts from now on, for long runs.
-    pub fn forget_attempts(&self) {
-        self.state.forgets.store(true, Ordering::SeqCst);
+    /// Stops recording attempts, to limit the memory used by long runs.
+    pub fn stop_recording(&self) {
+        self.state
+            .is_recording_stopped
+            .store(true, Ordering::SeqCst);
     }
 
-    /// The number of attempts seen.
-    pub fn count(&self) -> u64 {
+    /// The number of attempts received.
+    pub fn attempt_count(&self) -> u64 {
         self.state.count.load(Ordering::SeqCst)
     }
 
-    /// Attempts that were accepted and worked on to the end.
+    /// The number of attempts that were accepted and executed to the end.
     pub fn replied(&self) -> u64 {
         self.state.replied.load(Ordering::SeqCst)
     }
 
-    /// Attempts that are worked on now.
+    /// The number of attempts in progress.
     pub fn running(&self) -> usize {
         self.state.running.load(Ordering::SeqCst)
     }
 
-    /// Attempts whose stream was reset by the agent.
+    /// The number of attempts whose stream was reset by the agent.
     pub fn cancelled(&self) -> usize {
         self.state.cancelled.load(Ordering::SeqCst)
     }
 
-    /// Whether a request has ended it.
+    /// Whether an attempt has crashed the back end.
     pub fn has_crashed(&self) -> bool {
         self.state.has_crashed.load(Ordering::SeqCst)
     }
 
-    /// Breaks every connection and listens no more.
-    pub fn lose(&self) {
+    /// Closes all connections and stops listening.
+    pub fn shut_down(&self) {
         self.server.stop_forceful();
     }
 }
@@ -190,23 +195,23 @@
     }
 }
 
-/// Plays the script for the next attempt, at whichever replica it arrives, and replies to all others.
-pub fn first_attempt(backends: &[BackendDouble], script: Script) {
-    let played = Arc::new(AtomicBool::new(false));
+/// Runs `script` for the next attempt, at whichever replica it arrives, and replies to all others.
+pub fn script_first_attempt(backends: &[BackendDouble], script: Script) {
+    let has_run = Arc::new(AtomicBool::new(false));
     for backend in backends {
-        let (played, script) = (Arc::clone(&played), script.clone());
-        backend.choose(move |_| match played.swap(true, Ordering::SeqCst) {
+        let (has_run, script) = (Arc::clone(&has_run), script.clone());
+        backend.script_with(move |_| match has_run.swap(true, Ordering::SeqCst) {
             false => script.clone(),
             true => Script::Reply,
         });
     }
 }
 
-struct Attempts {
+struct AttemptHandler {
     state: Arc<State>,
 }
 
-/// Counts an attempt as cancelled unless it was disarmed.
+/// Counts the attempt as cancelled when dropped, unless disarmed.
 struct CancelGuard {
     state: Arc<State>,
     armed: bool,
@@ -222,7 +227,7 @@
 }
 
 #[async_trait]
-impl Handler for Attempts {
+impl Handler for AttemptHandler {
     async fn handle(
         &self,
         request: &mut Request,
@@ -230,55 +235,55 @@
         response: &mut Response,
         _control: &mut FlowCtrl,
     ) {
-        // An attempt that is cancelled before its body has come was not seen.
-        let Some(seen) = read(request).await else {
+        // An attempt that is cancelled before its body has arrived is not counted.
+        let Some(received) = read_attempt(request).await else {
             return;
         };
-        let previous = self.note(&seen);
-        let script = (self.state.script.lock().expect("not poisoned"))(&seen);
+        let previous = self.record_attempt(&received);
+        let script = (self.state.script.lock().expect("not poisoned"))(&received);
         self.state.running.fetch_add(1, Ordering::SeqCst);
         let mut guard = CancelGuard {
             state: Arc::clone(&self.state),
             armed: true,
         };
-        if self.lacks(&seen) {
+        if self.lacks_snapshot(&received) {
             guard.armed = false;
-            return refuse(response, http::REFUSED_SNAPSHOT, Some(seen.attempt));
+            return refuse(response, http::REFUSED_SNAPSHOT, Some(received.attempt));
         }
-        self.play(script, &seen, previous, response).await;
+        self.run_script(script, &received, previous, response).await;
         guard.armed = false;
     }
 }
 
-impl Attempts {
-    fn note(&self, seen: &Seen) -> Option<Seen> {
+impl AttemptHandler {
+    fn record_attempt(&self, received: &ReceivedAttempt) -> Option<ReceivedAttempt> {
         self.state.count.fetch_add(1, Ordering::SeqCst);
-        if self.state.forgets.load(Ordering::SeqCst) {
+        if self.state.is_recording_stopped.load(Ordering::SeqCst) {
             return None;
         }
-        let mut all = self.state.seen.lock().expect("not poisoned");
-        let previous = all.last().cloned();
-        all.push(seen.clone());
+        let mut received_attempts = self.state.received.lock().expect("not poisoned");
+        let previous = received_attempts.last().cloned();
+        received_attempts.push(received.clone());
         previous
     }
 
-    fn lacks(&self, seen: &Seen) -> bool {
+    fn lacks_snapshot(&self, received: &ReceivedAttempt) -> bool {
         let held = self.state.held.lock().expect("not poisoned");
         held.as_ref()
-            .is_some_and(|held| !held.contains(&seen.snapshot))
+            .is_some_and(|held| !held.contains(&received.snapshot))
     }
 
-    async fn play(
+    async fn run_script(
         &self,
         script: Script,
-        seen: &Seen,
-        previous: Option<Seen>,
+        received: &ReceivedAttempt,
+        previous: Option<ReceivedAttempt>,
         response: &mut Response,
     ) {
         match script {
             Script::Reply => {}
-            Script::Delay(time) => tokio::time::sleep(time).await,
-            Script::Never => std::future::pending().await,
+            Script::Delay(delay) => tokio::time::sleep(delay).await,
+            Script::NeverReply => std::future::pending().await,
             Script::Crash => {
                 self.state.has_crashed.store(true, Ordering::SeqCst);
                 let server = self.state.server.get().expect("a running server");
@@ -286,65 +291,71 @@
                 std::future::pending().await
             }
             Script::Gate(ref gate) => gate.acquire().await.expect("open").forget(),
-            Script::Refuse { word, echo } => {
-                return refuse(response, word, echo.then_some(seen.attempt));
+            Script::Refuse { reason, echo } => {
+                return refuse(response, reason, echo.then_some(received.attempt));
             }
             Script::Status(status) => {
                 self.state.replied.fetch_add(1, Ordering::SeqCst);
                 response.status_code(StatusCode::from_u16(status).expect("a status"));
                 return;
             }
-            Script::Echo(_)
+            Script::WrongEcho(_)
             | Script::Truncated
-            | Script::BrokenOff
+            | Script::ResetAfterBody
             | Script::Garbage
             | Script::ReplyDraining
             | Script::PreviousReply => {}
         }
-        // Looked at again, as a server does when a request's turn comes.
-        if self.lacks(seen) {
-            return refuse(response, http::REFUSED_SNAPSHOT, Some(seen.attempt));
+        // Checked again, as a server does when it takes a request from its queue.
+        if self.lacks_snapshot(received) {
+            return refuse(response, http::REFUSED_SNAPSHOT, Some(received.attempt));
         }
         self.state.replied.fetch_add(1, Ordering::SeqCst);
-        write(script, seen, previous, response);
+        write_reply(script, received, previous, response);
     }
 }
 
-fn write(script: Script, seen: &Seen, previous: Option<Seen>, response: &mut Response) {
-    let (mut attempt, mut shard, mut snapshot) = (seen.attempt, seen.shard, seen.snapshot);
-    let mut body = schema::reply(&seen.method, &seen.body, shard, snapshot);
+fn write_reply(
+    script: Script,
+    received: &ReceivedAttempt,
+    previous: Option<ReceivedAttempt>,
+    response: &mut Response,
+) {
+    let (mut attempt, mut shard, mut snapshot) =
+        (received.attempt, received.shard, received.snapshot);
+    let mut body = schema::encode_reply(&received.method, &received.body, shard, snapshot);
     match script {
-        Script::Echo(WrongEcho::Attempt) => attempt ^= 1,
-        Script::Echo(WrongEcho::Shard) => shard.0 += 1,
-        Script::Echo(WrongEcho::Snapshot) => snapshot.generation += 1,
+        Script::WrongEcho(WrongEcho::Attempt) => attempt ^= 1,
+        Script::WrongEcho(WrongEcho::Shard) => shard.0 += 1,
+        Script::WrongEcho(WrongEcho::Snapshot) => snapshot.generation += 1,
         Script::Garbage => body = vec![0xff; 16],
-        Script::ReplyDraining => set(response, http::DRAINING, "1"),
+        Script::ReplyDraining => set_header(response, http::DRAINING, "1"),
         Script::PreviousReply => {
             if let Some(previous) = previous {
                 attempt = previous.attempt;
-                body = schema::reply(&previous.method, &previous.body, shard, snapshot);
+                body = schema::encode_reply(&previous.method, &previous.body, shard, snapshot);
             }
         }
         _ => {}
     }
-    if !matches!(script, Script::Echo(WrongEcho::Missing)) {
-        set(response, http::ATTEMPT, &attempt.to_string());
-        set(response, http::SHARD, &shard.to_string());
-        set(response, http::SNAPSHOT, &snapshot.to_string());
+    if !matches!(script, Script::WrongEcho(WrongEcho::Missing)) {
+        set_header(response, http::ATTEMPT, &attempt.to_string());
+        set_header(response, http::SHARD, &shard.to_string());
+        set_header(response, http::SNAPSHOT, &snapshot.to_string());
     }
     response.status_code(StatusCode::OK);
-    if matches!(script, Script::BrokenOff) {
-        let broken = async {
-            // Lets the head and the body go out first, as a server that breaks off later would.
+    if matches!(script, Script::ResetAfterBody) {
+        let reset = async {
+            // Lets the headers and the body be sent first, as if the server failed later.
             tokio::time::sleep(Duration::from_millis(50)).await;
-            Err(std::io::Error::other("broken off by the script"))
+            Err(std::io::Error::other("stream reset by the script"))
         };
         let whole = futures::stream::iter([Ok(body)]);
-        response.stream(whole.chain(futures::stream::once(broken)));
+        response.stream(whole.chain(futures::stream::once(reset)));
         return;
     }
     if matches!(script, Script::Truncated) {
-        set(response, "content-length", &body.len().to_string());
+        set_header(response, "content-length", &body.len().to_string());
         let half = Bytes::copy_from_slice(&body[..body.len() / 2]);
         let stream = futures::stream::iter([Ok::<_, std::io::Error>(half)]);
         response.stream(stream);
@@ -353,25 +364,25 @@
     response.write_body(body).expect("an empty response");
 }
 
-fn refuse(response: &mut Response, word: &str, echo: Option<u64>) {
-    let status = match word {
+fn refuse(response: &mut Response, reason: &str, echo: Option<u64>) {
+    let status = match reason {
         http::REFUSED_SNAPSHOT => StatusCode::CONFLICT,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
     response.status_code(status);
-    set(response, http::REFUSED, word);
+    set_header(response, http::REFUSED, reason);
     if let Some(attempt) = echo {
-        set(response, http::ATTEMPT, &attempt.to_string());
+        set_header(response, http::ATTEMPT, &attempt.to_string());
     }
 }
 
-fn set(response: &mut Response, name: &'static str, value: &str) {
+fn set_header(response: &mut Response, name: &'static str, value: &str) {
     response
         .add_header(name, value, true)
         .expect("a valid header");
 }
 
-async fn read(request: &mut Request) -> Option<Seen> {
+async fn read_attempt(request: &mut Request) -> Option<ReceivedAttempt> {
     let headers: HashMap<String, String> = request
         .headers()
         .iter()
@@ -379,7 +390,7 @@
         .collect();
     let body = request.payload().await.ok()?.clone();
     let number = |name: &str| headers[name].parse::<u64>().expect("a number");
-    Some(Seen {
+    Some(ReceivedAttempt {
         method: request.param("method").expect("a method"),
         attempt: number(http::ATTEMPT),
         shard: ShardId(u32::try_from(number(http::SHARD)).expect("a shard")),
--- a/crates/sablehaven-agent/tests/agent/support/bed.rs
+++ b/crates/sablehaven-agent/tests/agent/support/bed.rs
@@ -1,4 +1,4 @@
-//! A test bed: back ends, a relay and agents.
+//! A test bed of scripted back ends, a scripted relay and real agents.
 
 use sablehaven_agent::{
     Config, Handle,
@@ -13,49 +13,49 @@
 
 use super::{
     backend::BackendDouble,
-    caller::{Caller, Once},
+    caller::{Caller, OnceRequest},
     eventually,
-    ledger::Entry,
+    ledger::LedgerEntry,
     relay::{DEPLOYMENT, RelayDouble},
     schema::service,
 };
 
-/// The first snapshot of every bed.
+/// The first snapshot of every test bed.
 pub const FIRST: SnapshotId = SnapshotId {
     generation: 1,
     partition_map: 1,
 };
 
-/// Back ends and a relay. Back end `shard * replicas + replica` holds that shard.
-pub struct Bed {
+/// Back ends and a relay. The back end at index `shard * replicas_per_shard + replica` holds `shard`.
+pub struct TestBed {
     pub relay: RelayDouble,
     pub backends: Vec<BackendDouble>,
-    pub replicas: usize,
+    pub replicas_per_shard: usize,
 }
 
-/// A running agent with a caller beside it.
-pub struct AgentDouble {
+/// A running agent and a client that sends requests to it.
+pub struct TestAgent {
     pub handle: Handle,
     pub telemetry: Telemetry,
     pub caller: Caller,
 }
 
-impl Bed {
+impl TestBed {
     /// Starts back ends and a relay, and publishes the first snapshot.
-    pub async fn start(shards: usize, replicas: usize) -> Self {
+    pub async fn start(shards: usize, replicas_per_shard: usize) -> Self {
         let mut backends = Vec::new();
-        for _ in 0..shards * replicas {
+        for _ in 0..shards * replicas_per_shard {
             backends.push(BackendDouble::start().await);
         }
         let relay = RelayDouble::start().await;
         let bed = Self {
             relay,
             backends,
-            replicas,
+            replicas_per_shard,
         };
         bed.relay.publish(|state| {
             for index in 0..bed.backends.len() {
-                let record = bed.record(index);
+                let record = bed.backend_record(index);
                 state.backends.insert(record.id.clone(), record);
             }
             state.services.insert(service(), bed.configuration(FIRST));
@@ -63,7 +63,8 @@
         bed
     }
 
-    /// An agent with the default settings, short waits at stop, and the bed's relay.
+    /// Returns the default settings with the relay of this test bed, no stop notice, and short waits for
+    /// leases and the ledger.
     pub fn config(&self) -> Config {
         let mut config = Config {
             deployment: DEPLOYMENT.to_owned(),
@@ -79,21 +80,23 @@
         config
     }
 
-    pub async fn agent(&self) -> AgentDouble {
+    pub async fn agent(&self) -> TestAgent {
         self.agent_with(self.config()).await
     }
 
-    pub async fn agent_with(&self, config: Config) -> AgentDouble {
-        self.agent_routed(config, service_router_factory()).await
+    pub async fn agent_with(&self, config: Config) -> TestAgent {
+        self.agent_with_policies(config, service_router_factory())
+            .await
     }
 
-    /// Starts an agent with these routing decisions, and waits until it is ready and holds a lease.
-    pub async fn agent_routed(&self, config: Config, policies: PolicyFactory) -> AgentDouble {
+    /// Starts an agent with the given routing policies. Waits until it is ready, and until it has a lease if
+    /// the relay grants leases.
+    pub async fn agent_with_policies(&self, config: Config, policies: PolicyFactory) -> TestAgent {
         let telemetry = Telemetry::new("agent");
         let handle = start_with_policies(config, telemetry.clone(), policies).await;
         let handle = handle.expect("starts");
         let address = handle.addresses().http.expect("listens");
-        let agent = AgentDouble {
+        let agent = TestAgent {
             handle,
             telemetry,
             caller: Caller::new(address),
@@ -105,13 +108,13 @@
         agent
     }
 
-    pub fn id(&self, index: usize) -> BackendId {
+    pub fn backend_id(&self, index: usize) -> BackendId {
         BackendId(format!("backend-{index:03}"))
     }
 
-    pub fn record(&self, index: usize) -> BackendRecord {
+    pub fn backend_record(&self, index: usize) -> BackendRecord {
         BackendRecord {
-            id: self.id(index),
+            id: self.backend_id(index),
             service: service(),
             address: self.backends[index].address,
             placement: placement(),
@@ -120,9 +123,9 @@
         }
     }
 
-    /// The bed's own partition map under a snapshot.
+    /// Returns a service configuration with the partition map of this test bed under the snapshot `id`.
     pub fn configuration(&self, id: SnapshotId) -> ServiceConfiguration {
-        let shards = self.backends.len() / self.replicas;
+        let shards = self.backends.len() / self.replicas_per_shard;
         let assignments = (0..shards).map(|shard| self.assignment(shard));
         ServiceConfiguration {
             snapshot: IndexSnapshot {
@@ -136,61 +139,67 @@
         }
     }
 
-    /// Publishes a service configuration.
+    /// Publishes a service configuration and returns its revision.
     pub fn publish(&self, configuration: ServiceConfiguration) -> u64 {
         self.relay.publish(|state| {
             state.services.insert(service(), configuration);
         })
     }
 
-    /// The number of attempts that all back ends saw.
-    pub fn attempts(&self) -> u64 {
-        self.backends.iter().map(BackendDouble::count).sum()
+    /// The number of attempts received by all back ends together.
+    pub fn attempt_count(&self) -> u64 {
+        self.backends.iter().map(BackendDouble::attempt_count).sum()
     }
 
-    /// Where a request stands in the ledger.
-    pub fn entry(&self, once: &Once) -> Option<Entry> {
+    /// The ledger entry of a request.
+    pub fn ledger_entry(&self, once: &OnceRequest) -> Option<LedgerEntry> {
         let state = self.relay.lock();
         state.ledger.entries.get(&once.key).cloned()
     }
 
-    pub fn is_released(&self, once: &Once) -> bool {
-        matches!(self.entry(once), Some(Entry::Released(_)))
+    pub fn is_released(&self, once: &OnceRequest) -> bool {
+        matches!(self.ledger_entry(once), Some(LedgerEntry::Released(_)))
     }
 
-    pub fn is_done(&self, once: &Once) -> bool {
-        let entry = self.entry(once);
-        matches!(entry, Some(Entry::Settled(_, RecordedOutcome::Done { .. })))
+    pub fn is_done(&self, once: &OnceRequest) -> bool {
+        let entry = self.ledger_entry(once);
+        matches!(
+            entry,
+            Some(LedgerEntry::Settled(_, RecordedOutcome::Done { .. }))
+        )
     }
 
-    pub fn is_settled_unknown(&self, once: &Once) -> bool {
-        let entry = self.entry(once);
-        matches!(entry, Some(Entry::Settled(_, RecordedOutcome::Unknown)))
+    pub fn is_settled_unknown(&self, once: &OnceRequest) -> bool {
+        let entry = self.ledger_entry(once);
+        matches!(
+            entry,
+            Some(LedgerEntry::Settled(_, RecordedOutcome::Unknown))
+        )
     }
 
     fn assignment(&self, shard: usize) -> ShardAssignment {
-        let first = shard * self.replicas;
+        let first = shard * self.replicas_per_shard;
         ShardAssignment {
             shard: ShardId(u32::try_from(shard).expect("few shards")),
-            replicas: (first..first + self.replicas)
-                .map(|index| self.id(index))
+            replicas: (first..first + self.replicas_per_shard)
+                .map(|index| self.backend_id(index))
                 .collect(),
         }
     }
 }
 
-impl AgentDouble {
+impl TestAgent {
     pub async fn wait_for_lease(&self) {
         self.wait_for_metric("sablehaven_agent_lease_current", 1)
             .await;
     }
 
-    /// Waits until a metric has at least a value.
+    /// Waits until the metric is at least `value`.
     pub async fn wait_for_metric(&self, name: &str, value: u64) {
         eventually(name, || self.metric(name) >= value).await;
     }
 
-    /// The value of a metric, by its name with labels; 0 if it is not there.
+    /// The value of a metric, by its name with labels; 0 if the metric does not exist.
     pub fn metric(&self, name: &str) -> u64 {
         let text = self.telemetry.encode_metrics();
         let line = text
@@ -199,7 +208,7 @@
         line.map_or(0, |value| value.parse().expect("a whole number"))
     }
 
-    /// Replies discarded for a reason.
+    /// The number of replies discarded for `reason`.
     pub fn discarded(&self, reason: &str) -> u64 {
         let name = format!("sablehaven_agent_discarded_replies_total{{reason=\"{reason}\"}}");
         self.metric(&name)
--- a/crates/sablehaven-agent/tests/agent/support/caller.rs
+++ b/crates/sablehaven-agent/tests/agent/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller beside an agent.
+//! A client that sends requests to an agent.
 
 use std::{
     net::SocketAddr,
@@ -12,7 +12,7 @@
 
 use super::schema::SERVICE;
 
-/// An answer as the caller read it.
+/// An answer of the agent with a JSON envelope.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -36,18 +36,18 @@
     }
 }
 
-/// A request that may not be repeated, as the caller names it.
+/// An at-most-once request with the identity that the caller gives it.
 #[derive(Clone, Debug)]
-pub struct Once {
+pub struct OnceRequest {
     pub key: LedgerKey,
     pub id: String,
     pub deadline: Option<Duration>,
-    pub resend: bool,
+    pub is_resend: bool,
 }
 
-impl Once {
-    /// A request with an id that no other has.
-    pub fn fresh() -> Self {
+impl OnceRequest {
+    /// Returns a request with a unique ID.
+    pub fn unique() -> Self {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -58,25 +58,26 @@
             },
             id: "pallet".to_owned(),
             deadline: None,
-            resend: false,
+            is_resend: false,
         }
     }
 
-    pub fn within(mut self, deadline: Duration) -> Self {
+    pub fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = Some(deadline);
         self
     }
 
-    /// The same request, sent again.
-    pub fn again(&self) -> Self {
+    /// Returns the same request marked as a resend, without a deadline.
+    pub fn as_resend(&self) -> Self {
         Self {
-            resend: true,
+            is_resend: true,
             deadline: None,
             ..self.clone()
         }
     }
 }
 
+/// A client of one agent.
 #[derive(Clone)]
 pub struct Caller {
     pub address: SocketAddr,
@@ -97,19 +98,19 @@
     }
 
     pub async fn search(&self, text: &str) -> Answer {
-        read(self.post("Search").json(&json!({ "text": text }))).await
+        send_request(self.post("Search").json(&json!({ "text": text }))).await
     }
 
-    pub async fn search_within(&self, text: &str, deadline: Duration) -> Answer {
+    pub async fn search_with_deadline(&self, text: &str, deadline: Duration) -> Answer {
         let request = self.post("Search").json(&json!({ "text": text }));
-        read(request.header(http::DEADLINE_MS, deadline.as_millis().to_string())).await
+        send_request(request.header(http::DEADLINE_MS, deadline.as_millis().to_string())).await
     }
 
     pub async fn get(&self, id: &str) -> Answer {
-        read(self.post("Get").json(&json!({ "id": id }))).await
+        send_request(self.post("Get").json(&json!({ "id": id }))).await
     }
 
-    pub fn reserve_request(&self, once: &Once) -> RequestBuilder {
+    pub fn reserve_request(&self, once: &OnceRequest) -> RequestBuilder {
         let mut request = self
             .post("Reserve")
             .json(&json!({ "id": once.id, "quantity": 1 }))
@@ -119,23 +120,23 @@
         if let Some(deadline) = once.deadline {
             request = request.header(http::DEADLINE_MS, deadline.as_millis().to_string());
         }
-        if once.resend {
+        if once.is_resend {
             request = request.header(http::RESEND, "1");
         }
         request
     }
 
-    pub async fn reserve(&self, once: &Once) -> Answer {
-        read(self.reserve_request(once)).await
+    pub async fn reserve(&self, once: &OnceRequest) -> Answer {
+        send_request(self.reserve_request(once)).await
     }
 }
 
-/// Sends a request and reads a JSON envelope.
-pub async fn read(request: RequestBuilder) -> Answer {
+/// Sends a request and reads the JSON envelope of the answer.
+pub async fn send_request(request: RequestBuilder) -> Answer {
     let response = request.send().await.expect("the agent answers");
     let status = response.status().as_u16();
     let headers = response.headers().clone();
-    let body = response.bytes().await.expect("a whole body");
+    let body = response.bytes().await.expect("a complete body");
     let envelope = serde_json::from_slice(&body)
         .unwrap_or_else(|error| panic!("{error}: {}", String::from_utf8_lossy(&body)));
     Answer {
@@ -149,5 +150,5 @@
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("after 1970");
-    u64::try_from(now.as_millis()).expect("not that far ahead")
+    u64::try_from(now.as_millis()).expect("fits into 64 bits")
 }
--- a/crates/sablehaven-agent/tests/agent/support/ledger.rs
+++ b/crates/sablehaven-agent/tests/agent/support/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger as the scripted relay answers for it: one map, no log.
+//! The request ledger of the scripted relay: a map without a log.
 
 use std::collections::HashMap;
 
@@ -6,55 +6,55 @@
     ClaimAnswer, ClaimId, LedgerKey, LedgerReply, LedgerRequest, RecordedOutcome,
 };
 
-/// Where one key stands.
+/// The state of a ledger key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum LedgerEntry {
     Held(ClaimId),
     Settled(ClaimId, RecordedOutcome),
     Released(ClaimId),
 }
 
-/// Scripted trouble: how many replies of a kind are lost after the request took effect.
+/// How many replies of each kind are still to be lost after the request has taken effect.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Losses {
+pub struct LostReplies {
     pub claims: u32,
     pub settles: u32,
     pub releases: u32,
 }
 
-/// The ledger.
+/// A scripted ledger.
 #[derive(Debug, Default)]
 pub struct LedgerDouble {
-    pub entries: HashMap<LedgerKey, Entry>,
-    /// Every request in its order of arrival.
+    pub entries: HashMap<LedgerKey, LedgerEntry>,
+    /// All requests in order of arrival.
     pub requests: Vec<LedgerRequest>,
-    pub losses: Losses,
-    /// Answers nothing and does nothing.
+    pub lost_replies: LostReplies,
+    /// Whether requests are dropped without effect and without a reply.
     pub unreachable: bool,
-    /// Requests that came while it was not reachable.
-    pub unanswered: u32,
-    /// What every claim is answered with, in place of the ledger's own word.
-    pub forced: Option<ClaimAnswer>,
+    /// Number of requests that arrived while the ledger was unreachable.
+    pub unanswered_requests: u32,
+    /// If set, the answer to every claim, whatever the entries say.
+    pub forced_answer: Option<ClaimAnswer>,
     fingerprints: HashMap<LedgerKey, u64>,
 }
 
 impl LedgerDouble {
-    /// Serves a request; `None` means that the reply is lost.
+    /// Applies a request. Returns `None` if the reply is lost.
     pub fn serve(&mut self, request: &LedgerRequest) -> Option<LedgerReply> {
         if self.unreachable {
-            self.unanswered += 1;
+            self.unanswered_requests += 1;
             return None;
         }
         self.requests.push(request.clone());
         let reply = self.apply(request);
-        let losses = match request {
-            LedgerRequest::Claim { .. } => &mut self.losses.claims,
-            LedgerRequest::Settle { .. } => &mut self.losses.settles,
-            LedgerRequest::Release { .. } => &mut self.losses.releases,
+        let lost_replies = match request {
+            LedgerRequest::Claim { .. } => &mut self.lost_replies.claims,
+            LedgerRequest::Settle { .. } => &mut self.lost_replies.settles,
+            LedgerRequest::Release { .. } => &mut self.lost_replies.releases,
             LedgerRequest::LookUp { .. } => return Some(reply),
         };
-        if *losses > 0 {
-            *losses -= 1;
+        if *lost_replies > 0 {
+            *lost_replies -= 1;
             return None;
         }
         Some(reply)
@@ -80,18 +80,18 @@
                 claim,
                 outcome,
             } => {
-                let settled = Entry::Settled(*claim, outcome.clone());
+                let settled = LedgerEntry::Settled(*claim, outcome.clone());
                 self.finish(key, *claim, settled)
             }
             LedgerRequest::Release { key, claim } => {
-                self.finish(key, *claim, Entry::Released(*claim))
+                self.finish(key, *claim, LedgerEntry::Released(*claim))
             }
             LedgerRequest::LookUp { .. } => LedgerReply::Claim(ClaimAnswer::Free),
         }
     }
 
     fn claim(&mut self, key: &LedgerKey, claim: ClaimId, fingerprint: u64) -> ClaimAnswer {
-        if let Some(forced) = &self.forced {
+        if let Some(forced) = &self.forced_answer {
             return forced.clone();
         }
         let known = self.fingerprints.insert(key.clone(), fingerprint);
@@ -99,28 +99,30 @@
             return ClaimAnswer::FingerprintMismatch;
         }
         match self.entries.get(key) {
-            Some(Entry::Held(holder)) if *holder == claim => ClaimAnswer::Granted,
-            Some(Entry::Held(_)) => ClaimAnswer::Held,
-            Some(Entry::Settled(_, outcome)) => ClaimAnswer::Settled(outcome.clone()),
-            Some(Entry::Released(released)) if *released == claim => ClaimAnswer::Released,
-            Some(Entry::Released(_)) | None => {
-                self.entries.insert(key.clone(), Entry::Held(claim));
+            Some(LedgerEntry::Held(holder)) if *holder == claim => ClaimAnswer::Granted,
+            Some(LedgerEntry::Held(_)) => ClaimAnswer::Held,
+            Some(LedgerEntry::Settled(_, outcome)) => ClaimAnswer::Settled(outcome.clone()),
+            Some(LedgerEntry::Released(released)) if *released == claim => ClaimAnswer::Released,
+            Some(LedgerEntry::Released(_)) | None => {
+                self.entries.insert(key.clone(), LedgerEntry::Held(claim));
                 ClaimAnswer::Granted
             }
         }
     }
 
-    fn finish(&mut self, key: &LedgerKey, claim: ClaimId, to: Entry) -> LedgerReply {
+    fn finish(&mut self, key: &LedgerKey, claim: ClaimId, new_entry: LedgerEntry) -> LedgerReply {
         let holder = match self.entries.get(key) {
-            Some(Entry::Held(holder) | Entry::Settled(holder, _) | Entry::Released(holder)) => {
-                *holder
-            }
+            Some(
+                LedgerEntry::Held(holder)
+                | LedgerEntry::Settled(holder, _)
+                | LedgerEntry::Released(holder),
+            ) => *holder,
             None => claim,
         };
         if holder != claim {
             return LedgerReply::NotHeld;
         }
-        self.entries.insert(key.clone(), to);
+        self.entries.insert(key.clone(), new_entry);
         LedgerReply::Recorded
     }
 }
--- a/crates/sablehaven-agent/tests/agent/support/mod.rs
+++ b/crates/sablehaven-agent/tests/agent/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Helpers shared by the tests.
 
 pub mod backend;
 pub mod bed;
@@ -10,14 +10,17 @@
 
 use std::time::{Duration, Instant};
 
-/// Longest wait for a condition; generous, because the machine may be busy.
-pub const LIMIT: Duration = Duration::from_secs(30);
+/// Maximum wait for a condition. It is long because the machine may be busy.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `condition` holds.
-pub async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
+/// Waits until `condition` holds, and panics after [`WAIT_TIMEOUT`].
+pub async fn eventually(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < LIMIT, "not within {LIMIT:?}: {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "not within {WAIT_TIMEOUT:?}: {description}"
+        );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/sablehaven-agent/tests/agent/support/policy.rs
+++ b/crates/sablehaven-agent/tests/agent/support/policy.rs
@@ -1,4 +1,4 @@
-//! A routing policy that does what the test says.
+//! A scripted routing policy.
 
 use std::time::Duration;
 
@@ -9,35 +9,37 @@
 };
 use sablehaven_types::{BackendId, MissingReason, Observation, ShardId};
 
+/// The delay before a hedge.
 pub const HEDGE_AFTER: Duration = Duration::from_millis(7);
 
-/// Replicas in order, and a number of extra attempts that the budget allows.
-pub struct Scripted {
+/// A policy that chooses replicas in order and allows a fixed number of extra attempts.
+pub struct ScriptedPolicy {
     pub replicas: Vec<BackendId>,
-    pub budget: u32,
-    pub taken: Vec<ExtraAttemptKind>,
-    /// When a refused caller may come back; `None` refuses nobody.
-    pub refuses: Option<Duration>,
+    pub extra_budget: u32,
+    /// The extra attempts taken so far.
+    pub extra_attempts: Vec<ExtraAttemptKind>,
+    /// If set, every request is refused with this retry delay.
+    pub refuse_with: Option<Duration>,
 }
 
-impl Scripted {
-    pub fn new(replicas: usize, budget: u32) -> Self {
+impl ScriptedPolicy {
+    pub fn new(replicas: usize, extra_budget: u32) -> Self {
         Self {
             replicas: (0..replicas)
                 .map(|index| BackendId(format!("b{index}")))
                 .collect(),
-            budget,
-            taken: Vec::new(),
-            refuses: None,
+            extra_budget,
+            extra_attempts: Vec::new(),
+            refuse_with: None,
         }
     }
 }
 
-impl RoutingPolicy for Scripted {
+impl RoutingPolicy for ScriptedPolicy {
     fn update(&mut self, _: Duration, _: ServiceUpdate<'_>) {}
 
     fn admit(&mut self, _: Duration, _: u32) -> Admission {
-        match self.refuses {
+        match self.refuse_with {
             Some(retry_after) => Admission::Refused { retry_after },
             None => Admission::Admitted,
         }
@@ -61,11 +63,11 @@
     }
 
     fn take_extra(&mut self, _: Duration, kind: ExtraAttemptKind) -> bool {
-        if self.budget == 0 {
+        if self.extra_budget == 0 {
             return false;
         }
-        self.budget -= 1;
-        self.taken.push(kind);
+        self.extra_budget -= 1;
+        self.extra_attempts.push(kind);
         true
     }
 
--- a/crates/sablehaven-agent/tests/agent/support/relay.rs
+++ b/crates/sablehaven-agent/tests/agent/support/relay.rs
@@ -1,4 +1,4 @@
-//! A relay that does what the test says.
+//! A scripted relay.
 
 use std::{
     collections::BTreeMap,
@@ -22,10 +22,10 @@
 
 pub const DEPLOYMENT: &str = "test";
 
-/// How long the leases last that the relay passes on, in milliseconds.
-const LEASE_MS: u64 = 60_000;
+/// Duration of the leases that the relay grants.
+const LEASE_DURATION_MS: u64 = 60_000;
 
-/// What the relay has and has heard.
+/// The state that the relay publishes, and what it has received from agents.
 #[derive(Default)]
 pub struct RelayState {
     pub revision: u64,
@@ -34,10 +34,11 @@
     pub backends: BTreeMap<BackendId, BackendRecord>,
     pub ledger: LedgerDouble,
     pub grants_leases: bool,
-    pub lease_ms: u64,
+    pub lease_duration_ms: u64,
     pub observations: Vec<Observation>,
-    pub acknowledged: u64,
-    pub left: u32,
+    pub acknowledged_revision: u64,
+    /// Number of agents that have left.
+    pub leave_count: u32,
 }
 
 /// A running relay.
@@ -54,7 +55,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let state = RelayState {
             grants_leases: true,
-            lease_ms: LEASE_MS,
+            lease_duration_ms: LEASE_DURATION_MS,
             schema_text: schema::TEXT.to_owned(),
             ..RelayState::default()
         };
@@ -72,7 +73,7 @@
         self.state.lock().expect("not poisoned")
     }
 
-    /// Changes the state and sends it to every agent.
+    /// Changes the state, sends it to every agent, and returns its revision.
     pub fn publish(&self, change: impl FnOnce(&mut RelayState)) -> u64 {
         let revision = {
             let mut state = self.lock();
@@ -84,7 +85,7 @@
         revision
     }
 
-    /// Passes another agent's word on, before control has committed it.
+    /// Sends an observation as a hint of another agent, before control has committed it.
     pub fn hint(&self, observation: Observation) {
         self.hints.send(observation).expect("an agent listens");
     }
@@ -140,14 +141,14 @@
                 Some(RelayToAgent::Update(self.update()))
             }
             AgentToRelay::Acknowledge { revision, .. } => {
-                state.acknowledged = revision;
+                state.acknowledged_revision = revision;
                 None
             }
             AgentToRelay::RequestLease { nonce } => state.grants_leases.then_some({
                 RelayToAgent::Lease(LeaseGrant {
                     nonce,
                     age_ms: 0,
-                    duration_ms: state.lease_ms,
+                    duration_ms: state.lease_duration_ms,
                     revision: state.revision,
                     configuration_version: state.revision,
                 })
@@ -161,7 +162,7 @@
                 Some(RelayToAgent::Ledger { call, reply })
             }
             AgentToRelay::Leave => {
-                state.left += 1;
+                state.leave_count += 1;
                 None
             }
         }
--- a/crates/sablehaven-agent/tests/agent/support/schema.rs
+++ b/crates/sablehaven-agent/tests/agent/support/schema.rs
@@ -1,4 +1,4 @@
-//! The schema that the tests use.
+//! The schema of the tests and the replies of its methods.
 
 use std::sync::LazyLock;
 
@@ -49,14 +49,15 @@
     ServiceName::from(SERVICE)
 }
 
-/// The reply of a shard: what is asked, with the shard and the snapshot it came from.
-pub fn reply(method: &str, request: &[u8], shard: ShardId, snapshot: SnapshotId) -> Vec<u8> {
+/// Returns the encoded reply of a shard, which names the shard and the snapshot and, for a search, repeats the
+/// requested text.
+pub fn encode_reply(method: &str, request: &[u8], shard: ShardId, snapshot: SnapshotId) -> Vec<u8> {
     let method = SCHEMA
         .method(&service(), method)
         .expect("a method of the test schema");
     let request = DynamicMessage::decode(method.input.clone(), request).expect("a valid request");
     let mut reply = DynamicMessage::new(method.output.clone());
-    let mark = mark(shard, snapshot);
+    let origin = origin_label(shard, snapshot);
     match method.name.as_str() {
         "Search" => {
             let item = method.output.get_field_by_name("items").expect("items");
@@ -65,18 +66,18 @@
             };
             let text = request.get_field_by_name("text").expect("text");
             let mut message = DynamicMessage::new(item);
-            let name = format!("{} {mark}", text.as_str().expect("a string"));
+            let name = format!("{} {origin}", text.as_str().expect("a string"));
             message.set_field_by_name("name", Value::String(name));
             reply.set_field_by_name("items", Value::List(vec![Value::Message(message)]));
             reply.set_field_by_name("total", Value::U64(1));
         }
-        "Get" => reply.set_field_by_name("name", Value::String(mark)),
-        _ => reply.set_field_by_name("reservation", Value::String(mark)),
+        "Get" => reply.set_field_by_name("name", Value::String(origin)),
+        _ => reply.set_field_by_name("reservation", Value::String(origin)),
     }
     prost::Message::encode_to_vec(&reply)
 }
 
-/// How replies name their shard and snapshot.
-pub fn mark(shard: ShardId, snapshot: SnapshotId) -> String {
+/// Returns the text by which replies name their shard and snapshot.
+pub fn origin_label(shard: ShardId, snapshot: SnapshotId) -> String {
     format!("shard {shard} snapshot {snapshot}")
 }
