--- a/crates/sablehaven-agent/examples/agent_bench/agent_process.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/agent_process.rs
@@ -112,7 +112,7 @@
     let elapsed = start.elapsed();
     let after = (agent_processor_seconds(), sub_request_attempts(telemetry));
     load.is_stopped.store(true, Ordering::SeqCst);
-    // Requests in flight end within their deadline, so that the memory of an idle agent is measured.
+    // Requests in flight end within their deadline, so the memory measured afterwards is that of an idle agent.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let queries = load.queries.load(Ordering::SeqCst);
     let shard_count = shard_count(arguments, handle);
--- a/crates/sablehaven-agent/examples/agent_bench/backends.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/backends.rs
@@ -12,19 +12,19 @@
 
 pub const NAME: &str = "backends";
 
-/// Factor by which a slow reply is delayed longer.
+/// Ratio of the delay of a slow reply to that of an ordinary one.
 const SLOW_FACTOR: u32 = 10;
 
 pub fn command() -> Command {
     Command::new(NAME)
         .hide(true)
-        .arg(numeric_arg("shards", "0", "Number of shards"))
+        .arg(numeric_arg("shards", "0", "Shards"))
         .arg(numeric_arg("replicas", "0", "Replicas of each shard"))
         .arg(numeric_arg("reply-ms", "0", "Delay of an ordinary reply"))
         .arg(numeric_arg(
             "slow-per-mille",
             "0",
-            "Share of replies that are slow",
+            "Slow replies per thousand",
         ))
         .arg(numeric_arg(
             "stuck",
@@ -64,16 +64,16 @@
 
 fn set_script(backend: &BackendDouble, is_stuck: bool, arguments: &ArgMatches) {
     if is_stuck {
-        return backend.always(Script::NeverReply);
+        return backend.set_script(Script::NeverReply);
     }
     let reply_delay = Duration::from_millis(numeric_value(arguments, "reply-ms"));
     if reply_delay.is_zero() {
-        return backend.always(Script::Reply);
+        return backend.set_script(Script::Reply);
     }
     let slow_per_mille = numeric_value(arguments, "slow-per-mille");
     // Attempt IDs are uniformly random, so they select the slow replies.
-    backend.script_with(
-        move |received| match received.attempt % 1_000 < slow_per_mille {
+    backend.set_script_fn(
+        move |received| match received.attempt_id % 1_000 < slow_per_mille {
             true => Script::Delay(reply_delay * SLOW_FACTOR),
             false => Script::Delay(reply_delay),
         },
--- a/crates/sablehaven-agent/examples/agent_bench/main.rs
+++ b/crates/sablehaven-agent/examples/agent_bench/main.rs
@@ -49,7 +49,7 @@
         ));
     let tail = Command::new("tail")
         .about("Tail latency against a random replica without hedging")
-        .arg(numeric_arg("shards", "55", "Number of shards"))
+        .arg(numeric_arg("shards", "55", "Shards"))
         .arg(numeric_arg("replicas", "4", "Replicas of each shard"))
         .arg(numeric_arg("seconds", "30", "Duration of one run"))
         .arg(numeric_arg(
@@ -62,7 +62,7 @@
         .arg(numeric_arg(
             "slow-per-mille",
             "10",
-            "Share of replies that are delayed ten times as long",
+            "Replies per thousand that are delayed ten times as long",
         ))
         .arg(numeric_arg(
             "stuck",
--- a/crates/sablehaven-agent/tests/agent/admission.rs
+++ b/crates/sablehaven-agent/tests/agent/admission.rs
@@ -37,7 +37,7 @@
 async fn queries_and_requests_are_refused_before_any_work() {
     let bed = TestBed::start(2, 1).await;
     let agent = bed
-        .agent_with_policies(bed.config(), overloaded_policy())
+        .start_agent_with_policies(bed.agent_config(), overloaded_policy())
         .await;
     assert_refused(&agent.caller.search("q").await);
     assert_refused(&agent.caller.get("depot").await);
@@ -49,11 +49,11 @@
 #[tokio::test]
 async fn a_resend_to_an_overloaded_service_gets_its_recorded_outcome() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let once = OnceRequest::unique();
     let first = agent.caller.reserve(&once).await;
     let overloaded_agent = bed
-        .agent_with_policies(bed.config(), overloaded_policy())
+        .start_agent_with_policies(bed.agent_config(), overloaded_policy())
         .await;
     let resent = overloaded_agent.caller.reserve(&once.as_resend()).await;
     assert_eq!(resent.envelope.outcome, Outcome::Done);
--- a/crates/sablehaven-agent/tests/agent/crashes.rs
+++ b/crates/sablehaven-agent/tests/agent/crashes.rs
@@ -1,9 +1,9 @@
 //! Tests with a query that crashes every back end that runs it.
 //!
-//! They guard against one caller's query crashing all replicas of every shard, one after another. The query goes to
-//! one replica of each shard, and each crashes while running it. The agent took the lost connections for failures of
-//! the replicas and sent the query to the next ones, and the caller retried with the same result. As in the gateway,
-//! a lost connection was not attributed to the request that was running on it.
+//! They guard against one caller's query crashing all replicas of every shard one after another within a short time.
+//! The query goes to one replica of each shard, and each crashes while running it. The agent took the lost connections
+//! for failures of the replicas and sent the query to the next ones, and the caller retried with the same result. The
+//! cause was the same as in the gateway: a lost connection was not attributed to the request that was running on it.
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
     let bed = TestBed::start(SHARDS, REPLICAS).await;
     for backend in &bed.backends {
         let crashing_text: Arc<[u8]> = CRASHING_TEXT.as_bytes().into();
-        backend.script_with(move |received| {
+        backend.set_script_fn(move |received| {
             let crashes = received
                 .body
                 .windows(crashing_text.len())
@@ -39,9 +39,9 @@
             }
         });
     }
-    let mut configuration = bed.configuration(FIRST);
+    let mut configuration = bed.service_configuration(FIRST);
     configuration.routing.extra_load_per_mille = 1_000;
-    bed.publish(configuration);
+    bed.publish_configuration(configuration);
     bed
 }
 
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn a_query_that_crashes_back_ends_leaves_most_of_them_running() {
     let bed = start_crashing_bed().await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     for _ in 0..5 {
         let answer = agent.caller.search(CRASHING_TEXT).await;
         assert_ne!(answer.envelope.outcome, Outcome::Done);
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn a_query_that_has_crashed_back_ends_is_refused_without_an_attempt() {
     let bed = start_crashing_bed().await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     for _ in 0..5 {
         agent.caller.search(CRASHING_TEXT).await;
     }
--- a/crates/sablehaven-agent/tests/agent/http_interface.rs
+++ b/crates/sablehaven-agent/tests/agent/http_interface.rs
@@ -15,7 +15,7 @@
 #[tokio::test]
 async fn a_body_that_does_not_match_the_schema_is_refused_with_the_field_name() {
     let bed = TestBed::start(2, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     for (body, field) in [
         (json!({ "text": "oil", "pages": 3 }), "pages"),
         (json!({ "text": "oil", "page": "many" }), "page"),
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn an_invalid_body_of_a_once_request_reaches_neither_ledger_nor_back_end() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let request = agent.caller.reserve_request(&OnceRequest::unique());
     let answer = send_request(request.json(&json!({ "id": "p", "quantity": -1 }))).await;
     assert_eq!(
@@ -52,7 +52,7 @@
 #[tokio::test]
 async fn a_once_request_requires_its_identifying_headers() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let without_headers = agent.caller.post("Reserve").json(&json!({ "id": "p" }));
     let mut request = without_headers;
     for header in [http::CALLER, http::REQUEST_ID, http::ISSUED_AT_MS] {
@@ -67,7 +67,7 @@
 #[tokio::test]
 async fn a_protobuf_request_gets_a_protobuf_response() {
     let bed = TestBed::start(2, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let schema = DeploymentSchema::parse(FILE, TEXT).expect("valid");
     let method = schema.method(&service(), "Search").expect("Search");
     let mut message = DynamicMessage::new(method.input.clone());
@@ -95,13 +95,13 @@
 #[tokio::test]
 async fn a_resend_in_another_encoding_is_the_same_request() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let once = OnceRequest::unique();
     let first = agent.caller.reserve(&once).await;
     let schema = DeploymentSchema::parse(FILE, TEXT).expect("valid");
     let method = schema.method(&service(), "Reserve").expect("Reserve");
     let mut message = DynamicMessage::new(method.input.clone());
-    message.set_field_by_name("id", Value::String(once.id.clone()));
+    message.set_field_by_name("id", Value::String(once.pallet_id.clone()));
     message.set_field_by_name("quantity", Value::U32(1));
     let request = agent
         .caller
@@ -125,9 +125,9 @@
 #[tokio::test]
 async fn refusals_have_the_expected_http_statuses() {
     let bed = TestBed::start(1, 1).await;
-    let mut config = bed.config();
+    let mut config = bed.agent_config();
     config.limits.request_body_bytes = 100;
-    let agent = bed.agent_with(config).await;
+    let agent = bed.start_agent_with_config(config).await;
     let unknown = send_request(agent.caller.post("Nothing").json(&json!({}))).await;
     assert_eq!(
         (unknown.status, unknown.envelope.outcome),
@@ -158,7 +158,7 @@
 #[tokio::test]
 async fn requests_are_refused_before_the_first_configuration() {
     let bed = TestBed::start(1, 1).await;
-    let mut config = bed.config();
+    let mut config = bed.agent_config();
     // Nothing listens on this port.
     config.subscription.relays = vec!["127.0.0.1:1".parse().expect("an address")];
     let telemetry = sablehaven_telemetry::Telemetry::new("agent");
--- a/crates/sablehaven-agent/tests/agent/leaving.rs
+++ b/crates/sablehaven-agent/tests/agent/leaving.rs
@@ -30,7 +30,7 @@
 async fn a_back_end_that_replies_as_draining_gets_no_new_attempts() {
     let bed = TestBed::start(1, 3).await;
     script_first_attempt(&bed.backends, Script::ReplyDraining);
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let answer = agent.caller.search("q").await;
     assert_eq!(
         answer.items().len(),
@@ -48,11 +48,11 @@
 #[tokio::test]
 async fn a_draining_refusal_is_retried_on_another_back_end_and_reported() {
     let bed = TestBed::start(1, 3).await;
-    bed.backends[1].always(Script::Refuse {
+    bed.backends[1].set_script(Script::Refuse {
         reason: http::REFUSED_DRAINING,
         echo: true,
     });
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     while bed.backends[1].received().is_empty() {
         let answer = agent.caller.search("q").await;
         assert!(answer.envelope.coverage.expect("coverage").is_complete());
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn a_back_end_in_state_leaving_gets_no_new_attempts_and_is_disconnected() {
     let bed = TestBed::start(1, 3).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     search_until_asked(&agent, &bed, 2).await;
     assert_eq!(agent.handle.backend_connections(), 3);
     let mut record = bed.backend_record(2);
@@ -90,9 +90,9 @@
 #[tokio::test]
 async fn a_hint_of_another_agent_takes_effect_before_control_commits_it() {
     let bed = TestBed::start(1, 3).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     search_until_asked(&agent, &bed, 0).await;
-    bed.relay.hint(Observation {
+    bed.relay.send_hint(Observation {
         backend: bed.backend_id(0),
         service: service(),
         incarnation: 1,
@@ -107,11 +107,11 @@
 async fn a_leaving_back_end_finishes_its_running_attempts() {
     let bed = TestBed::start(1, 1).await;
     let gate = std::sync::Arc::new(tokio::sync::Semaphore::new(0));
-    bed.backends[0].always(Script::Gate(gate.clone()));
-    let agent = bed.agent().await;
+    bed.backends[0].set_script(Script::Gate(gate.clone()));
+    let agent = bed.start_agent().await;
     let caller = agent.caller.clone();
     let request_task = tokio::spawn(async move { caller.search("q").await });
-    eventually("the request runs", || bed.backends[0].running() == 1).await;
+    eventually("the request runs", || bed.backends[0].running_count() == 1).await;
     let mut record = bed.backend_record(0);
     record.state = BackendState::Leaving;
     let revision = bed.relay.publish(|state| {
--- a/crates/sablehaven-agent/tests/agent/once.rs
+++ b/crates/sablehaven-agent/tests/agent/once.rs
@@ -10,7 +10,7 @@
 #[tokio::test]
 async fn the_outcome_is_recorded_before_the_answer() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let once = OnceRequest::unique();
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(
@@ -29,12 +29,12 @@
 async fn a_request_is_claimed_before_the_dispatch() {
     let bed = TestBed::start(1, 1).await;
     let relay = bed.relay.clone();
-    bed.backends[0].script_with(move |_| {
+    bed.backends[0].set_script_fn(move |_| {
         let claimed = relay.lock().ledger.claims().len();
         assert_eq!(claimed, 1, "the request is claimed before the dispatch");
         Script::Reply
     });
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let answer = agent.caller.reserve(&OnceRequest::unique()).await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
 }
@@ -42,8 +42,8 @@
 #[tokio::test]
 async fn a_resend_through_the_same_or_another_agent_gets_the_recorded_outcome() {
     let bed = TestBed::start(1, 1).await;
-    let first = bed.agent().await;
-    let other = bed.agent().await;
+    let first = bed.start_agent().await;
+    let other = bed.start_agent().await;
     let once = OnceRequest::unique();
     let answer = first.caller.reserve(&once).await;
     for agent in [&first, &other] {
@@ -51,22 +51,22 @@
         assert_eq!(resent.envelope.outcome, Outcome::Done);
         assert_eq!(resent.envelope.body, answer.envelope.body);
     }
-    assert_eq!(bed.backends[0].replied(), 1);
+    assert_eq!(bed.backends[0].replied_count(), 1);
 }
 
 #[tokio::test]
 async fn a_request_sent_to_two_agents_concurrently_runs_once() {
     let bed = TestBed::start(1, 1).await;
     let gate = Arc::new(Semaphore::new(0));
-    bed.backends[0].always(Script::Gate(Arc::clone(&gate)));
-    let first = bed.agent().await;
-    let other = bed.agent().await;
+    bed.backends[0].set_script(Script::Gate(Arc::clone(&gate)));
+    let first = bed.start_agent().await;
+    let other = bed.start_agent().await;
     let once = OnceRequest::unique();
     let caller = first.caller.clone();
     let sent = once.clone();
     let running = tokio::spawn(async move { caller.reserve(&sent).await });
     eventually("the request of the first agent runs", || {
-        bed.backends[0].running() == 1
+        bed.backends[0].running_count() == 1
     })
     .await;
     let resent = other.caller.reserve(&once.as_resend()).await;
@@ -85,7 +85,7 @@
 async fn without_a_lease_a_request_is_refused_before_the_claim() {
     let bed = TestBed::start(1, 1).await;
     bed.relay.lock().grants_leases = false;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let once = OnceRequest::unique();
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(
@@ -107,7 +107,7 @@
 async fn a_claim_is_resent_with_the_same_id_if_its_reply_is_lost() {
     let bed = TestBed::start(1, 1).await;
     bed.relay.lock().ledger.lost_replies.claims = 2;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let answer = agent.caller.reserve(&OnceRequest::unique()).await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
     let claims = bed.relay.lock().ledger.claims();
@@ -119,7 +119,7 @@
 #[tokio::test]
 async fn a_request_is_not_dispatched_if_the_ledger_does_not_answer() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     bed.relay.lock().ledger.lost_replies.claims = u32::MAX;
     let once = OnceRequest::unique().with_deadline(Duration::from_millis(400));
     let answer = agent.caller.reserve(&once).await;
@@ -138,7 +138,7 @@
 #[tokio::test]
 async fn the_outcome_of_a_resend_is_unknown_if_the_ledger_is_unreachable() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     bed.relay.lock().ledger.unreachable = true;
     let mut once = OnceRequest::unique().as_resend();
     once.deadline = Some(Duration::from_millis(300));
@@ -149,11 +149,11 @@
 #[tokio::test]
 async fn a_request_id_reused_with_another_body_is_refused() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let once = OnceRequest::unique();
     agent.caller.reserve(&once).await;
     let mut changed = once.clone();
-    changed.id = "another pallet".to_owned();
+    changed.pallet_id = "another pallet".to_owned();
     let answer = agent.caller.reserve(&changed).await;
     assert_eq!(
         (answer.status, answer.envelope.outcome),
@@ -166,7 +166,7 @@
 #[tokio::test]
 async fn a_request_below_the_ledger_horizon_is_unknown() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     bed.relay.lock().ledger.forced_answer = Some(ClaimAnswer::BelowHorizon { horizon_ms: 1 });
     let answer = agent.caller.reserve(&OnceRequest::unique()).await;
     assert_eq!(answer.envelope.outcome, Outcome::Unknown);
@@ -180,7 +180,7 @@
         ClaimAnswer::IssuedInFuture { limit_ms: 1 },
     ] {
         let bed = TestBed::start(1, 1).await;
-        let agent = bed.agent().await;
+        let agent = bed.start_agent().await;
         bed.relay.lock().ledger.forced_answer = Some(forced);
         let answer = agent.caller.reserve(&OnceRequest::unique()).await;
         assert_eq!(answer.envelope.outcome, Outcome::NotRun);
@@ -191,7 +191,7 @@
 #[tokio::test]
 async fn a_request_issued_long_ago_is_not_dispatched() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let mut once = OnceRequest::unique();
     once.key.issued_at_ms -= 10 * 60 * 1_000;
     let answer = agent.caller.reserve(&once).await;
--- a/crates/sablehaven-agent/tests/agent/queries.rs
+++ b/crates/sablehaven-agent/tests/agent/queries.rs
@@ -35,9 +35,9 @@
 /// the remaining budget does not depend on how busy the machine was before.
 async fn bed_with_ample_budget() -> TestBed {
     let bed = TestBed::start(1, 2).await;
-    let mut configuration = bed.configuration(FIRST);
+    let mut configuration = bed.service_configuration(FIRST);
     configuration.routing.extra_load_per_mille = 1_000;
-    bed.publish(configuration);
+    bed.publish_configuration(configuration);
     bed
 }
 
@@ -52,7 +52,7 @@
 #[tokio::test]
 async fn a_query_merges_the_replies_of_all_shards() {
     let bed = TestBed::start(3, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let answer = agent.caller.search("pasta").await;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.envelope.outcome, Outcome::Done);
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn attempts_carry_unique_ids_and_the_remaining_time() {
     let bed = TestBed::start(3, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     for _ in 0..5 {
         let answer = agent
             .caller
@@ -82,7 +82,7 @@
         .flat_map(|backend| backend.received())
         .collect();
     let ids: std::collections::BTreeSet<_> =
-        received.iter().map(|attempt| attempt.attempt).collect();
+        received.iter().map(|attempt| attempt.attempt_id).collect();
     assert_eq!((ids.len(), received.len()), (15, 15));
     assert!(
         received
@@ -94,7 +94,7 @@
 #[tokio::test]
 async fn a_lookup_is_sent_to_the_shard_of_its_key_only() {
     let bed = TestBed::start(4, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let answer = agent.caller.get("depot-7").await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
     assert_eq!(answer.envelope.coverage, None);
@@ -106,8 +106,8 @@
 #[tokio::test]
 async fn a_shard_that_exceeds_the_deadline_is_missing_and_its_attempt_is_cancelled() {
     let bed = TestBed::start(3, 1).await;
-    bed.backends[1].always(Script::NeverReply);
-    let agent = bed.agent().await;
+    bed.backends[1].set_script(Script::NeverReply);
+    let agent = bed.start_agent().await;
     let answer = agent
         .caller
         .search_with_deadline("oil", Duration::from_millis(300))
@@ -117,7 +117,7 @@
     assert_eq!(answer.items().len(), 2);
     assert!(answer.envelope.retry_after_ms.is_some());
     eventually("the attempt is cancelled", || {
-        bed.backends[1].cancelled() == 1
+        bed.backends[1].cancelled_count() == 1
     })
     .await;
 }
@@ -125,11 +125,12 @@
 #[tokio::test]
 async fn a_shed_sub_request_is_not_retried_and_the_answer_has_a_retry_delay() {
     let bed = TestBed::start(3, 1).await;
-    bed.backends[2].always(SHED);
-    let agent = bed.agent().await;
+    bed.backends[2].set_script(SHED);
+    let agent = bed.start_agent().await;
     let start = Instant::now();
     let answer = agent.caller.search("oil").await;
-    // The method's deadline is 20 s. An answer that waits until shortly before it takes longer than half of that.
+    // The method's deadline is 20 s. An answer that is held back until shortly before the
+    // deadline would take longer than half of that.
     assert!(start.elapsed() < Duration::from_secs(10));
     assert_eq!(answer.envelope.outcome, Outcome::Done);
     assert_eq!(missing(&answer), only_missing(2, MissingReason::Shed));
@@ -140,8 +141,10 @@
 #[tokio::test]
 async fn a_query_that_every_back_end_sheds_did_not_run() {
     let bed = TestBed::start(2, 1).await;
-    bed.backends.iter().for_each(|backend| backend.always(SHED));
-    let agent = bed.agent().await;
+    bed.backends
+        .iter()
+        .for_each(|backend| backend.set_script(SHED));
+    let agent = bed.start_agent().await;
     let answer = agent.caller.search("oil").await;
     assert_eq!(answer.status, 503);
     assert_eq!(answer.envelope.outcome, Outcome::NotRun);
@@ -154,8 +157,8 @@
     let bed = TestBed::start(2, 1).await;
     bed.backends
         .iter()
-        .for_each(|backend| backend.always(Script::NeverReply));
-    let agent = bed.agent().await;
+        .for_each(|backend| backend.set_script(Script::NeverReply));
+    let agent = bed.start_agent().await;
     let answer = agent
         .caller
         .search_with_deadline("oil", Duration::from_millis(200))
@@ -167,7 +170,7 @@
 #[tokio::test]
 async fn a_failed_attempt_is_retried_on_another_replica() {
     let bed = bed_with_ample_budget().await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     // No latencies are recorded yet, so no attempt is hedged.
     let before = agent.metric("sablehaven_agent_retries_total");
     script_first_attempt(&bed.backends, Script::Status(500));
@@ -179,8 +182,8 @@
 #[tokio::test]
 async fn a_shard_whose_only_replica_fails_is_missing_as_failed() {
     let bed = TestBed::start(2, 1).await;
-    let agent = bed.agent().await;
-    bed.backends[0].always(Script::Status(500));
+    let agent = bed.start_agent().await;
+    bed.backends[0].set_script(Script::Status(500));
     let answer = agent.caller.search("oil").await;
     assert_eq!(missing(&answer), only_missing(0, MissingReason::Failed));
 }
@@ -192,7 +195,7 @@
     bed.relay.publish(|state| {
         state.backends.remove(&id);
     });
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let answer = agent.caller.search("oil").await;
     assert_eq!(missing(&answer), only_missing(1, MissingReason::NoReplica));
 }
@@ -200,7 +203,7 @@
 #[tokio::test]
 async fn a_hedge_replaces_a_stuck_attempt_which_is_cancelled() {
     let bed = bed_with_ample_budget().await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     record_latencies(&agent).await;
     let before = agent.metric("sablehaven_agent_hedges_total");
     script_first_attempt(&bed.backends, Script::NeverReply);
@@ -208,7 +211,11 @@
     assert!(answer.envelope.coverage.expect("coverage").is_complete());
     assert_eq!(agent.metric("sablehaven_agent_hedges_total"), before + 1);
     // An attempt that never replies ends only by cancellation.
-    let ended = || bed.backends.iter().all(|backend| backend.running() == 0);
+    let ended = || {
+        bed.backends
+            .iter()
+            .all(|backend| backend.running_count() == 0)
+    };
     eventually("the slower attempt is cancelled", ended).await;
 }
 
@@ -217,14 +224,22 @@
     let bed = TestBed::start(2, 1).await;
     bed.backends
         .iter()
-        .for_each(|backend| backend.always(Script::NeverReply));
-    let agent = bed.agent().await;
+        .for_each(|backend| backend.set_script(Script::NeverReply));
+    let agent = bed.start_agent().await;
     let caller = agent.caller.clone();
     let request_task = tokio::spawn(async move { caller.search("oil").await });
-    let running = || bed.backends.iter().all(|backend| backend.running() == 1);
+    let running = || {
+        bed.backends
+            .iter()
+            .all(|backend| backend.running_count() == 1)
+    };
     eventually("both attempts run", running).await;
     request_task.abort();
-    let cancelled = || bed.backends.iter().all(|backend| backend.cancelled() == 1);
+    let cancelled = || {
+        bed.backends
+            .iter()
+            .all(|backend| backend.cancelled_count() == 1)
+    };
     eventually("both attempts are cancelled", cancelled).await;
 }
 
@@ -233,9 +248,9 @@
     let bed = TestBed::start(3, 2).await;
     for (index, backend) in bed.backends.iter().enumerate() {
         let delay = Duration::from_millis(index as u64 * 3);
-        backend.always(Script::Delay(delay));
+        backend.set_script(Script::Delay(delay));
     }
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let callers = (0..40).map(|number| {
         let caller = agent.caller.clone();
         tokio::spawn(async move {
@@ -259,7 +274,7 @@
 async fn without_a_lease_a_query_is_answered_as_not_current() {
     let bed = TestBed::start(2, 1).await;
     bed.relay.lock().grants_leases = false;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let answer = agent.caller.search("oil").await;
     assert_eq!(answer.envelope.outcome, Outcome::Done);
     assert!(!answer.envelope.configuration.current);
@@ -269,12 +284,15 @@
 async fn an_answer_does_not_wait_for_shards_that_have_failed() {
     let bed = TestBed::start(3, 1).await;
     let gate = Arc::new(Semaphore::new(0));
-    bed.backends[0].always(Script::Gate(Arc::clone(&gate)));
-    bed.backends[1].always(SHED);
-    let agent = bed.agent().await;
+    bed.backends[0].set_script(Script::Gate(Arc::clone(&gate)));
+    bed.backends[1].set_script(SHED);
+    let agent = bed.start_agent().await;
     let caller = agent.caller.clone();
     let request_task = tokio::spawn(async move { caller.search("oil").await });
-    eventually("the slow shard is asked", || bed.backends[0].running() == 1).await;
+    eventually("the slow shard is asked", || {
+        bed.backends[0].running_count() == 1
+    })
+    .await;
     assert!(!request_task.is_finished());
     gate.add_permits(1);
     let answer = tokio::time::timeout(Duration::from_secs(10), request_task).await;
@@ -287,7 +305,7 @@
 #[tokio::test]
 async fn the_metrics_page_shows_requests_and_routing() {
     let bed = TestBed::start(3, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     agent.caller.search("oil").await;
     agent.caller.get("depot").await;
     let requests =
--- a/crates/sablehaven-agent/tests/agent/reply_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/reply_rules.rs
@@ -82,20 +82,20 @@
 
 #[test]
 fn a_refusal_requires_its_status_and_header_and_no_other_attempt_id() {
-    for (status, word, refusal) in [
+    for (status, reason, refusal) in [
         (503, http::REFUSED_SHED, Refusal::Shed),
         (503, http::REFUSED_DRAINING, Refusal::Draining),
         (503, http::REFUSED_DEADLINE, Refusal::Deadline),
         (409, http::REFUSED_SNAPSHOT, Refusal::SnapshotGone),
     ] {
-        let mut refusal_headers = headers(&[(http::REFUSED, word)]);
+        let mut refusal_headers = headers(&[(http::REFUSED, reason)]);
         let refused = |echoed| ReplyVerdict::Refused { refusal, echoed };
         assert_eq!(check_head(status, &refusal_headers), refused(false));
         refusal_headers.insert(http::ATTEMPT, HeaderValue::from_static("71"));
         assert_eq!(check_head(status, &refusal_headers), refused(true));
         refusal_headers.insert(http::ATTEMPT, HeaderValue::from_static("70"));
-        let foreign = ReplyVerdict::Discarded(DiscardReason::WrongAttempt);
-        assert_eq!(check_head(status, &refusal_headers), foreign);
+        let discarded = ReplyVerdict::Discarded(DiscardReason::WrongAttempt);
+        assert_eq!(check_head(status, &refusal_headers), discarded);
     }
     let failed = |status| ReplyVerdict::Failed(StatusCode::from_u16(status).expect("a status"));
     assert_eq!(check_head(503, &HeaderMap::new()), failed(503));
--- a/crates/sablehaven-agent/tests/agent/rollover.rs
+++ b/crates/sablehaven-agent/tests/agent/rollover.rs
@@ -47,7 +47,7 @@
 
 /// Returns a configuration with twice as many shards on the same back ends.
 fn with_doubled_shards(bed: &TestBed, id: SnapshotId) -> ServiceConfiguration {
-    let mut configuration = bed.configuration(id);
+    let mut configuration = bed.service_configuration(id);
     let shards = configuration.snapshot.shards.clone();
     let count = u32::try_from(shards.len()).expect("few shards");
     for mut assignment in shards {
@@ -63,9 +63,9 @@
     for (backend, number) in bed.backends.iter().zip(0..) {
         backend.stop_recording();
         // Staggers the replies, so that configurations are published while queries run.
-        backend.always(Script::Delay(Duration::from_millis(number)));
+        backend.set_script(Script::Delay(Duration::from_millis(number)));
     }
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let stop = Arc::new(AtomicBool::new(false));
     let answered = Arc::new(Mutex::new(BTreeSet::new()));
     let callers = (0..8).map(|_| {
@@ -96,9 +96,9 @@
             .for_each(|backend| backend.set_held_snapshots(&[previous, id]));
         let configuration = match generation % 2 {
             0 => with_doubled_shards(&bed, id),
-            _ => bed.configuration(id),
+            _ => bed.service_configuration(id),
         };
-        let version = bed.publish(configuration);
+        let version = bed.publish_configuration(configuration);
         let metric = "sablehaven_agent_configuration_version";
         agent.wait_for_metric(metric, version).await;
         bed.backends
@@ -119,15 +119,18 @@
     let gate = Arc::new(Semaphore::new(0));
     let held = Arc::clone(&gate);
     // Delays the last shard of the pinned generation until the new generation is in force.
-    bed.backends[2].script_with(move |received| match received.snapshot == FIRST {
+    bed.backends[2].set_script_fn(move |received| match received.snapshot == FIRST {
         true => Script::Gate(Arc::clone(&held)),
         false => Script::Reply,
     });
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let caller = agent.caller.clone();
     let request_task = tokio::spawn(async move { caller.search("q").await });
-    eventually("the last shard is asked", || bed.backends[2].running() == 1).await;
-    bed.publish(bed.configuration(REBUILT));
+    eventually("the last shard is asked", || {
+        bed.backends[2].running_count() == 1
+    })
+    .await;
+    bed.publish_configuration(bed.service_configuration(REBUILT));
     let version = bed.relay.lock().revision;
     agent
         .wait_for_metric("sablehaven_agent_configuration_version", version)
@@ -153,7 +156,7 @@
     let bed = TestBed::start(3, 2).await;
     bed.backends[2].set_held_snapshots(&[]);
     bed.backends[3].set_held_snapshots(&[]);
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let answer = agent.caller.search("q").await;
     let coverage = answer.envelope.coverage.as_ref().expect("coverage");
     assert_eq!(coverage.missing.len(), 1);
@@ -169,7 +172,7 @@
     let bed = TestBed::start(2, 2).await;
     bed.backends[0].set_held_snapshots(&[]);
     bed.backends[2].set_held_snapshots(&[]);
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     for _ in 0..20 {
         let answer = agent.caller.search("q").await;
         assert!(answer.envelope.coverage.expect("coverage").is_complete());
@@ -179,15 +182,18 @@
 #[tokio::test]
 async fn query_restarts_are_limited() {
     let bed = TestBed::start(1, 1).await;
-    let mut config = bed.config();
+    let mut config = bed.agent_config();
     config.limits.query_restarts = 0;
-    let agent = bed.agent_with(config).await;
+    let agent = bed.start_agent_with_config(config).await;
     let gate = Arc::new(Semaphore::new(0));
-    bed.backends[0].always(Script::Gate(Arc::clone(&gate)));
+    bed.backends[0].set_script(Script::Gate(Arc::clone(&gate)));
     let caller = agent.caller.clone();
     let request_task = tokio::spawn(async move { caller.search("q").await });
-    eventually("the shard is asked", || bed.backends[0].running() == 1).await;
-    bed.publish(bed.configuration(REBUILT));
+    eventually("the shard is asked", || {
+        bed.backends[0].running_count() == 1
+    })
+    .await;
+    bed.publish_configuration(bed.service_configuration(REBUILT));
     let version = bed.relay.lock().revision;
     agent
         .wait_for_metric("sablehaven_agent_configuration_version", version)
@@ -202,8 +208,8 @@
 #[tokio::test]
 async fn a_lookup_follows_the_new_partition_map() {
     let bed = TestBed::start(2, 1).await;
-    let agent = bed.agent().await;
-    bed.publish(with_doubled_shards(&bed, REPARTITIONED));
+    let agent = bed.start_agent().await;
+    bed.publish_configuration(with_doubled_shards(&bed, REPARTITIONED));
     let version = bed.relay.lock().revision;
     agent
         .wait_for_metric("sablehaven_agent_configuration_version", version)
@@ -222,7 +228,7 @@
 #[tokio::test]
 async fn a_schema_change_is_applied_at_run_time() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     let before = agent
         .caller
         .post("Find")
@@ -249,7 +255,7 @@
 #[tokio::test]
 async fn an_invalid_schema_leaves_the_previous_one_in_force() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     bed.relay
         .publish(|state| state.schema_text = "no schema".to_owned());
     let metric = "sablehaven_agent_unusable_configurations_total";
@@ -266,7 +272,7 @@
 #[tokio::test]
 async fn a_request_after_the_acknowledgement_is_served_by_the_new_configuration() {
     let bed = TestBed::start(2, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     for generation in 2..6 {
         let id = SnapshotId {
             generation,
@@ -279,7 +285,9 @@
         let filler: String = filler.collect();
         let version = bed.relay.publish(|state| {
             state.schema_text.push_str(&filler);
-            state.services.insert(service(), bed.configuration(id));
+            state
+                .services
+                .insert(service(), bed.service_configuration(id));
         });
         eventually("the revision is acknowledged", || {
             bed.relay.lock().acknowledged_revision >= version
--- a/crates/sablehaven-agent/tests/agent/stopping.rs
+++ b/crates/sablehaven-agent/tests/agent/stopping.rs
@@ -14,8 +14,8 @@
     let held = Script::Gate(Arc::clone(&gate));
     bed.backends
         .iter()
-        .for_each(|backend| backend.always(held.clone()));
-    let agent = bed.agent().await;
+        .for_each(|backend| backend.set_script(held.clone()));
+    let agent = bed.start_agent().await;
     let caller = agent.caller.clone();
     let query = tokio::spawn(async move { caller.search("q").await });
     let caller = agent.caller.clone();
@@ -25,7 +25,7 @@
     let running = || {
         bed.backends
             .iter()
-            .map(|backend| backend.running())
+            .map(|backend| backend.running_count())
             .sum::<usize>()
             == 3
     };
@@ -50,9 +50,9 @@
 #[tokio::test]
 async fn during_the_stop_notice_callers_are_served_and_told_to_reconnect() {
     let bed = TestBed::start(1, 1).await;
-    let mut config = bed.config();
+    let mut config = bed.agent_config();
     config.timing.stop_notice_ms = 60_000;
-    let agent = bed.agent_with(config).await;
+    let agent = bed.start_agent_with_config(config).await;
     let telemetry = agent.telemetry.clone();
     let stopping = tokio::spawn(agent.handle.stop());
     eventually("the agent is not ready", || !telemetry.is_ready()).await;
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn connections_are_refused_after_the_stop() {
     let bed = TestBed::start(1, 1).await;
-    let agent = bed.agent().await;
+    let agent = bed.start_agent().await;
     agent.handle.stop().await;
     let request = agent.caller.post("Search").json(&serde_json::json!({}));
     let error = request.send().await.expect_err("connection refused");
@@ -80,8 +80,8 @@
 async fn the_outcome_of_a_timed_out_request_is_recorded_before_the_stop() {
     let bed = TestBed::start(1, 1).await;
     let gate = Arc::new(Semaphore::new(0));
-    bed.backends[0].always(Script::Gate(Arc::clone(&gate)));
-    let agent = bed.agent().await;
+    bed.backends[0].set_script(Script::Gate(Arc::clone(&gate)));
+    let agent = bed.start_agent().await;
     let once = OnceRequest::unique().with_deadline(Duration::from_millis(200));
     let answer = agent.caller.reserve(&once).await;
     assert_eq!(answer.envelope.outcome, Outcome::Unknown);
--- a/crates/sablehaven-agent/tests/agent/support/backend.rs
+++ b/crates/sablehaven-agent/tests/agent/support/backend.rs
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct ReceivedAttempt {
     pub method: String,
-    pub attempt: u64,
+    pub attempt_id: u64,
     pub shard: ShardId,
     pub snapshot: SnapshotId,
     pub deadline_ms: u64,
@@ -80,12 +80,12 @@
 struct State {
     script: Mutex<ScriptFn>,
     received: Mutex<Vec<ReceivedAttempt>>,
-    count: AtomicU64,
+    attempt_count: AtomicU64,
     is_recording_stopped: AtomicBool,
     replied: AtomicU64,
     running: AtomicUsize,
     cancelled: AtomicUsize,
-    held: Mutex<Option<Vec<SnapshotId>>>,
+    held_snapshots: Mutex<Option<Vec<SnapshotId>>>,
     server: OnceLock<ServerHandle>,
     has_crashed: AtomicBool,
 }
@@ -104,12 +104,12 @@
         let state = Arc::new(State {
             script: Mutex::new(Box::new(|_| Script::Reply)),
             received: Mutex::default(),
-            count: AtomicU64::new(0),
+            attempt_count: AtomicU64::new(0),
             is_recording_stopped: AtomicBool::new(false),
             replied: AtomicU64::new(0),
             running: AtomicUsize::new(0),
             cancelled: AtomicUsize::new(0),
-            held: Mutex::new(None),
+            held_snapshots: Mutex::new(None),
             server: OnceLock::new(),
             has_crashed: AtomicBool::new(false),
         });
@@ -130,12 +130,12 @@
     }
 
     /// Runs `script` for every attempt.
-    pub fn always(&self, script: Script) {
-        self.script_with(move |_| script.clone());
+    pub fn set_script(&self, script: Script) {
+        self.set_script_fn(move |_| script.clone());
     }
 
     /// Sets a function that returns the script for each attempt.
-    pub fn script_with(
+    pub fn set_script_fn(
         &self,
         script_fn: impl Fn(&ReceivedAttempt) -> Script + Send + Sync + 'static,
     ) {
@@ -144,9 +144,10 @@
 
     /// Sets the snapshots that the back end holds. Attempts for others are refused, as a back end must.
     pub fn set_held_snapshots(&self, snapshots: &[SnapshotId]) {
-        *self.state.held.lock().expect("not poisoned") = Some(snapshots.to_vec());
+        *self.state.held_snapshots.lock().expect("not poisoned") = Some(snapshots.to_vec());
     }
 
+    /// The recorded attempts, in order of arrival.
     pub fn received(&self) -> Vec<ReceivedAttempt> {
         self.state.received.lock().expect("not poisoned").clone()
     }
@@ -160,21 +161,21 @@
 
     /// The number of attempts received.
     pub fn attempt_count(&self) -> u64 {
-        self.state.count.load(Ordering::SeqCst)
+        self.state.attempt_count.load(Ordering::SeqCst)
     }
 
     /// The number of attempts that were accepted and executed to the end.
-    pub fn replied(&self) -> u64 {
+    pub fn replied_count(&self) -> u64 {
         self.state.replied.load(Ordering::SeqCst)
     }
 
     /// The number of attempts in progress.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.state.running.load(Ordering::SeqCst)
     }
 
     /// The number of attempts whose stream was reset by the agent.
-    pub fn cancelled(&self) -> usize {
+    pub fn cancelled_count(&self) -> usize {
         self.state.cancelled.load(Ordering::SeqCst)
     }
 
@@ -200,7 +201,7 @@
     let has_run = Arc::new(AtomicBool::new(false));
     for backend in backends {
         let (has_run, script) = (Arc::clone(&has_run), script.clone());
-        backend.script_with(move |_| match has_run.swap(true, Ordering::SeqCst) {
+        backend.set_script_fn(move |_| match has_run.swap(true, Ordering::SeqCst) {
             false => script.clone(),
             true => Script::Reply,
         });
@@ -214,13 +215,13 @@
 /// Counts the attempt as cancelled when dropped, unless disarmed.
 struct CancelGuard {
     state: Arc<State>,
-    armed: bool,
+    is_armed: bool,
 }
 
 impl Drop for CancelGuard {
     fn drop(&mut self) {
         self.state.running.fetch_sub(1, Ordering::SeqCst);
-        if self.armed {
+        if self.is_armed {
             self.state.cancelled.fetch_add(1, Ordering::SeqCst);
         }
     }
@@ -244,20 +245,20 @@
         self.state.running.fetch_add(1, Ordering::SeqCst);
         let mut guard = CancelGuard {
             state: Arc::clone(&self.state),
-            armed: true,
+            is_armed: true,
         };
         if self.lacks_snapshot(&received) {
-            guard.armed = false;
-            return refuse(response, http::REFUSED_SNAPSHOT, Some(received.attempt));
+            guard.is_armed = false;
+            return refuse(response, http::REFUSED_SNAPSHOT, Some(received.attempt_id));
         }
         self.run_script(script, &received, previous, response).await;
-        guard.armed = false;
+        guard.is_armed = false;
     }
 }
 
 impl AttemptHandler {
     fn record_attempt(&self, received: &ReceivedAttempt) -> Option<ReceivedAttempt> {
-        self.state.count.fetch_add(1, Ordering::SeqCst);
+        self.state.attempt_count.fetch_add(1, Ordering::SeqCst);
         if self.state.is_recording_stopped.load(Ordering::SeqCst) {
             return None;
         }
@@ -268,7 +269,7 @@
     }
 
     fn lacks_snapshot(&self, received: &ReceivedAttempt) -> bool {
-        let held = self.state.held.lock().expect("not poisoned");
+        let held = self.state.held_snapshots.lock().expect("not poisoned");
         held.as_ref()
             .is_some_and(|held| !held.contains(&received.snapshot))
     }
@@ -292,7 +293,7 @@
             }
             Script::Gate(ref gate) => gate.acquire().await.expect("open").forget(),
             Script::Refuse { reason, echo } => {
-                return refuse(response, reason, echo.then_some(received.attempt));
+                return refuse(response, reason, echo.then_some(received.attempt_id));
             }
             Script::Status(status) => {
                 self.state.replied.fetch_add(1, Ordering::SeqCst);
@@ -308,7 +309,7 @@
         }
         // Checked again, as a server does when it takes a request from its queue.
         if self.lacks_snapshot(received) {
-            return refuse(response, http::REFUSED_SNAPSHOT, Some(received.attempt));
+            return refuse(response, http::REFUSED_SNAPSHOT, Some(received.attempt_id));
         }
         self.state.replied.fetch_add(1, Ordering::SeqCst);
         write_reply(script, received, previous, response);
@@ -322,7 +323,7 @@
     response: &mut Response,
 ) {
     let (mut attempt, mut shard, mut snapshot) =
-        (received.attempt, received.shard, received.snapshot);
+        (received.attempt_id, received.shard, received.snapshot);
     let mut body = schema::encode_reply(&received.method, &received.body, shard, snapshot);
     match script {
         Script::WrongEcho(WrongEcho::Attempt) => attempt ^= 1,
@@ -332,7 +333,7 @@
         Script::ReplyDraining => set_header(response, http::DRAINING, "1"),
         Script::PreviousReply => {
             if let Some(previous) = previous {
-                attempt = previous.attempt;
+                attempt = previous.attempt_id;
                 body = schema::encode_reply(&previous.method, &previous.body, shard, snapshot);
             }
         }
@@ -350,8 +351,8 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             Err(std::io::Error::other("stream reset by the script"))
         };
-        let whole = futures::stream::iter([Ok(body)]);
-        response.stream(whole.chain(futures::stream::once(reset)));
+        let body_chunk = futures::stream::iter([Ok(body)]);
+        response.stream(body_chunk.chain(futures::stream::once(reset)));
         return;
     }
     if matches!(script, Script::Truncated) {
@@ -389,13 +390,13 @@
         .map(|(name, value)| (name.to_string(), value.to_str().expect("text").to_owned()))
         .collect();
     let body = request.payload().await.ok()?.clone();
-    let number = |name: &str| headers[name].parse::<u64>().expect("a number");
+    let numeric_header = |name: &str| headers[name].parse::<u64>().expect("a number");
     Some(ReceivedAttempt {
         method: request.param("method").expect("a method"),
-        attempt: number(http::ATTEMPT),
-        shard: ShardId(u32::try_from(number(http::SHARD)).expect("a shard")),
+        attempt_id: numeric_header(http::ATTEMPT),
+        shard: ShardId(u32::try_from(numeric_header(http::SHARD)).expect("a shard")),
         snapshot: headers[http::SNAPSHOT].parse().expect("a snapshot"),
-        deadline_ms: number(http::DEADLINE_MS),
+        deadline_ms: numeric_header(http::DEADLINE_MS),
         request_id: headers.get(http::REQUEST_ID).cloned(),
         body,
     })
--- a/crates/sablehaven-agent/tests/agent/support/bed.rs
+++ b/crates/sablehaven-agent/tests/agent/support/bed.rs
@@ -58,14 +58,16 @@
                 let record = bed.backend_record(index);
                 state.backends.insert(record.id.clone(), record);
             }
-            state.services.insert(service(), bed.configuration(FIRST));
+            state
+                .services
+                .insert(service(), bed.service_configuration(FIRST));
         });
         bed
     }
 
     /// Returns the default settings with the relay of this test bed, no stop notice, and short waits for
     /// leases and the ledger.
-    pub fn config(&self) -> Config {
+    pub fn agent_config(&self) -> Config {
         let mut config = Config {
             deployment: DEPLOYMENT.to_owned(),
             http_listen: "127.0.0.1:0".parse().expect("an address"),
@@ -80,18 +82,23 @@
         config
     }
 
-    pub async fn agent(&self) -> TestAgent {
-        self.agent_with(self.config()).await
+    /// Starts an agent with the settings of [`Self::agent_config`].
+    pub async fn start_agent(&self) -> TestAgent {
+        self.start_agent_with_config(self.agent_config()).await
     }
 
-    pub async fn agent_with(&self, config: Config) -> TestAgent {
-        self.agent_with_policies(config, service_router_factory())
+    pub async fn start_agent_with_config(&self, config: Config) -> TestAgent {
+        self.start_agent_with_policies(config, service_router_factory())
             .await
     }
 
     /// Starts an agent with the given routing policies. Waits until it is ready, and until it has a lease if
     /// the relay grants leases.
-    pub async fn agent_with_policies(&self, config: Config, policies: PolicyFactory) -> TestAgent {
+    pub async fn start_agent_with_policies(
+        &self,
+        config: Config,
+        policies: PolicyFactory,
+    ) -> TestAgent {
         let telemetry = Telemetry::new("agent");
         let handle = start_with_policies(config, telemetry.clone(), policies).await;
         let handle = handle.expect("starts");
@@ -124,7 +131,7 @@
     }
 
     /// Returns a service configuration with the partition map of this test bed under the snapshot `id`.
-    pub fn configuration(&self, id: SnapshotId) -> ServiceConfiguration {
+    pub fn service_configuration(&self, id: SnapshotId) -> ServiceConfiguration {
         let shards = self.backends.len() / self.replicas_per_shard;
         let assignments = (0..shards).map(|shard| self.assignment(shard));
         ServiceConfiguration {
@@ -140,7 +147,7 @@
     }
 
     /// Publishes a service configuration and returns its revision.
-    pub fn publish(&self, configuration: ServiceConfiguration) -> u64 {
+    pub fn publish_configuration(&self, configuration: ServiceConfiguration) -> u64 {
         self.relay.publish(|state| {
             state.services.insert(service(), configuration);
         })
--- a/crates/sablehaven-agent/tests/agent/support/caller.rs
+++ b/crates/sablehaven-agent/tests/agent/support/caller.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct OnceRequest {
     pub key: LedgerKey,
-    pub id: String,
+    pub pallet_id: String,
     pub deadline: Option<Duration>,
     pub is_resend: bool,
 }
@@ -56,7 +56,7 @@
                 request: format!("request-{number}").into(),
                 issued_at_ms: now_ms(),
             },
-            id: "pallet".to_owned(),
+            pallet_id: "pallet".to_owned(),
             deadline: None,
             is_resend: false,
         }
@@ -113,7 +113,7 @@
     pub fn reserve_request(&self, once: &OnceRequest) -> RequestBuilder {
         let mut request = self
             .post("Reserve")
-            .json(&json!({ "id": once.id, "quantity": 1 }))
+            .json(&json!({ "id": once.pallet_id, "quantity": 1 }))
             .header(http::CALLER, once.key.caller.as_str())
             .header(http::REQUEST_ID, once.key.request.as_str())
             .header(http::ISSUED_AT_MS, once.key.issued_at_ms.to_string());
--- a/crates/sablehaven-agent/tests/agent/support/relay.rs
+++ b/crates/sablehaven-agent/tests/agent/support/relay.rs
@@ -86,7 +86,7 @@
     }
 
     /// Sends an observation as a hint of another agent, before control has committed it.
-    pub fn hint(&self, observation: Observation) {
+    pub fn send_hint(&self, observation: Observation) {
         self.hints.send(observation).expect("an agent listens");
     }
 
