--- a/crates/sablehaven-agent/tests/agent/http_interface.rs
+++ b/crates/sablehaven-agent/tests/agent/http_interface.rs
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn reasons_map_to_http_statuses() {
+fn unknown_maps_to_gateway_timeout_and_not_run_to_service_unavailable() {
     assert_eq!(Reason::SentWithoutReply.status().as_u16(), 504);
     assert_eq!(Reason::Overloaded.status().as_u16(), 503);
     assert_eq!(Reason::RequestIdReused.status().as_u16(), 409);
--- a/crates/sablehaven-agent/tests/agent/once_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/once_rules.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_process_that_was_paused_does_not_dispatch_if_either_clock_shows_it() {
+fn a_paused_process_does_not_dispatch_whichever_clock_shows_the_pause() {
     let short = Duration::from_millis(5);
     let long = Duration::from_secs(3);
     assert_eq!(dispatch_check(short, short).check(), Ok(()));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn the_fingerprint_depends_on_method_and_values_only() {
+fn the_fingerprint_depends_on_method_and_values_but_not_on_the_encoding() {
     let schema = DeploymentSchema::parse(FILE, TEXT).expect("valid");
     let method = schema.method(&service(), "Reserve").expect("Reserve");
     let read =
--- a/crates/sablehaven-agent/tests/agent/sub_request_rules.rs
+++ b/crates/sablehaven-agent/tests/agent/sub_request_rules.rs
@@ -35,12 +35,12 @@
 
 fn run_sub_request(
     policy: &mut ScriptedPolicy,
-    attempts: u32,
+    max_attempts: u32,
     failures: &[AttemptFailure],
 ) -> (SubRequest, Vec<Step>) {
     let snapshot = pinned_snapshot(&[]);
     let mut router = PinnedRouter::current(policy, &snapshot);
-    let mut sub_request = SubRequest::new(SHARD, attempts);
+    let mut sub_request = SubRequest::new(SHARD, max_attempts);
     let mut steps = vec![sub_request.start(&mut router, NOW)];
     for failure in failures {
         steps.push(sub_request.attempt_failed(&mut router, NOW, *failure));
@@ -200,11 +200,11 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     });
-    let result = runner.run(&inputs, |(replicas, budget, attempts, events)| {
+    let result = runner.run(&inputs, |(replicas, budget, max_attempts, events)| {
         let snapshot = pinned_snapshot(&[]);
         let mut policy = ScriptedPolicy::new(replicas, budget);
         let mut router = PinnedRouter::current(&mut policy, &snapshot);
-        let mut sub_request = SubRequest::new(SHARD, attempts);
+        let mut sub_request = SubRequest::new(SHARD, max_attempts);
         let mut asked = Vec::new();
         let mut in_flight = 0;
         let mut step = sub_request.start(&mut router, NOW);
@@ -229,7 +229,7 @@
                 None => sub_request.hedge_due(&mut router, NOW),
             };
         }
-        prop_assert!(sub_request.attempts() <= attempts);
+        prop_assert!(sub_request.attempts() <= max_attempts);
         prop_assert!(policy.extra_attempts.len() <= budget as usize);
         Ok(())
     });
